--- a/core/confirm.c
+++ b/core/confirm.c
@@ -85,7 +85,7 @@
 	else if (group->core->now >= request->deadline)
 		exec_deadline(request); /* its timer has fired already, during the run */
 	else
-		group_poll_now(group);
+		group_request_reports(group);
 }
 
 void confirm_check(group_t *group)
@@ -110,7 +110,7 @@
 	}
 }
 
-usec_t confirm_oldest(const group_t *group)
+usec_t confirm_oldest_wait(const group_t *group)
 {
 	const request_t *first;
 
--- a/core/confirm.h
+++ b/core/confirm.h
@@ -18,4 +18,4 @@
 void confirm_term_changed(group_t *group);
 
 /* How long the oldest unconfirmed request has waited. */
-usec_t confirm_oldest(const group_t *group);
+usec_t confirm_oldest_wait(const group_t *group);
--- a/core/core.c
+++ b/core/core.c
@@ -45,7 +45,7 @@
 	};
 }
 
-action_t *core_act(core_t *core, action_kind_t kind)
+action_t *core_add_action(core_t *core, action_kind_t kind)
 {
 	action_t *action = talloc_zero(NULL, action_t);
 
@@ -54,9 +54,9 @@
 	return action;
 }
 
-void core_note(core_t *core, bool warning, const char *fmt, ...)
+void core_log(core_t *core, bool warning, const char *fmt, ...)
 {
-	action_t *action = core_act(core, ACTION_NOTE);
+	action_t *action = core_add_action(core, ACTION_LOG);
 	va_list ap;
 
 	va_start(ap, fmt);
@@ -65,7 +65,7 @@
 	action->note.warning = warning;
 }
 
-uint64_t core_id(core_t *core)
+uint64_t core_next_id(core_t *core)
 {
 	return ++core->next_id;
 }
@@ -84,7 +84,7 @@
 {
 	action_t *action;
 
-	while ((action = core_take_action(core)) != NULL)
+	while ((action = core_pop_action(core)) != NULL)
 		talloc_free(action);
 	timers_destroy(&core->timers);
 	HASH_CLEAR(hh, core->groups);
@@ -119,7 +119,7 @@
 	fleet_add(core->fleet, core->now, vm->name, vm->zone, vm->address, true);
 }
 
-action_t *core_take_action(core_t *core)
+action_t *core_pop_action(core_t *core)
 {
 	action_t *action;
 
@@ -130,7 +130,7 @@
 	return action;
 }
 
-usec_t core_next_wake(const core_t *core)
+usec_t core_next_tick(const core_t *core)
 {
 	return timers_next(&core->timers);
 }
@@ -150,12 +150,12 @@
 		core->awake_since = now;
 		core->store_contact = 0;
 		core->store_op = 0;
-		fleet_forgive(core->fleet);
+		fleet_reset_health(core->fleet);
 		HASH_ITER (hh, core->groups, group, next)
-			group_forget_health(group);
+			group_reset_health(group);
 		router_after_pause(core);
-		core_note(core, true, "this process was paused for %llu ms",
-			  (unsigned long long)((now - core->last_wake) / MSEC));
+		core_log(core, true, "this process was paused for %llu ms",
+			 (unsigned long long)((now - core->last_wake) / MSEC));
 	}
 	core->last_wake = now;
 }
@@ -177,11 +177,11 @@
 	if (core->draining)
 		return;
 	core->draining = true;
-	core_note(core, false, "shutting down: %u requests and %u transactions to finish",
-		  HASH_COUNT(core->requests), HASH_COUNT(core->txs));
+	core_log(core, false, "shutting down: %u requests and %u transactions to finish",
+		 HASH_COUNT(core->requests), HASH_COUNT(core->txs));
 	fleet_set_leaving(core->fleet, core->fleet->self);
 	watch_refresh(core);
-	peers_spread(core);
+	peers_send_heartbeats(core);
 }
 
 static void check_drained(core_t *core)
@@ -189,7 +189,7 @@
 	if (!core->draining || core->drained || !is_idle(core))
 		return;
 	core->drained = true;
-	core_act(core, ACTION_DRAINED);
+	core_add_action(core, ACTION_DRAINED);
 }
 
 static void handle(core_t *core, const event_t *event)
@@ -204,7 +204,7 @@
 		request_caller_gone(core, event->id);
 		break;
 	case EVENT_MESSAGE:
-		peers_take(core, event->message.peer, event->message.message);
+		peers_receive(core, event->message.peer, event->message.message);
 		break;
 	case EVENT_UNSENT:
 		router_unsent(core, event->id);
@@ -225,16 +225,16 @@
 		group_control_down(core, &event->control);
 		break;
 	case EVENT_STORE_LOADED:
-		tablesync_loaded(core, event->id, &event->store);
+		tablesync_on_load(core, event->id, &event->store);
 		break;
 	case EVENT_STORE_DONE:
 		edit_store_done(core, event->id, &event->store);
 		break;
 	case EVENT_WATCH_DOWN:
-		tablesync_watch_down(core);
+		tablesync_on_watch_down(core);
 		break;
 	case EVENT_VMS:
-		tablesync_vms(core, &event->vms);
+		tablesync_on_vms(core, &event->vms);
 		break;
 	case EVENT_EDIT:
 		edit_start(core, event->id, &event->edit);
--- a/core/core.h
+++ b/core/core.h
@@ -69,10 +69,10 @@
 void core_handle(core_t *core, usec_t now, const event_t *event);
 
 /* The next action, or NULL. The caller frees it with talloc_free(). */
-action_t *core_take_action(core_t *core);
+action_t *core_pop_action(core_t *core);
 
 /* When the next EVENT_TICK is due. */
-usec_t core_next_wake(const core_t *core);
+usec_t core_next_tick(const core_t *core);
 
 /* The state, for operators. */
 json_t *core_dump(const core_t *core);
--- a/core/edit.c
+++ b/core/edit.c
@@ -17,7 +17,7 @@
 		[EDIT_UNKNOWN] = "unknown",
 	};
 	core_t *core = edit->core;
-	action_t *action = core_act(core, ACTION_EDIT_DONE);
+	action_t *action = core_add_action(core, ACTION_EDIT_DONE);
 	va_list ap;
 
 	va_start(ap, fmt);
@@ -26,9 +26,9 @@
 	action->id = edit->id;
 	action->edit.status = status;
 	action->edit.table_version = core->table->version;
-	core_note(core, status != EDIT_ACCEPTED, "table edit %s id=%s author=%s version=%llu: %s",
-		  names[status], edit->edit_id, edit->author,
-		  (unsigned long long)core->table->version, action->edit.text);
+	core_log(core, status != EDIT_ACCEPTED, "table edit %s id=%s author=%s version=%llu: %s",
+		 names[status], edit->edit_id, edit->author,
+		 (unsigned long long)core->table->version, action->edit.text);
 	timers_cancel(&core->timers, &edit->timer);
 	timers_cancel(&core->timers, &edit->retry_timer);
 	list_del(&edit->node);
@@ -51,7 +51,8 @@
 static const char *find_conflict(const edit_t *edit)
 {
 	for (size_t i = 0; i < edit->entry_count; i++) {
-		const table_entry_t *held = table_find(edit->core->table, edit->entries[i].key);
+		const table_entry_t *held =
+			table_find_entry(edit->core->table, edit->entries[i].key);
 
 		if (held != NULL && held->version > edit->base_version)
 			return held->key;
@@ -63,7 +64,7 @@
 static void send_commit(edit_t *edit)
 {
 	core_t *core = edit->core;
-	action_t *action = core_act(core, ACTION_STORE_COMMIT);
+	action_t *action = core_add_action(core, ACTION_STORE_COMMIT);
 
 	edit->commit_sent = true;
 	action->id = edit->id;
@@ -142,7 +143,7 @@
 	 * Proxies that lose the store go on while they hear more than half of the
 	 * fleet. An edit taken on the smaller side of a cut would not reach them.
 	 */
-	if (!tablesync_hears_majority(core)) {
+	if (!tablesync_reaches_majority(core)) {
 		finish(edit, EDIT_REFUSED, "this proxy does not hear more than half of the fleet");
 		return;
 	}
--- a/core/event.c
+++ b/core/event.c
@@ -31,7 +31,7 @@
 	[ACTION_STORE_COMMIT] = "store_commit",
 	[ACTION_VMS] = "vms",
 	[ACTION_EDIT_DONE] = "edit_done",
-	[ACTION_NOTE] = "note",
+	[ACTION_LOG] = "note",
 	[ACTION_DRAINED] = "drained",
 };
 
--- a/core/event.h
+++ b/core/event.h
@@ -177,7 +177,7 @@
 	ACTION_STORE_COMMIT,
 	ACTION_VMS, /* ask the platform for its list */
 	ACTION_EDIT_DONE,
-	ACTION_NOTE, /* a line for the log */
+	ACTION_LOG, /* a line for the log */
 	ACTION_DRAINED,
 	ACTION_COUNT,
 } action_kind_t;
@@ -247,11 +247,11 @@
 	char *text; /* why it was refused */
 } edit_action_t;
 
-/* ACTION_NOTE. */
-typedef struct note_action {
+/* ACTION_LOG. */
+typedef struct log_action {
 	char *text;
 	bool warning;
-} note_action_t;
+} log_action_t;
 
 typedef struct action {
 	list_t node;
@@ -266,7 +266,7 @@
 		load_action_t load;
 		commit_action_t commit;
 		edit_action_t edit;
-		note_action_t note;
+		log_action_t note;
 	};
 } action_t;
 
--- a/core/exec.c
+++ b/core/exec.c
@@ -118,7 +118,7 @@
 void exec_start(request_t *request, conn_t *conn, run_kind_t kind)
 {
 	core_t *core = request->core;
-	action_t *action = core_act(core, ACTION_RUN);
+	action_t *action = core_add_action(core, ACTION_RUN);
 
 	request->state = REQUEST_RUNNING;
 	request->conn = conn;
@@ -148,7 +148,7 @@
 	if (takeover->state != TAKEOVER_PROMOTING)
 		return;
 	if (request->kind == ROW_WRITE || request->strict)
-		pool_grow(takeover->chosen, row);
+		pool_connect(takeover->chosen, row);
 }
 
 /* A run that can't end in time would only take a slot from one that can. */
@@ -169,7 +169,7 @@
 {
 	core_t *core = request->core;
 	const row_t *row =
-		table_row(core->table, request->query->service, request->query->class_name);
+		table_find_row(core->table, request->query->service, request->query->class_name);
 	member_t *member = choose_member(request);
 	conn_t *conn;
 
@@ -179,9 +179,9 @@
 		prepare(request, row);
 		return;
 	}
-	conn = pool_take(member, row);
+	conn = pool_acquire(member, row);
 	if (conn == NULL) {
-		pool_grow(member, row);
+		pool_connect(member, row);
 		return;
 	}
 	list_del(&request->node);
@@ -222,8 +222,8 @@
 
 void exec_submit(request_t *request, group_t *group)
 {
-	const row_t *row = table_row(request->core->table, request->query->service,
-				     request->query->class_name);
+	const row_t *row = table_find_row(request->core->table, request->query->service,
+					  request->query->class_name);
 
 	request->group = group;
 	request->group_name = talloc_strdup(request, group->name);
@@ -265,7 +265,7 @@
 			       request->attempts);
 		return;
 	}
-	if (!retry_spend(group)) {
+	if (!retry_budget_spend(group)) {
 		request_refuse(request, REFUSAL_RETRY_BUDGET, come_back(group),
 			       "%s; too many retries of late", why);
 		return;
@@ -287,7 +287,7 @@
 
 	if (!request->strict && request->kind == ROW_READ)
 		answer.age = now_of(request) - request->age_base;
-	retry_earn(request->group);
+	retry_budget_credit(request->group);
 	request_finish(request, &answer);
 }
 
@@ -337,7 +337,7 @@
 	if (before->log.term != request->group->term ||
 	    !position_covers(before->log, request->query->floor))
 		return false;
-	request->age_base = samples_time(request->group, before->log.lsn);
+	request->age_base = samples_time_of(request->group, before->log.lsn);
 	return request->age_base != 0 && now_of(request) - request->age_base <= request->max_age;
 }
 
@@ -401,7 +401,7 @@
 			write_done(request);
 		break;
 	case RUN_NOT_PRIMARY:
-		group_primary_denied(request->runner);
+		group_on_not_primary(request->runner);
 		retry_or_refuse(request, REFUSAL_NO_PRIMARY, result->detail);
 		break;
 	case RUN_REJECTED:
@@ -431,7 +431,7 @@
 
 void exec_run_done(core_t *core, uint64_t id, const run_event_t *event)
 {
-	conn_t *conn = pool_find(core, id);
+	conn_t *conn = pool_find_conn(core, id);
 	request_t *request = conn != NULL ? conn->request : NULL;
 	const run_result_t *result = event->result;
 	group_t *group;
@@ -499,7 +499,7 @@
 		 * Closing tells which it is: without a commit sent the server rolls
 		 * back. The link answers with EVENT_RUN_DONE before anything else.
 		 */
-		pool_close(request->conn);
+		pool_close_conn(request->conn);
 		break;
 	case REQUEST_CONFIRMING:
 		list_del(&request->node);
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -94,7 +94,8 @@
 	}
 }
 
-void fleet_take_list(fleet_t *fleet, usec_t now, const vm_t *vms, size_t count, usec_t forget_after)
+void fleet_apply_list(fleet_t *fleet, usec_t now, const vm_t *vms, size_t count,
+		      usec_t forget_after)
 {
 	proxy_t *proxy;
 	proxy_t *next;
@@ -119,7 +120,7 @@
 	note_change(fleet, FLEET_JOINED, proxy);
 }
 
-void fleet_heard(fleet_t *fleet, proxy_t *proxy, usec_t now, const message_t *message)
+void fleet_on_message(fleet_t *fleet, proxy_t *proxy, usec_t now, const message_t *message)
 {
 	if (message->incarnation < proxy->incarnation)
 		return;
@@ -169,7 +170,7 @@
 	}
 }
 
-void fleet_forgive(fleet_t *fleet)
+void fleet_reset_health(fleet_t *fleet)
 {
 	proxy_t *proxy;
 	proxy_t *next;
@@ -378,7 +379,7 @@
 	return false;
 }
 
-bool fleet_majority_heard(const fleet_t *fleet, usec_t since)
+bool fleet_majority_is_alive(const fleet_t *fleet, usec_t since)
 {
 	size_t all = 0;
 	size_t heard = 0;
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -70,11 +70,11 @@
 		   const char *address, bool listed);
 
 /* Take the platform's list. What is no longer listed and silent for forget_after goes. */
-void fleet_take_list(fleet_t *fleet, usec_t now, const vm_t *vms, size_t count,
-		     usec_t forget_after);
+void fleet_apply_list(fleet_t *fleet, usec_t now, const vm_t *vms, size_t count,
+		      usec_t forget_after);
 
 /* Note a message of a peer; a later incarnation starts with a clean slate. */
-void fleet_heard(fleet_t *fleet, proxy_t *proxy, usec_t now, const message_t *message);
+void fleet_on_message(fleet_t *fleet, proxy_t *proxy, usec_t now, const message_t *message);
 
 void fleet_set_leaving(fleet_t *fleet, proxy_t *proxy);
 void fleet_set_suspect(proxy_t *proxy, usec_t now);
@@ -87,7 +87,7 @@
 void fleet_suspect_silent(fleet_t *fleet, usec_t now, usec_t allowed);
 
 /* After a pause of this process: judge nobody on what was missed meanwhile. */
-void fleet_forgive(fleet_t *fleet);
+void fleet_reset_health(fleet_t *fleet);
 
 /* Work out who serves key, unless *ranks is of the current epoch. Leaving proxies have no rank. */
 void fleet_rank(const fleet_t *fleet, const char *key, ranks_t *ranks);
@@ -102,4 +102,4 @@
  * True if more than half of the fleet, self included, is known to have been alive since then: its
  * messages echo a time of our clock that is no earlier.
  */
-bool fleet_majority_heard(const fleet_t *fleet, usec_t since);
+bool fleet_majority_is_alive(const fleet_t *fleet, usec_t since);
--- a/core/group.c
+++ b/core/group.c
@@ -61,7 +61,7 @@
 	return member->known && core->now - member->reported < within;
 }
 
-size_t group_responsive(const group_t *group)
+size_t group_count_responsive(const group_t *group)
 {
 	size_t n = 0;
 
@@ -87,12 +87,13 @@
 	return member->spec.slots + (extra < member->spec.slots ? extra : member->spec.slots);
 }
 
-uint64_t member_order(member_t *member, order_kind_t kind, uint64_t term, const member_t *target)
+uint64_t member_send_order(member_t *member, order_kind_t kind, uint64_t term,
+			   const member_t *target)
 {
 	core_t *core = member->group->core;
-	action_t *action = core_act(core, ACTION_ORDER);
+	action_t *action = core_add_action(core, ACTION_ORDER);
 
-	action->id = core_id(core);
+	action->id = core_next_id(core);
 	action->order.group = talloc_strdup(action, member->group->name);
 	action->order.member = talloc_strdup(action, member->spec.name);
 	action->order.address = talloc_strdup(action, member->spec.address);
@@ -110,12 +111,12 @@
 
 	if (member->report_order != 0)
 		return;
-	member->report_order = member_order(member, ORDER_REPORT, 0, NULL);
+	member->report_order = member_send_order(member, ORDER_REPORT, 0, NULL);
 	member->report_sent = core->now;
 	member->next_report = core->now + poll_interval(member->group);
 }
 
-void group_poll_now(group_t *group)
+void group_request_reports(group_t *group)
 {
 	for (size_t i = 0; i < group->member_count; i++)
 		ask_report(&group->members[i]);
@@ -144,7 +145,7 @@
 		if (group->members[i].report_order == 0 && group->members[i].next_report < at)
 			at = group->members[i].next_report;
 	}
-	due = takeover_due(group);
+	due = takeover_silence_deadline(group);
 	if (due > core->now && due < at)
 		at = due;
 	timers_arm(&core->timers, &group->timer, at, on_timer);
@@ -181,11 +182,11 @@
 			pool_close_superseded(&group->members[i]);
 	}
 	if (primary != NULL)
-		core_note(core, false, "primary group=%s member=%s term=%llu", group->name,
-			  primary->spec.name, (unsigned long long)group->term);
+		core_log(core, false, "primary group=%s member=%s term=%llu", group->name,
+			 primary->spec.name, (unsigned long long)group->term);
 	else
-		core_note(core, true, "no primary group=%s term=%llu", group->name,
-			  (unsigned long long)group->term);
+		core_log(core, true, "no primary group=%s term=%llu", group->name,
+			 (unsigned long long)group->term);
 }
 
 static void raise_term(group_t *group, uint64_t term)
@@ -213,7 +214,7 @@
 	if (core->now - member->follow_sent < FOLLOW_RETRY)
 		return;
 	member->follow_sent = core->now;
-	member->follow_order = member_order(member, ORDER_FOLLOW, group->term, group->primary);
+	member->follow_order = member_send_order(member, ORDER_FOLLOW, group->term, group->primary);
 }
 
 /* A member that is behind in term, or still thinks itself primary, may not follow yet. */
@@ -228,7 +229,7 @@
 		group_order_follow(member);
 }
 
-void group_take_report(group_t *group, member_t *member, const report_t *report, usec_t sent)
+void group_apply_report(group_t *group, member_t *member, const report_t *report, usec_t sent)
 {
 	/* Answers can overtake each other; an older question must not undo a newer answer. */
 	if (member->known && sent < member->reported)
@@ -241,7 +242,7 @@
 	raise_term(group, report->sealed);
 	if (report->primary && report->sealed == group->term) {
 		set_primary(group, member);
-		samples_take(group, report, sent);
+		samples_add(group, report, sent);
 	} else if (group->primary == member) {
 		set_primary(group, NULL);
 	}
@@ -271,7 +272,7 @@
 	member->report_order = 0;
 	if (event->status == ORDER_OK) {
 		measure_rtt(member, group->core->now - sent);
-		group_take_report(group, member, &event->report, sent);
+		group_apply_report(group, member, &event->report, sent);
 	} else {
 		member->misses++;
 		if (event->status == ORDER_UNREACHABLE) {
@@ -319,18 +320,18 @@
 	group_arm_timer(group);
 }
 
-void group_primary_denied(member_t *member)
+void group_on_not_primary(member_t *member)
 {
 	group_t *group = member->group;
 
 	if (group->primary != member)
 		return;
 	set_primary(group, NULL);
-	group_poll_now(group);
+	group_request_reports(group);
 	group_arm_timer(group);
 }
 
-void group_forget_health(group_t *group)
+void group_reset_health(group_t *group)
 {
 	for (size_t i = 0; i < group->member_count; i++) {
 		group->members[i].misses = 0;
@@ -345,7 +346,7 @@
 		group->primary_lost = group->core->now;
 }
 
-void groups_take_vms(core_t *core, const vm_t *vms, size_t count)
+void groups_apply_vms(core_t *core, const vm_t *vms, size_t count)
 {
 	group_t *group;
 	group_t *next;
--- a/core/group.h
+++ b/core/group.h
@@ -13,19 +13,20 @@
 size_t group_majority(const group_t *group);
 
 /* Members that answered lately, by our own clock. */
-size_t group_responsive(const group_t *group);
+size_t group_count_responsive(const group_t *group);
 
 /* Ask every member for a report now. */
-void group_poll_now(group_t *group);
+void group_request_reports(group_t *group);
 
 /* Set the timer of polls and of the primary's silence. */
 void group_arm_timer(group_t *group);
 
 /* Send an order; returns its id. */
-uint64_t member_order(member_t *member, order_kind_t kind, uint64_t term, const member_t *target);
+uint64_t member_send_order(member_t *member, order_kind_t kind, uint64_t term,
+			   const member_t *target);
 
 /* Take a report that was asked for at sent. */
-void group_take_report(group_t *group, member_t *member, const report_t *report, usec_t sent);
+void group_apply_report(group_t *group, member_t *member, const report_t *report, usec_t sent);
 
 /* Point a member at the group's primary unless it follows it already. */
 void group_order_follow(member_t *member);
@@ -34,13 +35,13 @@
 void group_control_down(core_t *core, const control_event_t *event);
 
 /* The member takes no writes although we held it for the primary: ask everybody again. */
-void group_primary_denied(member_t *member);
+void group_on_not_primary(member_t *member);
 
 /* Our own pause ended: all we knew of the members' health is void. */
-void group_forget_health(group_t *group);
+void group_reset_health(group_t *group);
 
 /* The platform says that the VMs at these addresses are leaving. */
-void groups_take_vms(core_t *core, const vm_t *vms, size_t count);
+void groups_apply_vms(core_t *core, const vm_t *vms, size_t count);
 
 /* Usable for new work: in the current term and not leaving. */
 bool member_is_current(const member_t *member);
--- a/core/peers.c
+++ b/core/peers.c
@@ -16,7 +16,7 @@
 void peers_send(core_t *core, const char *peer, const message_t *message)
 {
 	const proxy_t *proxy = fleet_find(core->fleet, peer);
-	action_t *action = core_act(core, ACTION_SEND);
+	action_t *action = core_add_action(core, ACTION_SEND);
 
 	action->send.peer = talloc_strdup(action, peer);
 	action->send.message = message_copy(action, message);
@@ -106,7 +106,7 @@
 	return len;
 }
 
-void peers_spread(core_t *core)
+void peers_send_heartbeats(core_t *core)
 {
 	proxy_t *neighbours[64];
 	size_t max = sizeof(neighbours) / sizeof(neighbours[0]);
@@ -126,7 +126,7 @@
 	usec_t allowed = core->config.timings.suspect_after;
 
 	timers_arm(&core->timers, timer, now + core->config.timings.heartbeat, on_heartbeat);
-	peers_spread(core);
+	peers_send_heartbeats(core);
 	if (now - core->awake_since > allowed) {
 		fleet_suspect_silent(core->fleet, now, allowed);
 		router_check_homes(core);
@@ -147,15 +147,15 @@
 
 	fleet_add(core->fleet, core->now, from->name, message->zone, message->address, false);
 	from->table_version = message->table_version;
-	tablesync_heard(core, from, message);
+	tablesync_on_heartbeat(core, from, message);
 	/* One that we would not have told may not know us: answer, or it never hears an echo. */
 	if (message->echo == 0)
 		send_heartbeat(core, from);
 	if (news)
-		core_note(core, false, "peer leaving peer=%s", from->name);
+		core_log(core, false, "peer leaving peer=%s", from->name);
 }
 
-void peers_take(core_t *core, const char *peer, const message_t *message)
+void peers_receive(core_t *core, const char *peer, const message_t *message)
 {
 	proxy_t *from = fleet_find(core->fleet, peer);
 
@@ -164,7 +164,7 @@
 				 false);
 	if (message->incarnation < from->incarnation)
 		return; /* a message of its earlier life, late */
-	fleet_heard(core->fleet, from, core->now, message);
+	fleet_on_message(core->fleet, from, core->now, message);
 	switch (message->kind) {
 	case MESSAGE_HEARTBEAT:
 		take_heartbeat(core, from, message);
@@ -179,10 +179,10 @@
 		router_answer(core, message);
 		break;
 	case MESSAGE_TABLE_PULL:
-		tablesync_pulled(core, from, message);
+		tablesync_on_pull(core, from, message);
 		break;
 	case MESSAGE_TABLE_PUSH:
-		tablesync_pushed(core, from, message);
+		tablesync_on_push(core, from, message);
 		break;
 	case MESSAGE_COUNT:
 		break;
--- a/core/peers.h
+++ b/core/peers.h
@@ -14,6 +14,6 @@
 void peers_start(core_t *core);
 
 /* Tell the neighbours at once, after news that can't wait. */
-void peers_spread(core_t *core);
+void peers_send_heartbeats(core_t *core);
 
-void peers_take(core_t *core, const char *peer, const message_t *message);
+void peers_receive(core_t *core, const char *peer, const message_t *message);
--- a/core/pool.c
+++ b/core/pool.c
@@ -13,7 +13,7 @@
 /* Once another proxy serves the group, its connections are needed there. */
 #define IDLE_WHEN_MOVED (200 * USEC_PER_MSEC)
 
-conn_t *pool_find(const core_t *core, uint64_t id)
+conn_t *pool_find_conn(const core_t *core, uint64_t id)
 {
 	conn_t *conn;
 
@@ -46,7 +46,7 @@
 	return pool;
 }
 
-conn_t *pool_take(member_t *member, const row_t *row)
+conn_t *pool_acquire(member_t *member, const row_t *row)
 {
 	pool_t *pool = find_pool(member, row->name);
 
@@ -64,7 +64,7 @@
 	return NULL;
 }
 
-void pool_grow(member_t *member, const row_t *row)
+void pool_connect(member_t *member, const row_t *row)
 {
 	core_t *core = member->group->core;
 	pool_t *pool = get_pool(member, row->name);
@@ -80,14 +80,14 @@
 	    core->now < pool->connect_after || pool->connecting >= pool->wanted)
 		return;
 	conn = talloc_zero(core, conn_t);
-	conn->id = core_id(core);
+	conn->id = core_next_id(core);
 	conn->pool = pool;
 	conn->state = CONN_CONNECTING;
 	HASH_ADD(hh, core->conns, id, sizeof(conn->id), conn);
 	list_add_tail(&pool->conns, &conn->node);
 	pool->total++;
 	pool->connecting++;
-	action = core_act(core, ACTION_CONNECT);
+	action = core_add_action(core, ACTION_CONNECT);
 	action->id = conn->id;
 	action->connect.group = talloc_strdup(action, member->group->name);
 	action->connect.member = talloc_strdup(action, member->spec.name);
@@ -118,10 +118,10 @@
 	talloc_free(conn);
 }
 
-void pool_close(conn_t *conn)
+void pool_close_conn(conn_t *conn)
 {
 	core_t *core = conn->pool->member->group->core;
-	action_t *action = core_act(core, ACTION_CLOSE);
+	action_t *action = core_add_action(core, ACTION_CLOSE);
 
 	action->id = conn->id;
 	/* A busy one is forgotten when the link has told how its run ended. */
@@ -131,7 +131,7 @@
 
 void pool_conn_up(core_t *core, uint64_t id, const conn_up_event_t *event)
 {
-	conn_t *conn = pool_find(core, id);
+	conn_t *conn = pool_find_conn(core, id);
 
 	if (conn == NULL)
 		return;
@@ -143,7 +143,7 @@
 
 void pool_conn_down(core_t *core, uint64_t id, const conn_down_event_t *event)
 {
-	conn_t *conn = pool_find(core, id);
+	conn_t *conn = pool_find_conn(core, id);
 	group_t *group;
 
 	if (conn == NULL)
@@ -151,9 +151,9 @@
 	group = conn->pool->member->group;
 	if (conn->state == CONN_CONNECTING) {
 		conn->pool->connect_after = core->now + CONNECT_BACKOFF;
-		core_note(core, false, "connect failed group=%s member=%s row=%s: %s", group->name,
-			  conn->pool->member->spec.name, conn->pool->row,
-			  event->detail != NULL ? event->detail : "");
+		core_log(core, false, "connect failed group=%s member=%s row=%s: %s", group->name,
+			 conn->pool->member->spec.name, conn->pool->row,
+			 event->detail != NULL ? event->detail : "");
 	}
 	if (conn->tx != NULL)
 		tx_lost(conn->tx);
@@ -164,7 +164,7 @@
 static bool is_surplus(const group_t *group, const conn_t *conn)
 {
 	const core_t *core = group->core;
-	const row_t *row = table_row_named(core->table, conn->pool->row);
+	const row_t *row = table_find_row_named(core->table, conn->pool->row);
 	usec_t allowed = group->rank == 0 ? core->config.timings.conn_idle : IDLE_WHEN_MOVED;
 
 	if (conn->state != CONN_IDLE)
@@ -184,7 +184,7 @@
 				conn_t *conn = list_entry(it, conn_t, node);
 
 				if (is_surplus(group, conn))
-					pool_close(conn);
+					pool_close_conn(conn);
 			}
 		}
 	}
@@ -197,7 +197,7 @@
 			pool_t *pool = list_entry(p, pool_t, node);
 
 			list_for_each_safe (it, &pool->conns)
-				pool_close(list_entry(it, conn_t, node));
+				pool_close_conn(list_entry(it, conn_t, node));
 		}
 	}
 }
@@ -226,7 +226,7 @@
 			conn_t *conn = list_entry(it, conn_t, node);
 
 			if (matches(conn))
-				pool_close(conn);
+				pool_close_conn(conn);
 		}
 	}
 }
@@ -241,7 +241,7 @@
 	close_matching(member, is_read);
 }
 
-bool pool_is_busy(const member_t *member)
+bool member_has_busy_conn(const member_t *member)
 {
 	list_for_each (p, &member->pools) {
 		const pool_t *pool = list_entry(p, pool_t, node);
--- a/core/pool.h
+++ b/core/pool.h
@@ -9,16 +9,16 @@
 #include "state.h"
 
 /* An idle connection of row at member, marked busy; NULL if there is none. */
-conn_t *pool_take(member_t *member, const row_t *row);
+conn_t *pool_acquire(member_t *member, const row_t *row);
 
 /* Open one more connection if limits and backoff allow. */
-void pool_grow(member_t *member, const row_t *row);
+void pool_connect(member_t *member, const row_t *row);
 
 /* Give a connection back for reuse. Only one whose last answer was read whole may come. */
 void pool_release(conn_t *conn);
 
 /* Close a connection, whatever it does; a run on it ends with EVENT_RUN_DONE. */
-void pool_close(conn_t *conn);
+void pool_close_conn(conn_t *conn);
 
 void pool_conn_up(core_t *core, uint64_t id, const conn_up_event_t *event);
 void pool_conn_down(core_t *core, uint64_t id, const conn_down_event_t *event);
@@ -36,5 +36,5 @@
 /* Close the reads that run on a member that has stopped answering: others can serve them. */
 void pool_close_stuck_reads(member_t *member);
 
-bool pool_is_busy(const member_t *member);
-conn_t *pool_find(const core_t *core, uint64_t id);
+bool member_has_busy_conn(const member_t *member);
+conn_t *pool_find_conn(const core_t *core, uint64_t id);
--- a/core/request.c
+++ b/core/request.c
@@ -23,7 +23,7 @@
 	request_t *request = talloc_zero(core, request_t);
 
 	request->core = core;
-	request->id = core_id(core);
+	request->id = core_next_id(core);
 	request->query = query_copy(request, query);
 	request->arrived = core->now;
 	request->deadline = core->now + query->left;
@@ -71,7 +71,7 @@
 static void answer_caller(request_t *request, const answer_t *answer)
 {
 	core_t *core = request->core;
-	action_t *action = core_act(core, ACTION_ANSWER);
+	action_t *action = core_add_action(core, ACTION_ANSWER);
 
 	action->id = request->caller;
 	action->answer.answer = answer_copy(action, answer);
@@ -121,9 +121,9 @@
 	va_start(ap, fmt);
 	answer.detail = talloc_vasprintf(request, fmt, ap);
 	va_end(ap);
-	core_note(request->core, false, "refused request=%llu row=%s outcome=%s reason=%s: %s",
-		  (unsigned long long)request->id, request->row != NULL ? request->row : "none",
-		  outcome_name(answer.outcome), refusal_name(refusal), answer.detail);
+	core_log(request->core, false, "refused request=%llu row=%s outcome=%s reason=%s: %s",
+		 (unsigned long long)request->id, request->row != NULL ? request->row : "none",
+		 outcome_name(answer.outcome), refusal_name(refusal), answer.detail);
 	request_finish(request, &answer);
 }
 
--- a/core/retry.c
+++ b/core/retry.c
@@ -3,19 +3,19 @@
 #define EARNED_BY_SUCCESS 0.1
 #define TOKENS_MAX	  20.0
 
-void retry_init(group_t *group)
+void retry_budget_init(group_t *group)
 {
 	group->retry_tokens = TOKENS_MAX;
 }
 
-void retry_earn(group_t *group)
+void retry_budget_credit(group_t *group)
 {
 	group->retry_tokens += EARNED_BY_SUCCESS;
 	if (group->retry_tokens > TOKENS_MAX)
 		group->retry_tokens = TOKENS_MAX;
 }
 
-bool retry_spend(group_t *group)
+bool retry_budget_spend(group_t *group)
 {
 	if (group->retry_tokens < 1.0)
 		return false;
--- a/core/retry.h
+++ b/core/retry.h
@@ -8,9 +8,9 @@
 #include "state.h"
 
 /* A new group starts with a full budget. */
-void retry_init(group_t *group);
+void retry_budget_init(group_t *group);
 
-void retry_earn(group_t *group);
+void retry_budget_credit(group_t *group);
 
 /* True if the budget had room; one retry is taken from it. */
-bool retry_spend(group_t *group);
+bool retry_budget_spend(group_t *group);
--- a/core/router.c
+++ b/core/router.c
@@ -156,7 +156,7 @@
 {
 	core_t *core = request->core;
 	query_t *query = request->query;
-	const row_t *row = table_row(core->table, query->service, query->class_name);
+	const row_t *row = table_find_row(core->table, query->service, query->class_name);
 
 	if (row == NULL) {
 		request_refuse(request, REFUSAL_UNKNOWN_ROW, 0,
@@ -167,7 +167,7 @@
 	request->row = talloc_strdup(request, row->name);
 	request->group_name = talloc_strdup(request, row->group);
 	request->kind = query->verb == VERB_BEGIN ? ROW_WRITE : row->kind;
-	query->floor = session_floor(request->session, row->group);
+	query->floor = session_min_position(request->session, row->group);
 	query->continued |= session_is_partial(request->session, row->group);
 	arm_deadline(request, row->timeout);
 	return true;
@@ -225,7 +225,7 @@
 {
 	if (group->members == NULL || group->rank < 0)
 		return false;
-	return group_responsive(group) >= group_majority(group) ||
+	return group_count_responsive(group) >= group_majority(group) ||
 	       group->core->now - group->watched_since < FIRST_WATCH;
 }
 
@@ -518,7 +518,7 @@
 	}
 	if (!check_service(request))
 		return;
-	row = table_row(core->table, query->service, query->class_name);
+	row = table_find_row(core->table, query->service, query->class_name);
 	group = row != NULL ? group_find(core, row->group) : NULL;
 	if (group == NULL || !is_servable(group)) {
 		request_refuse(request, REFUSAL_NO_HOME, RETRY_AFTER_HOME,
--- a/core/samples.c
+++ b/core/samples.c
@@ -27,7 +27,7 @@
 	}
 }
 
-usec_t samples_time(const group_t *group, uint64_t lsn)
+usec_t samples_time_of(const group_t *group, uint64_t lsn)
 {
 	usec_t best = 0;
 
@@ -45,8 +45,9 @@
 	for (size_t i = 0; i < group->member_count; i++) {
 		member_t *member = &group->members[i];
 
-		member->fresh_at =
-			member_is_current(member) ? samples_time(group, member->report.log.lsn) : 0;
+		member->fresh_at = member_is_current(member)
+					   ? samples_time_of(group, member->report.log.lsn)
+					   : 0;
 	}
 }
 
@@ -57,7 +58,7 @@
 	group->sample_next = 0;
 }
 
-void samples_take(group_t *group, const report_t *report, usec_t sent)
+void samples_add(group_t *group, const report_t *report, usec_t sent)
 {
 	const sample_t *last =
 		&group->samples[(group->sample_next + GROUP_SAMPLES - 1) % GROUP_SAMPLES];
--- a/core/samples.h
+++ b/core/samples.h
@@ -8,7 +8,7 @@
 #include "state.h"
 
 /* Where the primary's log stood when it was asked at sent. */
-void samples_take(group_t *group, const report_t *report, usec_t sent);
+void samples_add(group_t *group, const report_t *report, usec_t sent);
 
 /* New reports may confirm samples, and so make the members' data younger. */
 void samples_confirm(group_t *group);
@@ -21,4 +21,4 @@
  * The time at which the primary's log stood no further than lsn, as a bound on
  * the age of data read there; 0 if none is known.
  */
-usec_t samples_time(const group_t *group, uint64_t lsn);
+usec_t samples_time_of(const group_t *group, uint64_t lsn);
--- a/core/session.c
+++ b/core/session.c
@@ -94,7 +94,7 @@
 	return NULL;
 }
 
-position_t session_floor(const session_t *session, const char *group)
+position_t session_min_position(const session_t *session, const char *group)
 {
 	const session_entry_t *entry = find_entry(session, group);
 
--- a/core/session.h
+++ b/core/session.h
@@ -36,9 +36,9 @@
 char *session_encode(void *parent, const unsigned char *key, const session_t *session);
 
 /* What the session has seen of group; zero if nothing. */
-position_t session_floor(const session_t *session, const char *group);
+position_t session_min_position(const session_t *session, const char *group);
 
-/* True if the session may have seen more of group than session_floor() tells. */
+/* True if the session may have seen more of group than session_min_position() tells. */
 bool session_is_partial(const session_t *session, const char *group);
 
 /* Note a confirmed position. When full, the first entry makes room. */
--- a/core/state.h
+++ b/core/state.h
@@ -238,13 +238,13 @@
 };
 
 /* A fresh action at the end of the queue; the caller fills it in. */
-action_t *core_act(core_t *core, action_kind_t kind);
+action_t *core_add_action(core_t *core, action_kind_t kind);
 
 /* A line for the log: what was decided, with which step and peer. */
-void core_note(core_t *core, bool warning, const char *fmt, ...)
+void core_log(core_t *core, bool warning, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
-uint64_t core_id(core_t *core);
+uint64_t core_next_id(core_t *core);
 
 /* A number below limit (which is not 0). */
 uint64_t core_random(core_t *core, uint64_t limit);
--- a/core/table.c
+++ b/core/table.c
@@ -302,14 +302,14 @@
 	return rc < 0 ? rc : changed;
 }
 
-const table_entry_t *table_find(const table_t *table, const char *key)
+const table_entry_t *table_find_entry(const table_t *table, const char *key)
 {
 	const table_item_t *item = find_item(table, key);
 
 	return item != NULL ? &item->entry : NULL;
 }
 
-const row_t *table_row_named(const table_t *table, const char *name)
+const row_t *table_find_row_named(const table_t *table, const char *name)
 {
 	char key[256];
 	const table_item_t *item;
@@ -319,15 +319,15 @@
 	return item != NULL ? item->row : NULL;
 }
 
-const row_t *table_row(const table_t *table, const char *service, const char *class_name)
+const row_t *table_find_row(const table_t *table, const char *service, const char *class_name)
 {
 	char name[256 - sizeof("row/") + 1]; /* with the prefix it fills a key */
 
 	snprintf(name, sizeof(name), "%s/%s", service, class_name);
-	return table_row_named(table, name);
+	return table_find_row_named(table, name);
 }
 
-const group_spec_t *table_group(const table_t *table, const char *name)
+const group_spec_t *table_find_group(const table_t *table, const char *name)
 {
 	char key[256];
 	const table_item_t *item;
--- a/core/table.h
+++ b/core/table.h
@@ -66,10 +66,10 @@
 		err_t *err);
 
 /* The row of that "SERVICE/CLASS". */
-const row_t *table_row_named(const table_t *table, const char *name);
-const row_t *table_row(const table_t *table, const char *service, const char *class_name);
-const group_spec_t *table_group(const table_t *table, const char *name);
-const table_entry_t *table_find(const table_t *table, const char *key);
+const row_t *table_find_row_named(const table_t *table, const char *name);
+const row_t *table_find_row(const table_t *table, const char *service, const char *class_name);
+const group_spec_t *table_find_group(const table_t *table, const char *name);
+const table_entry_t *table_find_entry(const table_t *table, const char *key);
 
 /* Entries changed after since; their strings stay the table's. */
 table_entry_t *table_changes(void *parent, const table_t *table, uint64_t since, size_t *count);
--- a/core/tablesync.c
+++ b/core/tablesync.c
@@ -27,9 +27,9 @@
 	return core->now > stale ? core->now - stale : 1;
 }
 
-bool tablesync_hears_majority(const core_t *core)
+bool tablesync_reaches_majority(const core_t *core)
 {
-	return fleet_majority_heard(core->fleet, stale_limit(core));
+	return fleet_majority_is_alive(core->fleet, stale_limit(core));
 }
 
 bool table_is_current(const core_t *core)
@@ -38,7 +38,7 @@
 		return false;
 	if (core->store_contact != 0 && core->store_contact >= stale_limit(core))
 		return true;
-	return tablesync_hears_majority(core);
+	return tablesync_reaches_majority(core);
 }
 
 static bool is_keeper(core_t *core)
@@ -57,8 +57,8 @@
 
 	if (core->store_op != 0 && core->now - core->store_op_sent < LOAD_TIMEOUT)
 		return;
-	action = core_act(core, ACTION_STORE_LOAD);
-	core->store_op = core_id(core);
+	action = core_add_action(core, ACTION_STORE_LOAD);
+	core->store_op = core_next_id(core);
 	core->store_op_sent = core->now;
 	action->id = core->store_op;
 	action->load.table_version = core->table->version;
@@ -88,9 +88,9 @@
 	core_t *core = list_entry(timer, core_t, vm_timer);
 	usec_t spread = HASH_COUNT(core->fleet->proxies) * USEC_PER_SEC / VM_CALLS_PER_SECOND;
 	usec_t interval = core->config.timings.vm_poll;
-	action_t *action = core_act(core, ACTION_VMS);
+	action_t *action = core_add_action(core, ACTION_VMS);
 
-	action->id = core_id(core);
+	action->id = core_next_id(core);
 	timers_arm(&core->timers, timer, now + jitter(core, interval > spread ? interval : spread),
 		   on_vm_timer);
 }
@@ -101,7 +101,7 @@
 	on_vm_timer(&core->vm_timer, core->now);
 }
 
-void tablesync_contact(core_t *core, usec_t at)
+void tablesync_set_current_at(core_t *core, usec_t at)
 {
 	if (at > core->store_contact)
 		core->store_contact = at;
@@ -115,16 +115,16 @@
 	int changed = table_merge(core->table, entries, count, version, &err);
 
 	if (changed < 0) {
-		core_note(core, true, "table entry unreadable source=%s peer=%s: %s", source,
-			  err.peer, err.text);
+		core_log(core, true, "table entry unreadable source=%s peer=%s: %s", source,
+			 err.peer, err.text);
 		return changed;
 	}
 	if (core->table->version == before)
 		return 0;
-	core_note(core, false, "table in force version=%llu changed=%d source=%s",
-		  (unsigned long long)core->table->version, changed, source);
+	core_log(core, false, "table in force version=%llu changed=%d source=%s",
+		 (unsigned long long)core->table->version, changed, source);
 	watch_refresh(core);
-	peers_spread(core);
+	peers_send_heartbeats(core);
 	return changed;
 }
 
@@ -138,7 +138,7 @@
 	peers_send(core, from->name, &message);
 }
 
-void tablesync_heard(core_t *core, proxy_t *from, const message_t *message)
+void tablesync_on_heartbeat(core_t *core, proxy_t *from, const message_t *message)
 {
 	if (message->table_version > core->table->version) {
 		pull(core, from);
@@ -148,10 +148,10 @@
 	if (message->table_version < core->table->version || message->store_age == USEC_NEVER ||
 	    message->echo <= message->store_age)
 		return;
-	tablesync_contact(core, message->echo - message->store_age);
+	tablesync_set_current_at(core, message->echo - message->store_age);
 }
 
-void tablesync_pulled(core_t *core, proxy_t *from, const message_t *message)
+void tablesync_on_pull(core_t *core, proxy_t *from, const message_t *message)
 {
 	message_t push = {.kind = MESSAGE_TABLE_PUSH, .table_version = core->table->version};
 
@@ -163,7 +163,7 @@
 	talloc_free(push.entries);
 }
 
-void tablesync_pushed(core_t *core, proxy_t *from, const message_t *message)
+void tablesync_on_push(core_t *core, proxy_t *from, const message_t *message)
 {
 	/* It answers a pull since a version we have passed or still hold, else a part is missing.
 	 */
@@ -181,13 +181,13 @@
 	if (core->watching || !is_keeper(core))
 		return;
 	core->watching = true;
-	action = core_act(core, ACTION_STORE_WATCH);
-	action->id = core_id(core);
+	action = core_add_action(core, ACTION_STORE_WATCH);
+	action->id = core_next_id(core);
 	action->load.head_revision = core->head_revision;
 	action->load.table_version = core->table->version;
 }
 
-void tablesync_loaded(core_t *core, uint64_t id, const store_event_t *event)
+void tablesync_on_load(core_t *core, uint64_t id, const store_event_t *event)
 {
 	bool ours = id == core->store_op;
 	usec_t asked = ours ? core->store_op_sent : core->now;
@@ -208,16 +208,16 @@
 		core->head_revision = event->head_revision;
 	/* A store restored from a backup may lag behind: what was accepted stays in force. */
 	if (event->table_version == core->table->version)
-		tablesync_contact(core, asked);
+		tablesync_set_current_at(core, asked);
 	watch(core);
 }
 
-void tablesync_watch_down(core_t *core)
+void tablesync_on_watch_down(core_t *core)
 {
 	core->watching = false;
 }
 
-void tablesync_vms(core_t *core, const vms_event_t *event)
+void tablesync_on_vms(core_t *core, const vms_event_t *event)
 {
 	vm_t *proxies;
 	size_t count = 0;
@@ -229,7 +229,7 @@
 		if (!event->vms[i].backend)
 			proxies[count++] = event->vms[i];
 	}
-	fleet_take_list(core->fleet, core->now, proxies, count, core->config.timings.forget_after);
+	fleet_apply_list(core->fleet, core->now, proxies, count, core->config.timings.forget_after);
 	talloc_free(proxies);
-	groups_take_vms(core, event->vms, event->count);
+	groups_apply_vms(core, event->vms, event->count);
 }
--- a/core/takeover.c
+++ b/core/takeover.c
@@ -41,7 +41,7 @@
 	return member->report_order != 0 && core->now - member->report_sent > allowed_wait(member);
 }
 
-usec_t takeover_due(const group_t *group)
+usec_t takeover_silence_deadline(const group_t *group)
 {
 	const member_t *primary = group->primary;
 
@@ -64,7 +64,7 @@
 		limit = STALL_FACTOR * group->confirm_peak;
 	if (group->takeover.stall_backoff > limit)
 		limit = group->takeover.stall_backoff;
-	return confirm_oldest(group) > limit;
+	return confirm_oldest_wait(group) > limit;
 }
 
 /* Why the primary counts as failed by our own evidence; NULL if it does not. */
@@ -173,15 +173,15 @@
 	takeover->reason = reason;
 	takeover->chosen = NULL;
 	takeover->count++;
-	core_note(core, true, "takeover started group=%s term=%llu primary=%s because %s",
-		  group->name, (unsigned long long)takeover->term,
-		  group->primary != NULL ? group->primary->spec.name : "none", reason);
+	core_log(core, true, "takeover started group=%s term=%llu primary=%s because %s",
+		 group->name, (unsigned long long)takeover->term,
+		 group->primary != NULL ? group->primary->spec.name : "none", reason);
 	for (size_t i = 0; i < group->member_count; i++) {
 		takeover->sealed[i] = false;
 		takeover->orders[i] = 0;
 		if (!is_passed_over(&group->members[i]))
-			takeover->orders[i] =
-				member_order(&group->members[i], ORDER_SEAL, takeover->term, NULL);
+			takeover->orders[i] = member_send_order(&group->members[i], ORDER_SEAL,
+								takeover->term, NULL);
 	}
 	raise_stall_backoff(group);
 	arm(group);
@@ -212,11 +212,11 @@
 	if (reason == NULL || !is_our_turn(group))
 		return;
 	/* Who can't reach a majority judges nobody: the cut may be on our side. */
-	if (group_responsive(group) < group_majority(group))
+	if (group_count_responsive(group) < group_majority(group))
 		return;
 	/* One that stands by asks seldom: somebody else may have taken over since. */
 	if (count_recent(group) < group_majority(group)) {
-		group_poll_now(group);
+		group_request_reports(group);
 		return;
 	}
 	start(group, reason);
@@ -231,8 +231,8 @@
 	takeover->state = TAKEOVER_NONE;
 	/* At random, so that two proxies that collided do not collide again. */
 	takeover->not_before = core->now + RETRY_BACKOFF + core_random(core, RETRY_BACKOFF);
-	core_note(core, true, "takeover failed group=%s term=%llu: %s", group->name,
-		  (unsigned long long)takeover->term, why);
+	core_log(core, true, "takeover failed group=%s term=%llu: %s", group->name,
+		 (unsigned long long)takeover->term, why);
 }
 
 static void on_timeout(run_timer_t *timer, usec_t now)
@@ -271,7 +271,7 @@
 	takeover->state = TAKEOVER_PROMOTING;
 	takeover->sealed_at = group->core->now;
 	takeover->chosen = best;
-	takeover->promote_order = member_order(best, ORDER_PROMOTE, takeover->term, NULL);
+	takeover->promote_order = member_send_order(best, ORDER_PROMOTE, takeover->term, NULL);
 	/* A sealed majority never confirms what still runs on the old primary: queue it again. */
 	if (group->primary != NULL && group->primary != best)
 		pool_close_superseded(group->primary);
@@ -286,13 +286,13 @@
 
 	timers_cancel(&core->timers, &takeover->timer);
 	takeover->state = TAKEOVER_NONE;
-	core_note(core, true,
-		  "takeover done group=%s term=%llu primary=%s sealed_after_us=%llu "
-		  "promoted_after_us=%llu",
-		  group->name, (unsigned long long)takeover->term, takeover->chosen->spec.name,
-		  (unsigned long long)(takeover->sealed_at - takeover->started),
-		  (unsigned long long)(core->now - takeover->started));
-	group_take_report(group, takeover->chosen, report, sent);
+	core_log(core, true,
+		 "takeover done group=%s term=%llu primary=%s sealed_after_us=%llu "
+		 "promoted_after_us=%llu",
+		 group->name, (unsigned long long)takeover->term, takeover->chosen->spec.name,
+		 (unsigned long long)(takeover->sealed_at - takeover->started),
+		 (unsigned long long)(core->now - takeover->started));
+	group_apply_report(group, takeover->chosen, report, sent);
 	for (size_t i = 0; i < group->member_count; i++)
 		group_order_follow(&group->members[i]);
 	exec_dispatch(group);
@@ -305,7 +305,7 @@
 	takeover->orders[i] = 0;
 	if (event->status == ORDER_REFUSED) {
 		takeover->reports[i] = event->report;
-		group_take_report(group, &group->members[i], &event->report, takeover->started);
+		group_apply_report(group, &group->members[i], &event->report, takeover->started);
 		fail(group, "a member has sealed a later term");
 		return;
 	}
--- a/core/takeover.h
+++ b/core/takeover.h
@@ -14,6 +14,6 @@
 void takeover_consider(group_t *group);
 
 /* When the primary's silence would become evidence; USEC_NEVER if it owes no answer. */
-usec_t takeover_due(const group_t *group);
+usec_t takeover_silence_deadline(const group_t *group);
 
 void takeover_order_done(group_t *group, member_t *member, uint64_t id, const order_event_t *event);
--- a/core/tx.c
+++ b/core/tx.c
@@ -44,7 +44,7 @@
 	core_t *core = request->core;
 	tx_t *tx = talloc_zero(core, tx_t);
 
-	tx->seq = core_id(core);
+	tx->seq = core_next_id(core);
 	tx->handle = make_handle(core, tx);
 	tx->conn = conn;
 	tx->group = request->group;
@@ -76,8 +76,8 @@
 {
 	core_t *core = tx->group->core;
 
-	core_note(core, true, "transaction lost handle=%s group=%s: it was rolled back", tx->handle,
-		  tx->group->name);
+	core_log(core, true, "transaction lost handle=%s group=%s: it was rolled back", tx->handle,
+		 tx->group->name);
 	tx->conn->tx = NULL;
 	forget(core, tx);
 }
@@ -180,7 +180,7 @@
 
 		conn->tx = NULL;
 		forget(request->core, tx);
-		pool_close(conn);
+		pool_close_conn(conn);
 	}
 	request_refuse(request, REFUSAL_TX_LOST, 0, "the primary was superseded");
 }
@@ -222,7 +222,7 @@
 		return;
 	}
 	if (request->result->status == RUN_NOT_PRIMARY)
-		group_primary_denied(request->runner);
+		group_on_not_primary(request->runner);
 	/* After a failed statement the server aborts the transaction; a failed commit ends it. */
 	if (request->tx == NULL) {
 		pool_release(conn);
@@ -244,10 +244,10 @@
 
 		if (tx->current != NULL || core->now - tx->last_used < core->config.timings.tx_idle)
 			continue;
-		core_note(core, true, "transaction idle too long handle=%s group=%s", tx->handle,
-			  tx->group->name);
+		core_log(core, true, "transaction idle too long handle=%s group=%s", tx->handle,
+			 tx->group->name);
 		conn->tx = NULL;
 		forget(core, tx);
-		pool_close(conn);
+		pool_close_conn(conn);
 	}
 }
--- a/core/watch.c
+++ b/core/watch.c
@@ -38,7 +38,7 @@
 		list_init(&member->pools);
 		copy_spec(member, &spec->members[i]);
 	}
-	group_poll_now(group);
+	group_request_reports(group);
 	group_arm_timer(group);
 }
 
@@ -69,7 +69,7 @@
 	group->service_time[ROW_READ] = INITIAL_SERVICE_TIME;
 	group->service_time[ROW_WRITE] = INITIAL_SERVICE_TIME;
 	group->confirm_time = INITIAL_CONFIRM_TIME;
-	retry_init(group);
+	retry_budget_init(group);
 	list_init(&group->queue);
 	list_init(&group->confirms);
 	HASH_ADD_KEYPTR(hh, core->groups, group->name, strlen(group->name), group);
@@ -81,7 +81,7 @@
 	if (!list_empty(&group->confirms))
 		return true;
 	for (size_t i = 0; i < group->member_count; i++) {
-		if (pool_is_busy(&group->members[i]))
+		if (member_has_busy_conn(&group->members[i]))
 			return true;
 	}
 	return false;
--- a/links/adapter.c
+++ b/links/adapter.c
@@ -41,7 +41,7 @@
 {
 	action_t *action;
 
-	while ((action = core_take_action(adapter->core)) != NULL) {
+	while ((action = core_pop_action(adapter->core)) != NULL) {
 		counter_add(&actions_total, 1);
 		if (adapter->handlers[action->kind].handle != NULL)
 			adapter->handlers[action->kind].handle(adapter->handlers[action->kind].data,
@@ -60,7 +60,7 @@
 	adapter->draining_actions = true;
 	carry_out(adapter);
 	adapter->draining_actions = false;
-	timers_arm(&adapter->loop->timers, &adapter->timer, core_next_wake(adapter->core),
+	timers_arm(&adapter->loop->timers, &adapter->timer, core_next_tick(adapter->core),
 		   on_timer);
 }
 
@@ -155,7 +155,7 @@
 	self->adapter.loop = &kernel->loop;
 	self->adapter.core = core_create(NULL, &config);
 	context->adapter = &self->adapter;
-	adapter_register(&self->adapter, ACTION_NOTE, on_note, NULL);
+	adapter_register(&self->adapter, ACTION_LOG, on_note, NULL);
 	adapter_register(&self->adapter, ACTION_DRAINED, on_drained, context);
 	for (size_t i = 0; i < context->conf->peers_seeds.len; i++) {
 		rc = add_seed(self->adapter.core, context->conf->peers_seeds.items[i], err);
--- a/measure/paused.c
+++ b/measure/paused.c
@@ -180,7 +180,7 @@
 	}
 	for (int i = 1; i <= number; i++) {
 		char *name = g_strdup_printf("w%06d", i);
-		const told_t *told = world_told(world, name);
+		const result_t *told = world_result(world, name);
 
 		if (told != NULL && told->answered && told->outcome == OUTCOME_DONE &&
 		    told->asked >= fault_at && (first_done == 0 || told->at < first_done))
@@ -292,7 +292,7 @@
 {
 	for (int i = 1; i <= number; i++) {
 		char *name = g_strdup_printf("r%06d", i);
-		const told_t *told = world_told(world, name);
+		const result_t *told = world_result(world, name);
 		usec_t took = told->at - told->asked;
 
 		mix->asked++;
@@ -323,7 +323,7 @@
 	world_run(world, 3 * USEC_PER_SEC);
 	while (world_now(world) < (3 + READ_SECONDS) * USEC_PER_SEC) {
 		char *before = g_strdup_printf("r%06d", number - 200);
-		const told_t *told = number > 200 ? world_told(world, before) : NULL;
+		const result_t *told = number > 200 ? world_result(world, before) : NULL;
 
 		ask_mixed(world, ++number, told != NULL ? told->token : NULL);
 		g_free(before);
@@ -381,7 +381,7 @@
 {
 	for (int i = 1; i <= number; i++) {
 		char *name = g_strdup_printf("r%06d", i);
-		const told_t *told = world_told(world, name);
+		const result_t *told = world_result(world, name);
 		bool in_time = told->answered && told->outcome == OUTCOME_DONE &&
 			       told->at - told->asked <= LOAD_DEADLINE;
 
--- a/tests/faults.c
+++ b/tests/faults.c
@@ -47,7 +47,8 @@
 /* Take up what the client's last request brought. */
 static void learn(play_t *play, client_t *client)
 {
-	const told_t *told = client->last != NULL ? world_told(play->world, client->last) : NULL;
+	const result_t *told =
+		client->last != NULL ? world_result(play->world, client->last) : NULL;
 	const char *value;
 	char **seen;
 
@@ -165,9 +166,9 @@
 		learn(play, client);
 		if (client->last == NULL)
 			ask(play, client);
-		else if (world_told(play->world, client->last)->answered ||
+		else if (world_result(play->world, client->last)->answered ||
 			 world_now(play->world) >
-				 world_told(play->world, client->last)->asked + 2 * DEADLINE)
+				 world_result(play->world, client->last)->asked + 2 * DEADLINE)
 			g_clear_pointer(&client->last, g_free);
 	}
 	if (number % FAULT_EVERY == FAULT_EVERY - 1)
@@ -180,7 +181,7 @@
 static void count(play_t *play, faults_result_t *result)
 {
 	for (guint i = 0; i < play->names->len; i++) {
-		const told_t *told = world_told(play->world, play->names->pdata[i]);
+		const result_t *told = world_result(play->world, play->names->pdata[i]);
 
 		result->asked++;
 		if (!told->answered)
--- a/tests/session.c
+++ b/tests/session.c
@@ -34,9 +34,9 @@
 	return g_strv_contains((const gchar *const *)words, name);
 }
 
-static const told_t *told(const play_t *play, const char *name)
+static const result_t *told(const play_t *play, const char *name)
 {
-	const told_t *found = name != NULL ? world_told(play->world, name) : NULL;
+	const result_t *found = name != NULL ? world_result(play->world, name) : NULL;
 
 	if (name != NULL && found == NULL)
 		g_error("%s:%d: no request %s", play->path, play->line, name);
@@ -44,7 +44,7 @@
 }
 
 /* A transaction that did not begin has no handle: its statements are refused, not malformed. */
-static const char *handle_of(const told_t *tx)
+static const char *handle_of(const result_t *tx)
 {
 	return tx->tx != NULL ? tx->tx : "nobody:0:0";
 }
@@ -52,8 +52,8 @@
 /* words: VERB NAME PROXY [CLASS] [KEY] [VALUE] options; what stands where depends on the verb. */
 static void ask(play_t *play, verb_t verb, char **words, int class_at, int key_at, int value_at)
 {
-	const told_t *session = told(play, option(words, "session"));
-	const told_t *tx = told(play, option(words, "tx"));
+	const result_t *session = told(play, option(words, "session"));
+	const result_t *tx = told(play, option(words, "tx"));
 	const char *deadline = option(words, "deadline");
 	const char *forged = option(words, "token");
 	world_request_t request = {
@@ -179,7 +179,7 @@
 /* expect NAME OUTCOME [value=V] [member=M] [not-member=M] [refusal=R] [within=MS] [repeated] */
 static void do_expect(play_t *play, char **words)
 {
-	const told_t *got = told(play, words[1]);
+	const result_t *got = told(play, words[1]);
 	const char *value = option(words, "value");
 	const char *member = option(words, "member");
 	const char *spared = option(words, "not-member");
--- a/tests/test_ages.c
+++ b/tests/test_ages.c
@@ -58,7 +58,7 @@
 	action_t *action;
 
 	core_handle(scene->core, scene->now, event);
-	while ((action = core_take_action(scene->core)) != NULL) {
+	while ((action = core_pop_action(scene->core)) != NULL) {
 		if (action->kind == ACTION_ORDER && action->order.kind == ORDER_REPORT)
 			answer_order(scene, action);
 		else if (action->kind == ACTION_CONNECT)
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -91,7 +91,7 @@
 		else if (g_rand_boolean(rand))
 			fleet_set_leaving(fleet, proxy);
 		else if (g_rand_int_range(rand, 0, 40) == 0)
-			fleet_take_list(fleet, (usec_t)i, &only, 1, 20);
+			fleet_apply_list(fleet, (usec_t)i, &only, 1, 20);
 		else
 			fleet_add(fleet, (usec_t)i, name, zone, "h:2", true);
 		for (int group = i % 3; group < GROUPS; group += 1 + i % 4) {
@@ -119,7 +119,7 @@
 			     .sent_at = now,
 			     .leaving = leaving};
 
-	fleet_heard(fleet, fleet_find(fleet, name), now, &message);
+	fleet_on_message(fleet, fleet_find(fleet, name), now, &message);
 }
 
 /* Leaving is final for an incarnation; a restarted proxy of the same name is new. */
@@ -156,7 +156,7 @@
 	hear(fleet, "p1", 300, 1, false);
 	g_assert_false(p1->suspect);
 	/* After a pause of our own nobody is judged on what we missed. */
-	fleet_forgive(fleet);
+	fleet_reset_health(fleet);
 	fleet_suspect_silent(fleet, 10000, 100);
 	g_assert_false(p1->suspect);
 	/* One that is not expected can't clear itself by a heartbeat: it gets another chance. */
@@ -173,7 +173,7 @@
 {
 	message_t message = {.kind = MESSAGE_HEARTBEAT, .incarnation = 1, .echo = echo};
 
-	fleet_heard(fleet, fleet_find(fleet, name), 1000, &message);
+	fleet_on_message(fleet, fleet_find(fleet, name), 1000, &message);
 }
 
 static void test_majority(void)
@@ -183,10 +183,10 @@
 	hear_echo(fleet, "p1", 100);
 	hear_echo(fleet, "p2", 100);
 	hear_echo(fleet, "p3", 100);
-	g_assert_false(fleet_majority_heard(fleet, 100)); /* 4 of 9, self included */
+	g_assert_false(fleet_majority_is_alive(fleet, 100)); /* 4 of 9, self included */
 	hear_echo(fleet, "p4", 100);
-	g_assert_true(fleet_majority_heard(fleet, 100));
-	g_assert_false(fleet_majority_heard(fleet, 101));
+	g_assert_true(fleet_majority_is_alive(fleet, 100));
+	g_assert_false(fleet_majority_is_alive(fleet, 101));
 	/* Messages that have waited somewhere, and of those that have not heard from us. */
 	for (int i = 1; i < 9; i++) {
 		char name[8];
@@ -195,8 +195,8 @@
 		hear(fleet, name, 900, 1, false);
 		hear_echo(fleet, name, 100);
 	}
-	g_assert_true(fleet_majority_heard(fleet, 100));
-	g_assert_false(fleet_majority_heard(fleet, 101));
+	g_assert_true(fleet_majority_is_alive(fleet, 100));
+	g_assert_false(fleet_majority_is_alive(fleet, 101));
 	talloc_free(fleet);
 }
 
@@ -208,11 +208,11 @@
 		      {.name = "p7", .zone = "z1", .address = "h:7", .leaving = true}};
 
 	hear(fleet, "p1", 5000, 1, false);
-	fleet_take_list(fleet, 5000, vms, 2, 1000);
+	fleet_apply_list(fleet, 5000, vms, 2, 1000);
 	g_assert_nonnull(fleet_find(fleet, "p1"));
 	g_assert_null(fleet_find(fleet, "p2"));
 	g_assert_true(fleet_find(fleet, "p7")->leaving);
-	fleet_take_list(fleet, 7000, vms, 2, 1000);
+	fleet_apply_list(fleet, 7000, vms, 2, 1000);
 	g_assert_null(fleet_find(fleet, "p1"));
 	g_assert_nonnull(fleet_find(fleet, "p0"));
 	talloc_free(fleet);
--- a/tests/test_session.c
+++ b/tests/test_session.c
@@ -26,9 +26,9 @@
 	session_t *back = talloc_zero(parent, session_t);
 
 	g_assert_cmpint(session_decode(key, token, back), ==, 0);
-	g_assert_cmpuint(session_floor(back, "g2").lsn, ==, 12);
-	g_assert_cmpuint(session_floor(back, "g2").term, ==, 2);
-	g_assert_cmpuint(session_floor(back, "unseen").lsn, ==, 0);
+	g_assert_cmpuint(session_min_position(back, "g2").lsn, ==, 12);
+	g_assert_cmpuint(session_min_position(back, "g2").term, ==, 2);
+	g_assert_cmpuint(session_min_position(back, "unseen").lsn, ==, 0);
 	talloc_free(parent);
 }
 
@@ -56,8 +56,8 @@
 	session_t *session = make(NULL, 1);
 
 	session_merge(session, "g0", (position_t){.term = 3, .lsn = 5});
-	g_assert_cmpuint(session_floor(session, "g0").term, ==, 3);
-	g_assert_cmpuint(session_floor(session, "g0").lsn, ==, 10);
+	g_assert_cmpuint(session_min_position(session, "g0").term, ==, 3);
+	g_assert_cmpuint(session_min_position(session, "g0").lsn, ==, 10);
 	talloc_free(session);
 }
 
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -25,13 +25,13 @@
 static void test_lookup(void)
 {
 	table_t *table = make();
-	const row_t *row = table_row(table, "s", "c");
+	const row_t *row = table_find_row(table, "s", "c");
 
 	g_assert_nonnull(row);
 	g_assert_cmpuint(row->max_age, ==, 500 * USEC_PER_MSEC);
 	g_assert_cmpint(row->connections, ==, 4);
-	g_assert_null(table_row(table, "s", "other"));
-	g_assert_cmpuint(table_group(table, "g")->member_count, ==, 3);
+	g_assert_null(table_find_row(table, "s", "other"));
+	g_assert_cmpuint(table_find_group(table, "g")->member_count, ==, 3);
 	talloc_free(table);
 }
 
@@ -45,11 +45,11 @@
 
 	g_assert_cmpint(table_merge(table, &newer, 1, 5, NULL), ==, 1);
 	g_assert_cmpint(table_merge(table, &older, 1, 3, NULL), ==, 0);
-	g_assert_cmpint(table_row(table, "s", "c")->kind, ==, ROW_WRITE);
+	g_assert_cmpint(table_find_row(table, "s", "c")->kind, ==, ROW_WRITE);
 	g_assert_cmpuint(table->version, ==, 5);
 	g_assert_cmpint(table_merge(table, &deleted, 1, 6, NULL), ==, 1);
 	g_assert_cmpint(table_merge(table, &newer, 1, 5, NULL), ==, 0);
-	g_assert_null(table_row(table, "s", "c"));
+	g_assert_null(table_find_row(table, "s", "c"));
 	talloc_free(table);
 }
 
@@ -92,7 +92,7 @@
 		g_assert_nonnull(strstr(err.text, bad->expected));
 		/* Nothing of it went in. */
 		g_assert_cmpuint(table->version, ==, 1);
-		g_assert_nonnull(table_row(table, "s", "c"));
+		g_assert_nonnull(table_find_row(table, "s", "c"));
 		talloc_free(table);
 	}
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -56,7 +56,7 @@
 	char *token;
 	char *tx;
 	bool repeated;
-} told_t;
+} result_t;
 
 typedef struct world world_t;
 
@@ -104,7 +104,7 @@
 } world_request_t;
 
 void world_request(world_t *world, const world_request_t *request);
-const told_t *world_told(const world_t *world, const char *name);
+const result_t *world_result(const world_t *world, const char *name);
 
 /* An operator's edit through a proxy; the outcome is told under name. */
 void world_edit(world_t *world, int proxy, const char *name, const char *key, const char *value,
--- a/tests/world_cores.c
+++ b/tests/world_cores.c
@@ -52,7 +52,7 @@
 
 void told_free(gpointer ptr)
 {
-	told_t *told = ptr;
+	result_t *told = ptr;
 
 	g_free(told->name);
 	g_free(told->key);
@@ -85,13 +85,13 @@
 	g_string_append_c(world->violations, '\n');
 }
 
-static void note_acknowledged(world_t *world, const told_t *told)
+static void note_acknowledged(world_t *world, const result_t *told)
 {
 	g_hash_table_replace(world->acked, g_strdup(told->key), g_strdup(told->written));
 }
 
 /* The member's share of reads, for what was served by whom. */
-static void count_read(world_t *world, const told_t *told)
+static void count_read(world_t *world, const result_t *told)
 {
 	if (told->outcome != OUTCOME_DONE || told->written != NULL || told->member == NULL)
 		return;
@@ -105,7 +105,7 @@
 {
 	char *key = world_conn_key(proxy, action->id);
 	const char *name = g_hash_table_lookup(world->callers, key);
-	told_t *told = g_hash_table_lookup(world->told, name);
+	result_t *told = g_hash_table_lookup(world->told, name);
 	const answer_t *answer = action->answer.answer;
 
 	g_free(key);
@@ -166,7 +166,7 @@
 static void describe(world_t *world, int proxy, const action_t *action)
 {
 	switch (action->kind) {
-	case ACTION_NOTE:
+	case ACTION_LOG:
 		world_say(world, "p%d note %s", proxy, action->note.text);
 		break;
 	case ACTION_ORDER:
@@ -256,7 +256,7 @@
 static void plan_tick(world_t *world, int proxy)
 {
 	fake_proxy_t *p = &world->proxies[proxy];
-	usec_t wake = core_next_wake(p->core);
+	usec_t wake = core_next_tick(p->core);
 
 	if (wake == USEC_NEVER || p->ticking <= wake)
 		return;
@@ -272,7 +272,7 @@
 	if (world_is_down(world, proxy))
 		return;
 	core_handle(core, world->now, event);
-	while ((action = core_take_action(core)) != NULL) {
+	while ((action = core_pop_action(core)) != NULL) {
 		describe(world, proxy, action);
 		if (!carry_out(world, proxy, action))
 			talloc_free(action);
--- a/tests/world_requests.c
+++ b/tests/world_requests.c
@@ -3,7 +3,7 @@
 void world_request(world_t *world, const world_request_t *request)
 {
 	uint64_t caller = ++world->next_caller;
-	told_t *told = g_new0(told_t, 1);
+	result_t *told = g_new0(result_t, 1);
 	query_t query = {
 		.verb = request->verb,
 		.service = request->tx == NULL ? "dispatch" : NULL,
@@ -45,7 +45,7 @@
 	world_deliver(world, request->proxy, &event);
 }
 
-const told_t *world_told(const world_t *world, const char *name)
+const result_t *world_result(const world_t *world, const char *name)
 {
 	return g_hash_table_lookup(world->told, name);
 }
@@ -155,7 +155,7 @@
 }
 
 /* An acknowledged write must be there for good. */
-static void check_acknowledged(world_t *world, const told_t *told)
+static void check_acknowledged(world_t *world, const result_t *told)
 {
 	if (told->written != NULL && history_index(world, told->key, told->written) < 0)
 		world_violate(world, "%s was acknowledged, but %s=%s is missing", told->name,
@@ -163,7 +163,7 @@
 }
 
 /* What was read must be there for good too, and not before what the reader had to see. */
-static void check_read(world_t *world, const told_t *told)
+static void check_read(world_t *world, const result_t *told)
 {
 	const char *floor = g_hash_table_lookup(world->floors, told->name);
 	int floor_index = floor != NULL ? history_index(world, told->key, floor) : -1;
@@ -186,7 +186,7 @@
 
 	g_hash_table_iter_init(&iter, world->told);
 	while (world_primary(world) >= 0 && g_hash_table_iter_next(&iter, NULL, &value)) {
-		const told_t *told = value;
+		const result_t *told = value;
 
 		if (!told->answered || told->outcome != OUTCOME_DONE || told->in_tx)
 			continue;
@@ -218,7 +218,7 @@
 
 	g_hash_table_iter_init(&iter, world->told);
 	while (world_primary(world) >= 0 && g_hash_table_iter_next(&iter, NULL, &value)) {
-		const told_t *told = value;
+		const result_t *told = value;
 		const GPtrArray *log = world->members[world_primary(world)].log;
 
 		if (!told->answered || told->outcome != OUTCOME_NOT_RUN || told->written == NULL)
