--- a/core/confirm.c
+++ b/core/confirm.c
@@ -17,20 +17,20 @@
 	const group_t *group = request->group;
 	bool is_primary = member == group->primary && member->report.sealed == group->term;
 
-	if (member == request->runner)
+	if (member == request->run_member)
 		return true;
 	if (is_primary && request->position.term == group->term)
 		return true;
-	return member->known && member->report.log.term == request->position.term &&
+	return member->has_report && member->report.log.term == request->position.term &&
 	       member->report.log.lsn >= request->position.lsn;
 }
 
 /* Asked after the read, the member had promised no later term: nobody could have superseded it. */
 static bool witnesses(const request_t *request, const member_t *member)
 {
-	if (member == request->runner)
+	if (member == request->run_member)
 		return request->result->after.sealed == request->position.term;
-	return member->known && member->reported >= request->ran_at &&
+	return member->has_report && member->reported_as_of >= request->ran_at &&
 	       member->report.sealed == request->position.term;
 }
 
@@ -46,7 +46,7 @@
 	}
 	if (holders < group_majority(group))
 		return false;
-	return !request->strict || fresh >= group_majority(group);
+	return !request->linearizable || fresh >= group_majority(group);
 }
 
 static void smooth(usec_t *mean, usec_t value)
--- a/core/core.c
+++ b/core/core.c
@@ -22,24 +22,24 @@
 core_timings_t core_timings_default(void)
 {
 	return (core_timings_t){
-		.heartbeat = 200 * MSEC,
+		.heartbeat_interval = 200 * MSEC,
 		.suspect_after = 1000 * MSEC,
-		.ack = 250 * MSEC,
-		.poll = 100 * MSEC,
-		.standby_poll = 500 * MSEC,
+		.ack_timeout = 250 * MSEC,
+		.poll_interval = 100 * MSEC,
+		.standby_poll_interval = 500 * MSEC,
 		.order_timeout = 300 * MSEC,
 		.detect_floor = 100 * MSEC,
 		.stagger = 1500 * MSEC,
 		.seal_timeout = 300 * MSEC,
-		.confirm_poll = 2 * MSEC,
+		.confirm_poll_interval = 2 * MSEC,
 		.stall_after = 500 * MSEC,
-		.away_after = 500 * MSEC,
-		.table_stale = 3000 * MSEC,
+		.pause_threshold = 500 * MSEC,
+		.table_max_age = 3000 * MSEC,
 		.tx_idle = 10000 * MSEC,
 		.conn_idle = 2000 * MSEC,
-		.store_retry = 300 * MSEC,
-		.store_check = 1000 * MSEC,
-		.vm_poll = 2000 * MSEC,
+		.store_retry_interval = 300 * MSEC,
+		.store_check_interval = 1000 * MSEC,
+		.vm_poll_interval = 2000 * MSEC,
 		.forget_after = 10000 * MSEC,
 		.edit_timeout = 4000 * MSEC,
 	};
@@ -60,9 +60,9 @@
 	va_list ap;
 
 	va_start(ap, fmt);
-	action->note.text = talloc_vasprintf(action, fmt, ap);
+	action->log.text = talloc_vasprintf(action, fmt, ap);
 	va_end(ap);
-	action->note.warning = warning;
+	action->log.warning = warning;
 }
 
 uint64_t core_next_id(core_t *core)
@@ -145,24 +145,25 @@
 	group_t *group;
 	group_t *next;
 
-	if (core->last_wake != 0 && now - core->last_wake > core->config.timings.away_after) {
+	if (core->last_event_at != 0 &&
+	    now - core->last_event_at > core->config.timings.pause_threshold) {
 		core->pauses++;
-		core->awake_since = now;
-		core->store_contact = 0;
-		core->store_op = 0;
+		core->resumed_at = now;
+		core->table_current_at = 0;
+		core->load_id = 0;
 		fleet_reset_health(core->fleet);
 		HASH_ITER (hh, core->groups, group, next)
 			group_reset_health(group);
 		router_after_pause(core);
 		core_log(core, true, "this process was paused for %llu ms",
-			 (unsigned long long)((now - core->last_wake) / MSEC));
+			 (unsigned long long)((now - core->last_event_at) / MSEC));
 	}
-	core->last_wake = now;
+	core->last_event_at = now;
 }
 
 static void start(core_t *core)
 {
-	core->awake_since = core->now;
+	core->resumed_at = core->now;
 	peers_start(core);
 	tablesync_start(core);
 }
--- a/core/core.h
+++ b/core/core.h
@@ -12,27 +12,27 @@
 
 /* Every interval of the decisions, microseconds. */
 typedef struct core_timings {
-	usec_t heartbeat;
-	usec_t suspect_after; /* silence after which a peer is passed over */
-	usec_t ack;	      /* wait for a peer to accept a forwarded request */
-	usec_t poll;	      /* between reports, by the proxy that serves the group */
-	usec_t standby_poll;  /* and by those that stand by */
-	usec_t order_timeout; /* of one order to a group member */
-	usec_t detect_floor;  /* silence of a primary, beyond a poll, that is a failure */
-	usec_t stagger;	      /* between the ranks that may take over */
-	usec_t seal_timeout;  /* of one step of a takeover */
-	usec_t confirm_poll;  /* between reports while answers wait for a majority */
-	usec_t stall_after;   /* unconfirmed work after which a primary counts as cut off */
-	usec_t away_after;    /* a gap in our own time that counts as a pause */
-	usec_t table_stale;   /* longest time without word that the table is current */
-	usec_t tx_idle;	      /* an open transaction without statements is rolled back */
-	usec_t conn_idle;     /* an unused pooled connection is closed; the server does so a second
-				 later */
-	usec_t store_retry;   /* between attempts on the store */
-	usec_t store_check;   /* between loads by a proxy that watches */
-	usec_t vm_poll;	      /* between looks at the platform's list */
-	usec_t forget_after;  /* an unlisted silent proxy is dropped */
-	usec_t edit_timeout;  /* an edit whose fate isn't known by then is "unknown" */
+	usec_t heartbeat_interval;
+	usec_t suspect_after;	      /* silence after which a peer is passed over */
+	usec_t ack_timeout;	      /* wait for a peer to accept a forwarded request */
+	usec_t poll_interval;	      /* between reports, by the proxy that serves the group */
+	usec_t standby_poll_interval; /* and by those that stand by */
+	usec_t order_timeout;	      /* of one order to a group member */
+	usec_t detect_floor;	      /* silence of a primary, beyond a poll, that is a failure */
+	usec_t stagger;		      /* between the ranks that may take over */
+	usec_t seal_timeout;	      /* of one step of a takeover */
+	usec_t confirm_poll_interval; /* between reports while answers wait for a majority */
+	usec_t stall_after;	      /* unconfirmed work after which a primary counts as cut off */
+	usec_t pause_threshold;	      /* a gap in our own time that counts as a pause */
+	usec_t table_max_age;	      /* longest time without word that the table is current */
+	usec_t tx_idle;		      /* an open transaction without statements is rolled back */
+	usec_t conn_idle; /* an unused pooled connection is closed; the server does so a second
+			     later */
+	usec_t store_retry_interval; /* between attempts on the store */
+	usec_t store_check_interval; /* between loads by a proxy that watches */
+	usec_t vm_poll_interval;     /* between looks at the platform's list */
+	usec_t forget_after;	     /* an unlisted silent proxy is dropped */
+	usec_t edit_timeout;	     /* an edit whose fate isn't known by then is "unknown" */
 } core_timings_t;
 
 typedef struct core_config {
@@ -49,7 +49,7 @@
 	/* Baseline: every proxy runs what it receives, with an equal share of the connections. */
 	bool equal_shares;
 	/* Baseline: the choice of a replica takes no account of availability zones. */
-	bool zone_blind;
+	bool ignore_zones;
 	core_timings_t timings;
 } core_config_t;
 
--- a/core/dump.c
+++ b/core/dump.c
@@ -17,12 +17,12 @@
 {
 	return json_pack("{s:s, s:s, s:b, s:b, s:I, s:I, s:I, s:b, s:I, s:I, s:i, s:I, s:I}",
 			 "address", member->spec.address, "zone", member->spec.zone, "known",
-			 member->known, "leaving", member->leaving, "sealed",
+			 member->has_report, "leaving", member->leaving, "sealed",
 			 (json_int_t)member->report.sealed, "log_term",
 			 (json_int_t)member->report.log.term, "lsn",
 			 (json_int_t)member->report.log.lsn, "says_primary", member->report.primary,
-			 "report_age_ms", age_msec(core, member->reported), "data_age_ms",
-			 age_msec(core, member->fresh_at), "misses", member->misses, "running",
+			 "report_age_ms", age_msec(core, member->reported_as_of), "data_age_ms",
+			 age_msec(core, member->data_as_of), "misses", member->misses, "running",
 			 (json_int_t)member->running, "srtt_us", (json_int_t)member->srtt);
 }
 
@@ -31,7 +31,7 @@
 	json_t *out = json_array();
 
 	for (size_t i = 0; i < ranks->len; i++)
-		json_array_append_new(out, json_string(ranks->at[i]->name));
+		json_array_append_new(out, json_string(ranks->proxies[i]->name));
 	return out;
 }
 
@@ -60,7 +60,8 @@
 {
 	return json_pack("{s:s?, s:s?, s:b, s:b, s:b, s:I, s:I}", "zone", proxy->zone, "address",
 			 proxy->address, "self", proxy->self, "leaving", proxy->leaving, "suspect",
-			 proxy->suspect, "heard_ms", age_msec(core, proxy->heard), "table_version",
+			 proxy->suspect, "heard_ms", age_msec(core, proxy->last_received),
+			 "table_version",
 			 (json_int_t)(proxy->self ? core->table->version : proxy->table_version));
 }
 
@@ -102,8 +103,8 @@
 		"{s:s, s:I, s:b, s:I, s:b, s:I, s:b, s:i, s:i, s:i, s:I, s:I, s:o, s:o, s:o}",
 		"name", core->name, "incarnation", (json_int_t)core->config.incarnation, "draining",
 		core->draining, "table_version", (json_int_t)core->table->version, "table_current",
-		table_is_current(core), "store_contact_ms", age_msec(core, core->store_contact),
-		"watching_store", core->watching, "requests", (int)HASH_COUNT(core->requests),
+		table_is_current(core), "store_contact_ms", age_msec(core, core->table_current_at),
+		"watching_store", core->watching_store, "requests", (int)HASH_COUNT(core->requests),
 		"connections", (int)HASH_COUNT(core->conns), "transactions",
 		(int)HASH_COUNT(core->txs), "answered", (json_int_t)core->answered, "pauses",
 		(json_int_t)core->pauses, "refusals", dump_refusals(core), "fleet",
--- a/core/edit.c
+++ b/core/edit.c
@@ -202,7 +202,7 @@
 		break;
 	case STORE_FAILED:
 		timers_arm(&core->timers, &edit->retry_timer,
-			   core->now + core->config.timings.store_retry, on_retry);
+			   core->now + core->config.timings.store_retry_interval, on_retry);
 		break;
 	}
 }
--- a/core/event.h
+++ b/core/event.h
@@ -266,7 +266,7 @@
 		load_action_t load;
 		commit_action_t commit;
 		edit_action_t edit;
-		log_action_t note;
+		log_action_t log;
 	};
 } action_t;
 
--- a/core/exec.c
+++ b/core/exec.c
@@ -36,16 +36,17 @@
 {
 	const group_t *group = request->group;
 
-	if (member == group->primary || !member_is_current(member) || member->fresh_at == 0)
+	if (member == group->primary || !member_is_current(member) || member->data_as_of == 0)
 		return false;
-	if (!position_covers(member->report.log, request->query->floor))
+	if (!position_covers(member->report.log, request->query->min_position))
 		return false;
-	return now_of(request) - member->fresh_at <= request->max_age;
+	return now_of(request) - member->data_as_of <= request->max_age;
 }
 
 static bool is_near(const core_t *core, const member_t *member)
 {
-	return !core->config.zone_blind && strcmp(member->spec.zone, core->fleet->self->zone) == 0;
+	return !core->config.ignore_zones &&
+	       strcmp(member->spec.zone, core->fleet->self->zone) == 0;
 }
 
 /* Less loaded; with equal loads, nearer. */
@@ -87,7 +88,7 @@
 
 	if (primary == NULL || group->takeover.state != TAKEOVER_NONE)
 		return NULL;
-	if (request->query->floor.term > group->term)
+	if (request->query->min_position.term > group->term)
 		return NULL;
 	if (request->kind == ROW_READ && primary->spec.slots > 1)
 		kept_free = 1;
@@ -104,7 +105,7 @@
 	bool any;
 	member_t *replica;
 
-	if (request->strict || request->kind == ROW_WRITE || !request->lean_replica)
+	if (request->linearizable || request->kind == ROW_WRITE || !request->prefers_replica)
 		return choose_primary(request);
 	replica = choose_replica(request, &any);
 	if (replica != NULL || !any)
@@ -122,12 +123,12 @@
 
 	request->state = REQUEST_RUNNING;
 	request->conn = conn;
-	request->runner = conn->pool->member;
+	request->run_member = conn->pool->member;
 	request->run_started = core->now;
-	request->runner->running++;
+	request->run_member->running++;
 	conn->request = request;
 	action->id = conn->id;
-	action->run.member = talloc_strdup(action, request->runner->spec.name);
+	action->run.member = talloc_strdup(action, request->run_member->spec.name);
 	action->run.kind = kind;
 	action->run.query = query_copy(action, request->query);
 	action->run.timeout = request->deadline - core->now;
@@ -147,8 +148,8 @@
 
 	if (takeover->state != TAKEOVER_PROMOTING)
 		return;
-	if (request->kind == ROW_WRITE || request->strict)
-		pool_connect(takeover->chosen, row);
+	if (request->kind == ROW_WRITE || request->linearizable)
+		pool_connect(takeover->candidate, row);
 }
 
 /* A run that can't end in time would only take a slot from one that can. */
@@ -187,17 +188,17 @@
 	list_del(&request->node);
 	request->attempts++;
 	/* Against the primary every read is checked like a strict one: it may be superseded. */
-	request->strict |= request->kind == ROW_READ && member == request->group->primary;
+	request->linearizable |= request->kind == ROW_READ && member == request->group->primary;
 	exec_start(request, conn, run_kind(request));
 }
 
 void exec_dispatch(group_t *group)
 {
 	/* A refusal or an answer on the way may come back here; once is enough. */
-	if (group->dispatching || group->changing)
+	if (group->dispatching || group->members_changing)
 		return;
 	group->dispatching = true;
-	group->pass++;
+	group->dispatch_pass++;
 	list_for_each_safe (it, &group->queue)
 		try_start(list_entry(it, request_t, node));
 	group->dispatching = false;
@@ -212,9 +213,10 @@
 	request->kind = row->kind;
 	request->max_age = row->max_age;
 	request->weight = row->weight;
-	request->lean_replica = (int64_t)core_random(core, PERCENT) < row->replica_lean;
+	request->prefers_replica = (int64_t)core_random(core, PERCENT) < row->replica_share;
 	/* A session whose token is lost may have written anything: only the primary will do. */
-	request->strict = row->kind == ROW_READ && (row->max_age == 0 || request->query->continued);
+	request->linearizable =
+		row->kind == ROW_READ && (row->max_age == 0 || request->query->continued);
 	/* A transaction may write whatever its row says, so it belongs on the primary. */
 	if (request->query->verb == VERB_BEGIN)
 		request->kind = ROW_WRITE;
@@ -238,7 +240,7 @@
 {
 	conn_t *conn = request->conn;
 
-	request->runner->running--;
+	request->run_member->running--;
 	request->conn = NULL;
 	conn->request = NULL;
 }
@@ -280,13 +282,13 @@
 		.position = request->position,
 		.repeated = request->result->repeated,
 		.rows = request->result->rows,
-		.member = request->runner->spec.name,
+		.member = request->run_member->spec.name,
 		.group = request->group_name,
 		.tx = request->tx != NULL ? request->tx->handle : NULL,
 	};
 
-	if (!request->strict && request->kind == ROW_READ)
-		answer.age = now_of(request) - request->age_base;
+	if (!request->linearizable && request->kind == ROW_READ)
+		answer.age = now_of(request) - request->data_as_of;
 	retry_budget_credit(request->group);
 	request_finish(request, &answer);
 }
@@ -309,7 +311,7 @@
 		.outcome = OUTCOME_NOT_RUN,
 		.refusal = REFUSAL_SQL,
 		.detail = (char *)detail,
-		.member = request->runner->spec.name,
+		.member = request->run_member->spec.name,
 		.group = request->group_name,
 	};
 
@@ -335,20 +337,21 @@
 	const report_t *before = &request->result->before;
 
 	if (before->log.term != request->group->term ||
-	    !position_covers(before->log, request->query->floor))
+	    !position_covers(before->log, request->query->min_position))
 		return false;
-	request->age_base = samples_time_of(request->group, before->log.lsn);
-	return request->age_base != 0 && now_of(request) - request->age_base <= request->max_age;
+	request->data_as_of = samples_time_of(request->group, before->log.lsn);
+	return request->data_as_of != 0 &&
+	       now_of(request) - request->data_as_of <= request->max_age;
 }
 
 static void read_done(request_t *request)
 {
-	if (request->strict ? ran_on_current_primary(request) : replica_was_fit(request)) {
+	if (request->linearizable ? ran_on_current_primary(request) : replica_was_fit(request)) {
 		confirm_add(request);
 		return;
 	}
 	/* Next time on the primary, which has no age to miss. */
-	request->lean_replica = false;
+	request->prefers_replica = false;
 	retry_or_refuse(request, REFUSAL_NO_PRIMARY, "the member was no longer fit for the read");
 }
 
@@ -401,7 +404,7 @@
 			write_done(request);
 		break;
 	case RUN_NOT_PRIMARY:
-		group_on_not_primary(request->runner);
+		group_on_not_primary(request->run_member);
 		retry_or_refuse(request, REFUSAL_NO_PRIMARY, result->detail);
 		break;
 	case RUN_REJECTED:
@@ -473,7 +476,7 @@
 	request->conn = NULL;
 	request->maybe_ran = true;
 	request_refuse(request, REFUSAL_DEADLINE, come_back(request->group),
-		       "still running on %s at the deadline", request->runner->spec.name);
+		       "still running on %s at the deadline", request->run_member->spec.name);
 }
 
 void exec_deadline(request_t *request)
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -66,7 +66,7 @@
 
 	if (proxy == NULL) {
 		proxy = proxy_create(fleet, name, zone);
-		proxy->added = now;
+		proxy->added_at = now;
 	}
 	if (update_text(proxy, &proxy->zone, zone))
 		note_change(fleet, FLEET_MOVED, proxy);
@@ -83,9 +83,10 @@
 	HASH_ITER (hh, fleet->proxies, proxy, next) {
 		usec_t last;
 
-		if (proxy->added == 0)
-			proxy->added = now; /* from the settings, before the clock was known */
-		last = proxy->heard > proxy->added ? proxy->heard : proxy->added;
+		if (proxy->added_at == 0)
+			proxy->added_at = now; /* from the settings, before the clock was known */
+		last = proxy->last_received > proxy->added_at ? proxy->last_received
+							      : proxy->added_at;
 		if (proxy->self || proxy->listed || now - last < forget_after)
 			continue;
 		HASH_DEL(fleet->proxies, proxy);
@@ -114,8 +115,8 @@
 {
 	proxy->incarnation = incarnation;
 	proxy->leaving = false;
-	proxy->our_echo = 0;
-	proxy->their_clock = 0;
+	proxy->last_echo = 0;
+	proxy->peer_clock = 0;
 	proxy->table_version = 0;
 	note_change(fleet, FLEET_JOINED, proxy);
 }
@@ -126,11 +127,11 @@
 		return;
 	if (message->incarnation > proxy->incarnation)
 		start_incarnation(fleet, proxy, message->incarnation);
-	proxy->heard = now;
-	if (message->sent_at > proxy->their_clock)
-		proxy->their_clock = message->sent_at;
-	if (message->echo > proxy->our_echo)
-		proxy->our_echo = message->echo;
+	proxy->last_received = now;
+	if (message->sent_at > proxy->peer_clock)
+		proxy->peer_clock = message->sent_at;
+	if (message->echo > proxy->last_echo)
+		proxy->last_echo = message->echo;
 	proxy->suspect = false;
 	if (message->leaving)
 		fleet_set_leaving(fleet, proxy);
@@ -150,7 +151,7 @@
 	if (proxy->self)
 		return;
 	proxy->suspect = true;
-	proxy->suspected = now;
+	proxy->suspected_at = now;
 }
 
 void fleet_suspect_silent(fleet_t *fleet, usec_t now, usec_t allowed)
@@ -159,13 +160,13 @@
 	proxy_t *next;
 
 	HASH_ITER (hh, fleet->proxies, proxy, next) {
-		if (!proxy->expected) {
-			if (proxy->suspect && now - proxy->suspected > SECOND_CHANCE * allowed)
+		if (!proxy->sends_heartbeats) {
+			if (proxy->suspect && now - proxy->suspected_at > SECOND_CHANCE * allowed)
 				proxy->suspect = false;
 			continue;
 		}
 		/* Never heard: just added. Only forwarding can tell. */
-		if (proxy->heard != 0 && now - proxy->heard > allowed)
+		if (proxy->last_received != 0 && now - proxy->last_received > allowed)
 			fleet_set_suspect(proxy, now);
 	}
 }
@@ -176,8 +177,8 @@
 	proxy_t *next;
 
 	HASH_ITER (hh, fleet->proxies, proxy, next) {
-		proxy->heard = 0;
-		proxy->our_echo = 0;
+		proxy->last_received = 0;
+		proxy->last_echo = 0;
 	}
 }
 
@@ -257,7 +258,7 @@
 static bool already_ranked(const ranks_t *ranks, const proxy_t *proxy)
 {
 	for (size_t i = 0; i < ranks->len; i++) {
-		if (ranks->at[i] == proxy)
+		if (ranks->proxies[i] == proxy)
 			return true;
 	}
 	return false;
@@ -267,7 +268,7 @@
 {
 	for (size_t i = 1; i < ranks->len; i++) {
 		for (size_t j = 0; j < i; j++) {
-			if (same_zone(ranks->at[i], ranks->at[j]))
+			if (same_zone(ranks->proxies[i], ranks->proxies[j]))
 				return true;
 		}
 	}
@@ -281,7 +282,7 @@
 	case FLEET_JOINED:
 		/* With too few zones a proxy of a new one is ranked whatever its score. */
 		return ranks->len < FLEET_RANKS || has_zone_twice(ranks) ||
-		       score(change->proxy, key) > ranks->lowest;
+		       score(change->proxy, key) > ranks->lowest_score;
 	case FLEET_LEFT:
 		return already_ranked(ranks, change->proxy);
 	case FLEET_MOVED:
@@ -342,17 +343,17 @@
 		insert_scored(zone_winners, &winners, FLEET_RANKS, best.by_zone[i]);
 	ranks->len = 0;
 	for (size_t i = 0; i < winners; i++)
-		ranks->at[ranks->len++] = zone_winners[i].proxy;
+		ranks->proxies[ranks->len++] = zone_winners[i].proxy;
 	for (size_t i = 0; i < best.count && ranks->len < FLEET_RANKS; i++) {
 		if (!already_ranked(ranks, best.overall[i].proxy))
-			ranks->at[ranks->len++] = best.overall[i].proxy;
+			ranks->proxies[ranks->len++] = best.overall[i].proxy;
 	}
-	ranks->lowest = UINT64_MAX;
+	ranks->lowest_score = UINT64_MAX;
 	for (size_t i = 0; i < ranks->len; i++) {
-		uint64_t mine = score(ranks->at[i], key);
+		uint64_t mine = score(ranks->proxies[i], key);
 
-		if (mine < ranks->lowest)
-			ranks->lowest = mine;
+		if (mine < ranks->lowest_score)
+			ranks->lowest_score = mine;
 	}
 	ranks->epoch = fleet->epoch;
 }
@@ -362,9 +363,9 @@
 	int rank = 0;
 
 	for (size_t i = 0; i < ranks->len; i++) {
-		if (ranks->at[i]->self)
+		if (ranks->proxies[i]->self)
 			return rank;
-		if (!ranks->at[i]->suspect)
+		if (!ranks->proxies[i]->suspect)
 			rank++;
 	}
 	return -1;
@@ -372,8 +373,8 @@
 
 bool fleet_replaces_suspect(const ranks_t *ranks)
 {
-	for (size_t i = 0; i < ranks->len && !ranks->at[i]->self; i++) {
-		if (ranks->at[i]->suspect)
+	for (size_t i = 0; i < ranks->len && !ranks->proxies[i]->self; i++) {
+		if (ranks->proxies[i]->suspect)
 			return true;
 	}
 	return false;
@@ -390,7 +391,7 @@
 		all++;
 		/* Not proxy->heard: what comes in now may have waited in a buffer while we were
 		 * paused. */
-		if (proxy->self || (proxy->our_echo != 0 && proxy->our_echo >= since))
+		if (proxy->self || (proxy->last_echo != 0 && proxy->last_echo >= since))
 			heard++;
 	}
 	return 2 * heard > all;
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -25,13 +25,14 @@
 	bool listed;  /* on the platform's list, or in the settings */
 	bool leaving; /* final for this incarnation */
 	bool suspect; /* does not answer; cleared by the next message */
-	usec_t suspected;
-	bool expected; /* it sends us heartbeats regularly, so its silence means something */
+	usec_t suspected_at;
+	bool sends_heartbeats; /* it sends us heartbeats regularly, so its silence means something
+				*/
 	uint64_t incarnation;
-	usec_t added;
-	usec_t heard;	    /* last message, 0 never */
-	usec_t their_clock; /* its clock in its last message, for our echo */
-	usec_t our_echo;    /* our clock as it last saw it: bounds the age of its messages */
+	usec_t added_at;
+	usec_t last_received; /* last message, 0 never */
+	usec_t peer_clock;    /* its clock in its last message, for our echo */
+	usec_t last_echo;     /* our clock as it last saw it: bounds the age of its messages */
 	uint64_t table_version;
 	UT_hash_handle hh;
 } proxy_t;
@@ -55,10 +56,10 @@
 } fleet_t;
 
 typedef struct ranks {
-	proxy_t *at[FLEET_RANKS];
+	proxy_t *proxies[FLEET_RANKS];
 	size_t len;
-	uint64_t lowest; /* score of the worst ranked: a newcomer below it changes nothing */
-	uint64_t epoch;	 /* of the fleet when it was worked out */
+	uint64_t lowest_score; /* score of the worst ranked: a newcomer below it changes nothing */
+	uint64_t epoch;	       /* of the fleet when it was worked out */
 } ranks_t;
 
 fleet_t *fleet_create(void *parent, const char *name, const char *zone, const char *address);
--- a/core/group.c
+++ b/core/group.c
@@ -49,7 +49,8 @@
 {
 	const core_timings_t *timings = &group->core->config.timings;
 
-	return fleet_acting_rank(&group->ranks) == 0 ? timings->poll : timings->standby_poll;
+	return fleet_acting_rank(&group->ranks) == 0 ? timings->poll_interval
+						     : timings->standby_poll_interval;
 }
 
 static bool is_responsive(const member_t *member)
@@ -58,7 +59,7 @@
 	usec_t within = RESPONSIVE_POLLS * poll_interval(member->group) +
 			core->config.timings.order_timeout;
 
-	return member->known && core->now - member->reported < within;
+	return member->has_report && core->now - member->reported_as_of < within;
 }
 
 size_t group_count_responsive(const group_t *group)
@@ -72,7 +73,8 @@
 
 bool member_is_current(const member_t *member)
 {
-	return member->known && !member->leaving && member->report.sealed == member->group->term &&
+	return member->has_report && !member->leaving &&
+	       member->report.sealed == member->group->term &&
 	       member->report.log.term == member->group->term && is_responsive(member);
 }
 
@@ -126,7 +128,7 @@
 static void set_next_report(member_t *member)
 {
 	group_t *group = member->group;
-	usec_t soon = group->core->now + group->core->config.timings.confirm_poll;
+	usec_t soon = group->core->now + group->core->config.timings.confirm_poll_interval;
 
 	/* The primary's word adds nothing: it holds what it ran. */
 	if (member == group->primary)
@@ -176,7 +178,7 @@
 	if (group->primary == primary)
 		return;
 	group->primary = primary;
-	group->primary_lost = primary == NULL ? core->now : 0;
+	group->primary_lost_at = primary == NULL ? core->now : 0;
 	for (size_t i = 0; primary != NULL && i < group->member_count; i++) {
 		if (&group->members[i] != primary)
 			pool_close_superseded(&group->members[i]);
@@ -207,7 +209,7 @@
 {
 	group_t *group = member->group;
 	core_t *core = group->core;
-	bool obeyed = member->followed == group->term && member->report.sealed == group->term;
+	bool obeyed = member->followed_term == group->term && member->report.sealed == group->term;
 
 	if (group->primary == NULL || group->primary == member || obeyed)
 		return;
@@ -232,11 +234,11 @@
 void group_apply_report(group_t *group, member_t *member, const report_t *report, usec_t sent)
 {
 	/* Answers can overtake each other; an older question must not undo a newer answer. */
-	if (member->known && sent < member->reported)
+	if (member->has_report && sent < member->reported_as_of)
 		return;
-	member->known = true;
+	member->has_report = true;
 	member->report = *report;
-	member->reported = sent;
+	member->reported_as_of = sent;
 	member->misses = 0;
 	member->unreachable = 0;
 	raise_term(group, report->sealed);
@@ -290,7 +292,7 @@
 static void follow_done(member_t *member, const order_event_t *event)
 {
 	if (event->status == ORDER_OK)
-		member->followed = event->report.sealed;
+		member->followed_term = event->report.sealed;
 }
 
 void group_order_done(core_t *core, uint64_t id, const order_event_t *event)
@@ -336,14 +338,14 @@
 	for (size_t i = 0; i < group->member_count; i++) {
 		group->members[i].misses = 0;
 		group->members[i].unreachable = 0;
-		group->members[i].known = false;
-		group->members[i].fresh_at = 0;
-		group->members[i].reported = group->core->now;
+		group->members[i].has_report = false;
+		group->members[i].data_as_of = 0;
+		group->members[i].reported_as_of = group->core->now;
 		group->members[i].next_report = group->core->now;
 	}
 	samples_clear(group);
-	if (group->primary_lost != 0)
-		group->primary_lost = group->core->now;
+	if (group->primary_lost_at != 0)
+		group->primary_lost_at = group->core->now;
 }
 
 void groups_apply_vms(core_t *core, const vm_t *vms, size_t count)
--- a/core/peers.c
+++ b/core/peers.c
@@ -21,7 +21,7 @@
 	action->send.peer = talloc_strdup(action, peer);
 	action->send.message = message_copy(action, message);
 	action->send.message->sent_at = core->now;
-	action->send.message->echo = proxy != NULL ? proxy->their_clock : 0;
+	action->send.message->echo = proxy != NULL ? proxy->peer_clock : 0;
 	action->send.message->incarnation = core->config.incarnation;
 	action->id = message->request;
 	if (proxy != NULL)
@@ -31,15 +31,15 @@
 static void send_heartbeat(core_t *core, const proxy_t *to)
 {
 	/* Who has told us of itself knows us too: where we are need not travel each time. */
-	bool is_known = to->their_clock != 0;
+	bool is_known = to->peer_clock != 0;
 	message_t message = {
 		.kind = MESSAGE_HEARTBEAT,
 		.zone = is_known ? NULL : core->fleet->self->zone,
 		.address = is_known ? NULL : core->fleet->self->address,
 		.leaving = core->draining,
 		.table_version = core->table->version,
-		.store_age =
-			core->store_contact != 0 ? core->now - core->store_contact : USEC_NEVER,
+		.store_age = core->table_current_at != 0 ? core->now - core->table_current_at
+							 : USEC_NEVER,
 	};
 
 	peers_send(core, to->name, &message);
@@ -59,7 +59,7 @@
 static void add_ranked(proxy_t **out, size_t *len, size_t max, const ranks_t *ranks)
 {
 	for (size_t i = 0; i < ranks->len; i++)
-		add_neighbour(out, len, max, ranks->at[i]);
+		add_neighbour(out, len, max, ranks->proxies[i]);
 }
 
 /* These, and nobody else, send us heartbeats regularly. */
@@ -69,9 +69,9 @@
 	proxy_t *next;
 
 	HASH_ITER (hh, core->fleet->proxies, proxy, next)
-		proxy->expected = false;
+		proxy->sends_heartbeats = false;
 	for (size_t i = 0; i < len; i++)
-		proxies[i]->expected = true;
+		proxies[i]->sends_heartbeats = true;
 }
 
 /* Those we share a watched group with, the table's keepers if we are one, and some by hash. */
@@ -125,9 +125,10 @@
 	core_t *core = list_entry(timer, core_t, heartbeat_timer);
 	usec_t allowed = core->config.timings.suspect_after;
 
-	timers_arm(&core->timers, timer, now + core->config.timings.heartbeat, on_heartbeat);
+	timers_arm(&core->timers, timer, now + core->config.timings.heartbeat_interval,
+		   on_heartbeat);
 	peers_send_heartbeats(core);
-	if (now - core->awake_since > allowed) {
+	if (now - core->resumed_at > allowed) {
 		fleet_suspect_silent(core->fleet, now, allowed);
 		router_check_homes(core);
 	}
--- a/core/placement.c
+++ b/core/placement.c
@@ -4,7 +4,7 @@
 {
 	(void)core;
 	for (size_t i = 0; i < ranks->len; i++) {
-		if (ranks->at[i]->self)
+		if (ranks->proxies[i]->self)
 			return (int)i;
 	}
 	return -1;
--- a/core/pool.c
+++ b/core/pool.c
@@ -71,8 +71,8 @@
 	action_t *action;
 	conn_t *conn;
 
-	if (pool->pass != member->group->pass) {
-		pool->pass = member->group->pass;
+	if (pool->dispatch_pass != member->group->dispatch_pass) {
+		pool->dispatch_pass = member->group->dispatch_pass;
 		pool->wanted = 0;
 	}
 	pool->wanted++;
@@ -206,7 +206,8 @@
 {
 	if (conn->state == CONN_IN_TX)
 		return true;
-	return conn->request != NULL && (conn->request->kind == ROW_WRITE || conn->request->strict);
+	return conn->request != NULL &&
+	       (conn->request->kind == ROW_WRITE || conn->request->linearizable);
 }
 
 /* One without a request is a read that was given up on. */
--- a/core/queue.c
+++ b/core/queue.c
@@ -10,7 +10,7 @@
 
 static bool wants_replica(const request_t *request)
 {
-	return request->kind == ROW_READ && !request->strict && request->lean_replica;
+	return request->kind == ROW_READ && !request->linearizable && request->prefers_replica;
 }
 
 /* Runs at once that the members which serve this kind of request allow. */
@@ -22,7 +22,7 @@
 		const member_t *member = &group->members[i];
 		bool is_replica = member != group->primary;
 
-		if (is_replica == on_replicas && (!is_replica || member->fresh_at != 0))
+		if (is_replica == on_replicas && (!is_replica || member->data_as_of != 0))
 			runs += member_limit(member);
 	}
 	return runs > 0 ? (usec_t)runs : 1;
--- a/core/request.c
+++ b/core/request.c
@@ -26,7 +26,7 @@
 	request->id = core_next_id(core);
 	request->query = query_copy(request, query);
 	request->arrived = core->now;
-	request->deadline = core->now + query->left;
+	request->deadline = core->now + query->time_left;
 	request->state = REQUEST_FORWARDED;
 	list_init(&request->node);
 	HASH_ADD(hh, core->requests, id, sizeof(request->id), request);
--- a/core/router.c
+++ b/core/router.c
@@ -61,11 +61,10 @@
 {
 	core_t *core = request->core;
 
-	if (core->pauses == 0 ||
-	    core->now - core->awake_since >= core->config.timings.suspect_after)
+	if (core->pauses == 0 || core->now - core->resumed_at >= core->config.timings.suspect_after)
 		return false;
 	request->home = NULL;
-	request->tries = 0;
+	request->tried_count = 0;
 	timers_arm(&core->timers, &request->ack_timer, core->now + WAKE_RETRY, on_wake_retry);
 	return true;
 }
@@ -144,9 +143,9 @@
 
 static void arm_deadline(request_t *request, usec_t longest)
 {
-	if (request->query->left <= longest)
+	if (request->query->time_left <= longest)
 		return;
-	request->query->left = longest;
+	request->query->time_left = longest;
 	request->deadline = request->arrived + longest;
 	timers_arm(&request->core->timers, &request->timer, request->deadline, request->timer.cb);
 }
@@ -167,7 +166,7 @@
 	request->row = talloc_strdup(request, row->name);
 	request->group_name = talloc_strdup(request, row->group);
 	request->kind = query->verb == VERB_BEGIN ? ROW_WRITE : row->kind;
-	query->floor = session_min_position(request->session, row->group);
+	query->min_position = session_min_position(request->session, row->group);
 	query->continued |= session_is_partial(request->session, row->group);
 	arm_deadline(request, row->timeout);
 	return true;
@@ -177,8 +176,8 @@
 
 static bool was_tried(const request_t *request, const char *home)
 {
-	for (size_t i = 0; i < request->tries; i++) {
-		if (strcmp(request->tried[i], home) == 0)
+	for (size_t i = 0; i < request->tried_count; i++) {
+		if (strcmp(request->tried_homes[i], home) == 0)
 			return true;
 	}
 	return false;
@@ -193,12 +192,12 @@
 	message_t message = {.kind = MESSAGE_EXECUTE, .request = request->id};
 
 	request->home = talloc_strdup(request, home);
-	request->tried[request->tries++] = request->home;
+	request->tried_homes[request->tried_count++] = request->home;
 	request->state = REQUEST_FORWARDED;
-	request->query->left = left > ANSWER_MARGIN ? left - ANSWER_MARGIN : 0;
+	request->query->time_left = left > ANSWER_MARGIN ? left - ANSWER_MARGIN : 0;
 	message.query = request->query;
 	peers_send(core, home, &message);
-	timers_arm(&core->timers, &request->ack_timer, core->now + core->config.timings.ack,
+	timers_arm(&core->timers, &request->ack_timer, core->now + core->config.timings.ack_timeout,
 		   on_ack_timeout);
 }
 
@@ -208,7 +207,7 @@
 	proxy_t *last_resort = NULL;
 
 	for (size_t i = 0; i < ranks->len; i++) {
-		proxy_t *proxy = ranks->at[i];
+		proxy_t *proxy = ranks->proxies[i];
 
 		if (was_tried(request, proxy->name))
 			continue;
@@ -239,7 +238,7 @@
 		home = core->fleet->self;
 	} else if (group != NULL) {
 		fleet_rank(core->fleet, group->name, &group->ranks);
-		if (request->tries < REQUEST_MAX_TRIES)
+		if (request->tried_count < REQUEST_MAX_TRIES)
 			home = choose_home(request, &group->ranks);
 	}
 	if (home == NULL) {
@@ -254,7 +253,7 @@
 		return;
 	}
 	if (!is_servable(group) && !core->placement->runs_all) {
-		request->tried[request->tries++] = home->name;
+		request->tried_homes[request->tried_count++] = home->name;
 		route(request);
 		return;
 	}
@@ -341,7 +340,7 @@
 	request_t *request = list_entry(timer, request_t, ack_timer);
 
 	(void)now;
-	request->tries = 0;
+	request->tried_count = 0;
 	forward(request, request->home);
 }
 
@@ -407,7 +406,7 @@
 		if (request->state == REQUEST_FORWARDED && request->home != NULL &&
 		    timer_is_armed(&request->ack_timer))
 			timers_arm(&core->timers, &request->ack_timer,
-				   core->now + core->config.timings.ack, on_ack_timeout);
+				   core->now + core->config.timings.ack_timeout, on_ack_timeout);
 	}
 }
 
@@ -427,7 +426,7 @@
 	switch (answer->refusal) {
 	case REFUSAL_STALE_MESSAGE:
 		/* Its refusal has brought the home's clock, which the next try echoes. */
-		if (request->tries < REQUEST_MAX_TRIES) {
+		if (request->tried_count < REQUEST_MAX_TRIES) {
 			forward(request, request->home);
 			return true;
 		}
@@ -493,9 +492,9 @@
  */
 static bool is_too_old(const core_t *core, const message_t *message)
 {
-	if (message->echo == 0 || message->echo < core->awake_since)
+	if (message->echo == 0 || message->echo < core->resumed_at)
 		return true;
-	return core->now - message->echo >= message->query->left;
+	return core->now - message->echo >= message->query->time_left;
 }
 
 void router_execute(core_t *core, proxy_t *from, const message_t *message)
@@ -511,7 +510,7 @@
 		return;
 	}
 	timers_arm(&core->timers, &request->ack_timer,
-		   core->now + core->config.timings.ack / ACCEPT_PART, on_accept_due);
+		   core->now + core->config.timings.ack_timeout / ACCEPT_PART, on_accept_due);
 	if (query->tx != NULL) {
 		tx_submit(request);
 		return;
--- a/core/samples.c
+++ b/core/samples.c
@@ -20,7 +20,7 @@
 		for (size_t i = 0; i < group->member_count; i++) {
 			const member_t *member = &group->members[i];
 
-			witnesses += member->known && member->reported >= sample->at &&
+			witnesses += member->has_report && member->reported_as_of >= sample->at &&
 				     member->report.sealed == group->term;
 		}
 		sample->confirmed = witnesses >= group_majority(group);
@@ -45,9 +45,9 @@
 	for (size_t i = 0; i < group->member_count; i++) {
 		member_t *member = &group->members[i];
 
-		member->fresh_at = member_is_current(member)
-					   ? samples_time_of(group, member->report.log.lsn)
-					   : 0;
+		member->data_as_of = member_is_current(member)
+					     ? samples_time_of(group, member->report.log.lsn)
+					     : 0;
 	}
 }
 
--- a/core/state.h
+++ b/core/state.h
@@ -23,9 +23,9 @@
 	list_t conns;
 	size_t total;
 	size_t connecting;
-	usec_t connect_after; /* backoff after a refused or failed connect */
-	uint64_t pass;	      /* of exec_dispatch, in which wanted was counted */
-	size_t wanted;	      /* requests that found no connection in that pass */
+	usec_t connect_after;	/* backoff after a refused or failed connect */
+	uint64_t dispatch_pass; /* of exec_dispatch, in which wanted was counted */
+	size_t wanted;		/* requests that found no connection in that pass */
 } pool_t;
 
 typedef struct conn {
@@ -55,9 +55,9 @@
 	group_t *group;
 	member_spec_t spec;
 	bool leaving;
-	bool known;
+	bool has_report;
 	report_t report;
-	usec_t reported; /* when the last answered report was asked for */
+	usec_t reported_as_of; /* when the last answered report was asked for */
 	uint64_t report_order;
 	usec_t report_sent;
 	usec_t next_report;
@@ -65,10 +65,10 @@
 	int unreachable; /* of these, those at which nobody listened */
 	usec_t srtt;
 	usec_t rttvar;
-	usec_t fresh_at; /* its data is at least as new as the primary's was then, 0 unknown */
+	usec_t data_as_of; /* its data is at least as new as the primary's was then, 0 unknown */
 	usec_t follow_sent;
 	uint64_t follow_order;
-	uint64_t followed; /* the term in which it has obeyed an order to follow */
+	uint64_t followed_term; /* the term in which it has obeyed an order to follow */
 	int64_t running;
 	list_t pools;
 } member_t;
@@ -91,8 +91,8 @@
 	uint64_t term;
 	usec_t started;
 	usec_t sealed_at;
-	member_t *chosen;
-	uint64_t orders[GROUP_MAX_MEMBERS];
+	member_t *candidate;
+	uint64_t seal_orders[GROUP_MAX_MEMBERS];
 	bool sealed[GROUP_MAX_MEMBERS];
 	report_t reports[GROUP_MAX_MEMBERS];
 	uint64_t promote_order;
@@ -111,12 +111,12 @@
 	int rank;	   /* ours among the watchers, -1 if none */
 	member_t *members; /* NULL unless watched */
 	size_t member_count;
-	bool changing;	   /* runs are held back until the list of members is replaced */
-	uint64_t term;	   /* highest sealed that was reported */
-	member_t *primary; /* promoted for that term, as far as we know */
+	bool members_changing; /* runs are held back until the list of members is replaced */
+	uint64_t term;	       /* highest sealed that was reported */
+	member_t *primary;     /* promoted for that term, as far as we know */
 	usec_t watched_since;
-	usec_t primary_lost; /* since when there is no usable one, 0 if there is */
-	sample_t *samples;   /* GROUP_SAMPLES of them; NULL unless watched */
+	usec_t primary_lost_at; /* since when there is no usable one, 0 if there is */
+	sample_t *samples;	/* GROUP_SAMPLES of them; NULL unless watched */
 	size_t sample_next;
 	list_t queue;		/* request_t, by weight and deadline */
 	list_t confirms;	/* request_t waiting for a majority */
@@ -127,7 +127,7 @@
 	takeover_t takeover;
 	run_timer_t timer;
 	bool dispatching;
-	uint64_t pass;
+	uint64_t dispatch_pass;
 };
 
 typedef enum {
@@ -158,8 +158,8 @@
 
 	/* while forwarded */
 	char *home;
-	char *tried[REQUEST_MAX_TRIES];
-	size_t tries;
+	char *tried_homes[REQUEST_MAX_TRIES];
+	size_t tried_count;
 	/* For a caller's: the home must accept by then. For a peer's: we tell it that we have. */
 	run_timer_t ack_timer;
 
@@ -169,18 +169,18 @@
 	row_kind_t kind;
 	usec_t max_age;
 	int64_t weight;
-	bool lean_replica;
-	bool strict;
+	bool prefers_replica;
+	bool linearizable;
 	bool maybe_ran;
 	int attempts;
 	conn_t *conn;
 	tx_t *tx;
-	member_t *runner;
+	member_t *run_member;
 	usec_t run_started;
 	run_result_t *result;
 	position_t position; /* a majority must hold this */
 	usec_t ran_at;
-	usec_t age_base;
+	usec_t data_as_of;
 };
 
 /* Progress of one operator's edit. */
@@ -205,7 +205,7 @@
 	const struct placement_ops *placement;
 	char *name;
 	usec_t now;
-	usec_t last_wake;
+	usec_t last_event_at;
 	uint64_t next_id;
 	uint64_t rng;
 	list_t actions;
@@ -214,13 +214,13 @@
 	uint64_t fleet_epoch; /* that the groups' ranks follow */
 	bool refresh_pending; /* a group waits for its runs to end before it changes */
 	table_t *table;
-	int64_t head_revision; /* of the store, with our table's version */
-	ranks_t keepers;       /* proxies that watch the store */
-	bool watching;
-	uint64_t store_op; /* load in progress, 0 none */
-	usec_t store_op_sent;
-	usec_t store_contact; /* our table was known to be the store's then */
-	usec_t pulled;
+	int64_t head_revision;	/* of the store, with our table's version */
+	ranks_t store_watchers; /* proxies that watch the store */
+	bool watching_store;
+	uint64_t load_id; /* load in progress, 0 none */
+	usec_t load_sent;
+	usec_t table_current_at; /* our table was known to be the store's then */
+	usec_t last_pull;
 	group_t *groups;
 	request_t *requests;
 	conn_t *conns;
@@ -228,7 +228,7 @@
 	list_t edits;
 	bool draining;
 	bool drained;
-	usec_t awake_since; /* end of the last pause */
+	usec_t resumed_at; /* end of the last pause */
 	run_timer_t heartbeat_timer;
 	run_timer_t store_timer;
 	run_timer_t vm_timer;
--- a/core/table.c
+++ b/core/table.c
@@ -43,7 +43,7 @@
 	FIELD_NUMBER("max_age_ms", FIELD_MSEC, offsetof(row_t, max_age), 0, MAX_MSEC, 0),
 	FIELD_NUMBER("connections", FIELD_INT, offsetof(row_t, connections), 1, MAX_CONNECTIONS, 2),
 	FIELD_NUMBER("weight", FIELD_INT, offsetof(row_t, weight), 0, 100, 50),
-	FIELD_NUMBER("replica_lean", FIELD_INT, offsetof(row_t, replica_lean), 0, 100, 100),
+	FIELD_NUMBER("replica_lean", FIELD_INT, offsetof(row_t, replica_share), 0, 100, 100),
 	FIELD_NUMBER("timeout_ms", FIELD_MSEC, offsetof(row_t, timeout), 1, MAX_MSEC, 5000),
 	FIELD_NUMBER("queue", FIELD_INT, offsetof(row_t, queue), 1, MAX_CONNECTIONS, 200),
 };
--- a/core/table.h
+++ b/core/table.h
@@ -20,12 +20,12 @@
 	char *name; /* "SERVICE/CLASS" */
 	char *group;
 	row_kind_t kind;
-	usec_t max_age;	      /* of data read, 0 for strict */
-	int64_t connections;  /* at most so many on each member, over the whole fleet */
-	int64_t weight;	      /* higher goes first */
-	int64_t replica_lean; /* percent of eligible reads sent to replicas */
-	usec_t timeout;	      /* longest deadline a request may ask for */
-	int64_t queue;	      /* requests waiting at most */
+	usec_t max_age;	       /* of data read, 0 for strict */
+	int64_t connections;   /* at most so many on each member, over the whole fleet */
+	int64_t weight;	       /* higher goes first */
+	int64_t replica_share; /* percent of eligible reads sent to replicas */
+	usec_t timeout;	       /* longest deadline a request may ask for */
+	int64_t queue;	       /* requests waiting at most */
 } row_t;
 
 typedef struct member_spec {
--- a/core/tablesync.c
+++ b/core/tablesync.c
@@ -22,7 +22,7 @@
 /* News from before this time no longer counts; never 0, which stands for "never heard". */
 static usec_t stale_limit(const core_t *core)
 {
-	usec_t stale = core->config.timings.table_stale;
+	usec_t stale = core->config.timings.table_max_age;
 
 	return core->now > stale ? core->now - stale : 1;
 }
@@ -36,16 +36,16 @@
 {
 	if (core->table->version == 0)
 		return false;
-	if (core->store_contact != 0 && core->store_contact >= stale_limit(core))
+	if (core->table_current_at != 0 && core->table_current_at >= stale_limit(core))
 		return true;
 	return tablesync_reaches_majority(core);
 }
 
 static bool is_keeper(core_t *core)
 {
-	fleet_rank(core->fleet, KEEPERS_KEY, &core->keepers);
-	for (size_t i = 0; i < core->keepers.len; i++) {
-		if (core->keepers.at[i]->self)
+	fleet_rank(core->fleet, KEEPERS_KEY, &core->store_watchers);
+	for (size_t i = 0; i < core->store_watchers.len; i++) {
+		if (core->store_watchers.proxies[i]->self)
 			return true;
 	}
 	return false;
@@ -55,12 +55,12 @@
 {
 	action_t *action;
 
-	if (core->store_op != 0 && core->now - core->store_op_sent < LOAD_TIMEOUT)
+	if (core->load_id != 0 && core->now - core->load_sent < LOAD_TIMEOUT)
 		return;
 	action = core_add_action(core, ACTION_STORE_LOAD);
-	core->store_op = core_next_id(core);
-	core->store_op_sent = core->now;
-	action->id = core->store_op;
+	core->load_id = core_next_id(core);
+	core->load_sent = core->now;
+	action->id = core->load_id;
 	action->load.table_version = core->table->version;
 	action->load.head_revision = core->head_revision;
 }
@@ -75,10 +75,11 @@
 {
 	core_t *core = list_entry(timer, core_t, store_timer);
 	const core_timings_t *timings = &core->config.timings;
-	usec_t stale = timings->table_stale / 2;
-	bool lonely = core->table->version == 0 || now - core->store_contact > stale;
+	usec_t stale = timings->table_max_age / 2;
+	bool lonely = core->table->version == 0 || now - core->table_current_at > stale;
 
-	timers_arm(&core->timers, timer, now + jitter(core, timings->store_check), on_store_timer);
+	timers_arm(&core->timers, timer, now + jitter(core, timings->store_check_interval),
+		   on_store_timer);
 	if (is_keeper(core) || lonely)
 		load(core);
 }
@@ -87,7 +88,7 @@
 {
 	core_t *core = list_entry(timer, core_t, vm_timer);
 	usec_t spread = HASH_COUNT(core->fleet->proxies) * USEC_PER_SEC / VM_CALLS_PER_SECOND;
-	usec_t interval = core->config.timings.vm_poll;
+	usec_t interval = core->config.timings.vm_poll_interval;
 	action_t *action = core_add_action(core, ACTION_VMS);
 
 	action->id = core_next_id(core);
@@ -103,8 +104,8 @@
 
 void tablesync_set_current_at(core_t *core, usec_t at)
 {
-	if (at > core->store_contact)
-		core->store_contact = at;
+	if (at > core->table_current_at)
+		core->table_current_at = at;
 }
 
 int tablesync_merge(core_t *core, const table_entry_t *entries, size_t count, uint64_t version,
@@ -132,9 +133,9 @@
 {
 	message_t message = {.kind = MESSAGE_TABLE_PULL, .since = core->table->version};
 
-	if (core->pulled != 0 && core->now - core->pulled < PULL_INTERVAL)
+	if (core->last_pull != 0 && core->now - core->last_pull < PULL_INTERVAL)
 		return;
-	core->pulled = core->now;
+	core->last_pull = core->now;
 	peers_send(core, from->name, &message);
 }
 
@@ -169,7 +170,7 @@
 	 */
 	if (message->since > core->table->version)
 		return;
-	core->pulled = 0;
+	core->last_pull = 0;
 	tablesync_merge(core, message->entries, message->entry_count, message->table_version,
 			from->name);
 }
@@ -178,9 +179,9 @@
 {
 	action_t *action;
 
-	if (core->watching || !is_keeper(core))
+	if (core->watching_store || !is_keeper(core))
 		return;
-	core->watching = true;
+	core->watching_store = true;
 	action = core_add_action(core, ACTION_STORE_WATCH);
 	action->id = core_next_id(core);
 	action->load.head_revision = core->head_revision;
@@ -189,11 +190,11 @@
 
 void tablesync_on_load(core_t *core, uint64_t id, const store_event_t *event)
 {
-	bool ours = id == core->store_op;
-	usec_t asked = ours ? core->store_op_sent : core->now;
+	bool ours = id == core->load_id;
+	usec_t asked = ours ? core->load_sent : core->now;
 
 	if (ours)
-		core->store_op = 0;
+		core->load_id = 0;
 	if (event->status != STORE_OK)
 		return;
 	/* A watch brings single edits: after a gap the entries in between would be missing. */
@@ -214,7 +215,7 @@
 
 void tablesync_on_watch_down(core_t *core)
 {
-	core->watching = false;
+	core->watching_store = false;
 }
 
 void tablesync_on_vms(core_t *core, const vms_event_t *event)
--- a/core/takeover.c
+++ b/core/takeover.c
@@ -74,7 +74,7 @@
 	const core_timings_t *timings = &group->core->config.timings;
 
 	if (primary == NULL) {
-		usec_t lost_for = group->core->now - group->primary_lost;
+		usec_t lost_for = group->core->now - group->primary_lost_at;
 
 		return lost_for > timings->detect_floor ? "no member is primary" : NULL;
 	}
@@ -93,7 +93,8 @@
 static const char *find_reason_fixed(const group_t *group)
 {
 	const core_t *core = group->core;
-	usec_t since = group->primary != NULL ? group->primary->reported : group->primary_lost;
+	usec_t since =
+		group->primary != NULL ? group->primary->reported_as_of : group->primary_lost_at;
 
 	if (group->rank != 0 || core->now - since < core->config.fixed_timeout)
 		return NULL;
@@ -105,7 +106,8 @@
 {
 	const core_t *core = group->core;
 	int rank = fleet_acting_rank(&group->ranks);
-	usec_t since = group->primary != NULL ? group->primary->reported : group->primary_lost;
+	usec_t since =
+		group->primary != NULL ? group->primary->reported_as_of : group->primary_lost_at;
 
 	if (rank < 0)
 		return false;
@@ -171,17 +173,17 @@
 	takeover->state = TAKEOVER_SEALING;
 	takeover->started = core->now;
 	takeover->reason = reason;
-	takeover->chosen = NULL;
+	takeover->candidate = NULL;
 	takeover->count++;
 	core_log(core, true, "takeover started group=%s term=%llu primary=%s because %s",
 		 group->name, (unsigned long long)takeover->term,
 		 group->primary != NULL ? group->primary->spec.name : "none", reason);
 	for (size_t i = 0; i < group->member_count; i++) {
 		takeover->sealed[i] = false;
-		takeover->orders[i] = 0;
+		takeover->seal_orders[i] = 0;
 		if (!is_passed_over(&group->members[i]))
-			takeover->orders[i] = member_send_order(&group->members[i], ORDER_SEAL,
-								takeover->term, NULL);
+			takeover->seal_orders[i] = member_send_order(&group->members[i], ORDER_SEAL,
+								     takeover->term, NULL);
 	}
 	raise_stall_backoff(group);
 	arm(group);
@@ -195,8 +197,8 @@
 	for (size_t i = 0; i < group->member_count; i++) {
 		const member_t *member = &group->members[i];
 
-		n += member->known &&
-		     core->now - member->reported <= core->config.timings.order_timeout / 2;
+		n += member->has_report &&
+		     core->now - member->reported_as_of <= core->config.timings.order_timeout / 2;
 	}
 	return n;
 }
@@ -270,7 +272,7 @@
 		return;
 	takeover->state = TAKEOVER_PROMOTING;
 	takeover->sealed_at = group->core->now;
-	takeover->chosen = best;
+	takeover->candidate = best;
 	takeover->promote_order = member_send_order(best, ORDER_PROMOTE, takeover->term, NULL);
 	/* A sealed majority never confirms what still runs on the old primary: queue it again. */
 	if (group->primary != NULL && group->primary != best)
@@ -289,10 +291,10 @@
 	core_log(core, true,
 		 "takeover done group=%s term=%llu primary=%s sealed_after_us=%llu "
 		 "promoted_after_us=%llu",
-		 group->name, (unsigned long long)takeover->term, takeover->chosen->spec.name,
+		 group->name, (unsigned long long)takeover->term, takeover->candidate->spec.name,
 		 (unsigned long long)(takeover->sealed_at - takeover->started),
 		 (unsigned long long)(core->now - takeover->started));
-	group_apply_report(group, takeover->chosen, report, sent);
+	group_apply_report(group, takeover->candidate, report, sent);
 	for (size_t i = 0; i < group->member_count; i++)
 		group_order_follow(&group->members[i]);
 	exec_dispatch(group);
@@ -302,7 +304,7 @@
 {
 	takeover_t *takeover = &group->takeover;
 
-	takeover->orders[i] = 0;
+	takeover->seal_orders[i] = 0;
 	if (event->status == ORDER_REFUSED) {
 		takeover->reports[i] = event->report;
 		group_apply_report(group, &group->members[i], &event->report, takeover->started);
@@ -321,7 +323,7 @@
 	takeover_t *takeover = &group->takeover;
 	size_t i = (size_t)(member - group->members);
 
-	if (takeover->state == TAKEOVER_SEALING && takeover->orders[i] == id) {
+	if (takeover->state == TAKEOVER_SEALING && takeover->seal_orders[i] == id) {
 		seal_done(group, i, event);
 	} else if (takeover->state == TAKEOVER_PROMOTING && takeover->promote_order == id) {
 		if (event->status == ORDER_OK) {
--- a/core/tx.c
+++ b/core/tx.c
@@ -135,7 +135,7 @@
 		.outcome = OUTCOME_NOT_RUN,
 		.refusal = REFUSAL_SQL,
 		.detail = result->detail,
-		.member = request->runner->spec.name,
+		.member = request->run_member->spec.name,
 		.group = request->group_name,
 		.tx = request->tx != NULL ? request->tx->handle : NULL,
 	};
@@ -147,7 +147,7 @@
 {
 	answer_t answer = {
 		.outcome = OUTCOME_DONE,
-		.member = request->runner->spec.name,
+		.member = request->run_member->spec.name,
 		.group = request->group_name,
 	};
 
@@ -162,7 +162,7 @@
 {
 	const report_t *after = &request->result->after;
 
-	request->strict = request->query->verb != VERB_COMMIT;
+	request->linearizable = request->query->verb != VERB_COMMIT;
 	request->maybe_ran = request->query->verb == VERB_COMMIT;
 	if (after->primary && after->sealed == request->group->term)
 		confirm_add(request);
@@ -222,7 +222,7 @@
 		return;
 	}
 	if (request->result->status == RUN_NOT_PRIMARY)
-		group_on_not_primary(request->runner);
+		group_on_not_primary(request->run_member);
 	/* After a failed statement the server aborts the transaction; a failed commit ends it. */
 	if (request->tx == NULL) {
 		pool_release(conn);
--- a/core/types.h
+++ b/core/types.h
@@ -59,14 +59,14 @@
 	char *service;
 	char *class_name;
 	char *text;
-	char *params;	  /* JSON array, passed to the backend server as parameters */
-	char *request_id; /* makes a write idempotent */
-	char *tx;	  /* handle of an open transaction */
-	bool repeatable;  /* running it twice does no harm */
-	bool resend;	  /* the caller sent it before and does not know the outcome */
-	bool continued;	  /* the session exists although no token came with it */
-	position_t floor; /* what the session has seen of this group */
-	usec_t left;	  /* time until the deadline, from when it was received or sent */
+	char *params;		 /* JSON array, passed to the backend server as parameters */
+	char *request_id;	 /* makes a write idempotent */
+	char *tx;		 /* handle of an open transaction */
+	bool repeatable;	 /* running it twice does no harm */
+	bool resend;		 /* the caller sent it before and does not know the outcome */
+	bool continued;		 /* the session exists although no token came with it */
+	position_t min_position; /* what the session has seen of this group */
+	usec_t time_left;	 /* time until the deadline, from when it was received or sent */
 } query_t;
 
 /* The one final answer to a query. */
--- a/core/watch.c
+++ b/core/watch.c
@@ -28,13 +28,13 @@
 	group->members = talloc_zero_array(group, member_t, spec->member_count);
 	group->member_count = spec->member_count;
 	group->samples = talloc_zero_array(group->members, sample_t, GROUP_SAMPLES);
-	group->primary_lost = core->now;
+	group->primary_lost_at = core->now;
 	group->watched_since = core->now;
 	for (size_t i = 0; i < spec->member_count; i++) {
 		member_t *member = &group->members[i];
 
 		member->group = group;
-		member->reported = core->now;
+		member->reported_as_of = core->now;
 		list_init(&member->pools);
 		copy_spec(member, &spec->members[i]);
 	}
@@ -117,11 +117,11 @@
 {
 	bool moved = group->rank < 0;
 
-	group->changing = !moved;
+	group->members_changing = !moved;
 	if (has_runs(group) || (moved && !list_empty(&group->queue)))
 		return;
 	stop_watching(group);
-	group->changing = false;
+	group->members_changing = false;
 }
 
 static void refresh_group(group_t *group, const table_item_t *item)
@@ -140,7 +140,8 @@
 	}
 	if (group->members == NULL && group->rank >= 0 && item->group != NULL)
 		start_watching(group, item->group);
-	core->refresh_pending |= group->members != NULL && (group->changing || group->rank < 0);
+	core->refresh_pending |=
+		group->members != NULL && (group->members_changing || group->rank < 0);
 }
 
 void watch_refresh(core_t *core)
--- a/links/adapter.c
+++ b/links/adapter.c
@@ -67,11 +67,11 @@
 static void on_note(void *data, action_t *action)
 {
 	(void)data;
-	if (action->note.warning) {
+	if (action->log.warning) {
 		counter_add(&warnings_total, 1);
-		LOG_WARNING("%s", action->note.text);
+		LOG_WARNING("%s", action->log.text);
 	} else {
-		LOG_INFORM("%s", action->note.text);
+		LOG_INFORM("%s", action->log.text);
 	}
 }
 
@@ -135,10 +135,10 @@
 		.timings = core_timings_default(),
 	};
 
-	config.timings.poll = (usec_t)conf->failover_poll_ms * USEC_PER_MSEC;
+	config.timings.poll_interval = (usec_t)conf->failover_poll_ms * USEC_PER_MSEC;
 	config.timings.detect_floor = (usec_t)conf->failover_detect_floor_ms * USEC_PER_MSEC;
 	config.timings.stall_after = (usec_t)conf->failover_stall_ms * USEC_PER_MSEC;
-	config.timings.table_stale = (usec_t)conf->table_stale_ms * USEC_PER_MSEC;
+	config.timings.table_max_age = (usec_t)conf->table_stale_ms * USEC_PER_MSEC;
 	return config;
 }
 
--- a/links/callers.c
+++ b/links/callers.c
@@ -66,7 +66,7 @@
 	{"transaction", BODY_TEXT, offsetof(query_t, tx)},
 	{"repeatable", BODY_BOOL, offsetof(query_t, repeatable)},
 	{"resend", BODY_BOOL, offsetof(query_t, resend)},
-	{"deadline_ms", BODY_DEADLINE, offsetof(query_t, left)},
+	{"deadline_ms", BODY_DEADLINE, offsetof(query_t, time_left)},
 	{"session", BODY_SESSION, offsetof(query_t, continued)},
 };
 
@@ -214,8 +214,8 @@
 		return false;
 	}
 	out->query.verb = spec->verb;
-	if (out->query.left == 0)
-		out->query.left = DEFAULT_DEADLINE_MSEC * USEC_PER_MSEC;
+	if (out->query.time_left == 0)
+		out->query.time_left = DEFAULT_DEADLINE_MSEC * USEC_PER_MSEC;
 	return true;
 }
 
--- a/links/wire.c
+++ b/links/wire.c
@@ -45,9 +45,9 @@
 	FIELD("rep", WIRE_FLAG, query_t, repeatable),
 	FIELD("resend", WIRE_FLAG, query_t, resend),
 	FIELD("cont", WIRE_FLAG, query_t, continued),
-	FIELD("term", WIRE_NUMBER, query_t, floor.term),
-	FIELD("lsn", WIRE_NUMBER, query_t, floor.lsn),
-	FIELD("left", WIRE_NUMBER, query_t, left),
+	FIELD("term", WIRE_NUMBER, query_t, min_position.term),
+	FIELD("lsn", WIRE_NUMBER, query_t, min_position.lsn),
+	FIELD("left", WIRE_NUMBER, query_t, time_left),
 };
 
 static const wire_field_t answer_fields[] = {
--- a/measure/paused.c
+++ b/measure/paused.c
@@ -317,8 +317,8 @@
 	world_t *world;
 
 	config.replication_lag = lag;
-	config.replica_lean = variant->replica_lean;
-	config.zone_blind = variant->zone_blind;
+	config.replica_share = variant->replica_lean;
+	config.ignore_zones = variant->zone_blind;
 	world = world_create(&config);
 	world_run(world, 3 * USEC_PER_SEC);
 	while (world_now(world) < (3 + READ_SECONDS) * USEC_PER_SEC) {
--- a/tests/test_ages.c
+++ b/tests/test_ages.c
@@ -125,7 +125,7 @@
 			 .service = "s",
 			 .class_name = "c",
 			 .text = "SELECT 1",
-			 .left = USEC_PER_SEC};
+			 .time_left = USEC_PER_SEC};
 	event_t event = {.kind = EVENT_QUERY, .id = 1, .query = {.query = &query}};
 
 	g_clear_pointer(&scene->ran_on, g_free);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -40,10 +40,10 @@
 
 		rank(fleet, group, &ranks);
 		g_assert_cmpuint(ranks.len, ==, FLEET_RANKS);
-		g_assert_cmpstr(ranks.at[0]->zone, !=, ranks.at[1]->zone);
-		g_assert_cmpstr(ranks.at[1]->zone, !=, ranks.at[2]->zone);
-		g_assert_cmpstr(ranks.at[0]->zone, !=, ranks.at[2]->zone);
-		served[ranks.at[0]->name[1] - '0']++;
+		g_assert_cmpstr(ranks.proxies[0]->zone, !=, ranks.proxies[1]->zone);
+		g_assert_cmpstr(ranks.proxies[1]->zone, !=, ranks.proxies[2]->zone);
+		g_assert_cmpstr(ranks.proxies[0]->zone, !=, ranks.proxies[2]->zone);
+		served[ranks.proxies[0]->name[1] - '0']++;
 	}
 	for (int i = 0; i < PROXIES; i++) {
 		g_assert_cmpint(served[i], >, 50); /* 100 each if perfectly even */
@@ -65,9 +65,9 @@
 		ranks_t after;
 
 		rank(fleet, group, &after);
-		g_assert_cmpstr(after.at[0]->name, !=, "p4");
-		if (g_strcmp0(before[group].at[0]->name, "p4") != 0)
-			g_assert_true(after.at[0] == before[group].at[0]);
+		g_assert_cmpstr(after.proxies[0]->name, !=, "p4");
+		if (g_strcmp0(before[group].proxies[0]->name, "p4") != 0)
+			g_assert_true(after.proxies[0] == before[group].proxies[0]);
 	}
 	talloc_free(fleet);
 }
@@ -102,7 +102,7 @@
 			fleet_rank(fleet, key, &kept[group]);
 			g_assert_cmpuint(kept[group].len, ==, fresh.len);
 			for (size_t r = 0; r < fresh.len; r++)
-				g_assert_true(kept[group].at[r] == fresh.at[r]);
+				g_assert_true(kept[group].proxies[r] == fresh.proxies[r]);
 			g_free(key);
 		}
 		g_free(name);
@@ -145,8 +145,8 @@
 	proxy_t *p2 = fleet_find(fleet, "p2");
 	proxy_t *p3 = fleet_find(fleet, "p3");
 
-	p1->expected = true;
-	p2->expected = true;
+	p1->sends_heartbeats = true;
+	p2->sends_heartbeats = true;
 	hear(fleet, "p1", 100, 1, false);
 	hear(fleet, "p3", 100, 1, false);
 	fleet_suspect_silent(fleet, 300, 100);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -32,8 +32,8 @@
 		.text = "SELECT 1",
 		.params = "[1]",
 		.repeatable = true,
-		.floor = {.term = 3, .lsn = 1ull << 40},
-		.left = 77,
+		.min_position = {.term = 3, .lsn = 1ull << 40},
+		.time_left = 77,
 	};
 	message_t message = {.kind = MESSAGE_EXECUTE,
 			     .incarnation = 5,
@@ -50,7 +50,7 @@
 	g_assert_null(back->query->request_id);
 	g_assert_true(back->query->repeatable);
 	g_assert_false(back->query->resend);
-	g_assert_cmpuint(back->query->floor.lsn, ==, 1ull << 40);
+	g_assert_cmpuint(back->query->min_position.lsn, ==, 1ull << 40);
 	talloc_free(parent);
 }
 
@@ -132,7 +132,7 @@
 static void test_garbage(void)
 {
 	void *parent = talloc_new(NULL);
-	query_t query = {.verb = VERB_BEGIN, .service = "s", .class_name = "c", .left = 5};
+	query_t query = {.verb = VERB_BEGIN, .service = "s", .class_name = "c", .time_left = 5};
 	message_t message = {.kind = MESSAGE_EXECUTE, .incarnation = 1, .query = &query};
 	msgpack_sbuffer buffer;
 	char *from;
--- a/tests/world.c
+++ b/tests/world.c
@@ -18,7 +18,7 @@
 		.max_conns = 15,
 		.row_conns = 3,
 		.seed = 1,
-		.replica_lean = 100,
+		.replica_share = 100,
 		.max_age = USEC_PER_SEC,
 		.row_queue = 200,
 		.row_timeout = 5 * USEC_PER_SEC,
@@ -59,7 +59,7 @@
 	put_row(world, "assign", "write", 90, "");
 	put_row(world, "assignment", "read", 80, "");
 	aged = g_strdup_printf(",\"max_age_ms\":%d,\"replica_lean\":%d",
-			       (int)(config->max_age / USEC_PER_MSEC), config->replica_lean);
+			       (int)(config->max_age / USEC_PER_MSEC), config->replica_share);
 	put_row(world, "status", "read", 50, aged);
 	g_free(aged);
 }
@@ -100,7 +100,7 @@
 		.fixed_detection = world->config.fixed_detection,
 		.fixed_timeout = 3 * USEC_PER_SEC,
 		.equal_shares = world->config.equal_shares,
-		.zone_blind = world->config.zone_blind,
+		.ignore_zones = world->config.ignore_zones,
 		.small_fleet = (size_t)world->config.small_fleet,
 		.timings = core_timings_default(),
 	};
@@ -109,7 +109,7 @@
 	snprintf(zone, sizeof(zone), "z%d", i % world->config.zones);
 	snprintf(address, sizeof(address), "p:%d", i);
 	world->proxies[i].core = core_create(NULL, &config);
-	world->proxies[i].ticking = USEC_NEVER;
+	world->proxies[i].next_tick = USEC_NEVER;
 	for (int j = 0; j < world->config.proxies; j++) {
 		vm_t vm = {.name = name, .zone = zone, .address = address};
 
--- a/tests/world.h
+++ b/tests/world.h
@@ -28,12 +28,12 @@
 	int row_conns; /* limit of each row */
 	uint64_t seed;
 	bool fixed_detection;
-	int replica_lean;
+	int replica_share;
 	usec_t max_age; /* of the row "status" */
 	bool quiet;	/* no timeline */
 	bool equal_shares;
 	int small_fleet; /* 0: the default */
-	bool zone_blind;
+	bool ignore_zones;
 	int row_queue;
 	usec_t row_timeout;
 } world_config_t;
--- a/tests/world_cores.c
+++ b/tests/world_cores.c
@@ -167,7 +167,7 @@
 {
 	switch (action->kind) {
 	case ACTION_LOG:
-		world_say(world, "p%d note %s", proxy, action->note.text);
+		world_say(world, "p%d note %s", proxy, action->log.text);
 		break;
 	case ACTION_ORDER:
 		describe_order(world, proxy, &action->order);
@@ -249,7 +249,7 @@
 	int proxy = GPOINTER_TO_INT(data);
 	event_t event = {.kind = EVENT_TICK};
 
-	world->proxies[proxy].ticking = USEC_NEVER;
+	world->proxies[proxy].next_tick = USEC_NEVER;
 	world_deliver(world, proxy, &event);
 }
 
@@ -258,10 +258,10 @@
 	fake_proxy_t *p = &world->proxies[proxy];
 	usec_t wake = core_next_tick(p->core);
 
-	if (wake == USEC_NEVER || p->ticking <= wake)
+	if (wake == USEC_NEVER || p->next_tick <= wake)
 		return;
-	p->ticking = wake > world->now ? wake : world->now;
-	world_plan(world, p->ticking, proxy, world_on_tick, GINT_TO_POINTER(proxy));
+	p->next_tick = wake > world->now ? wake : world->now;
+	world_plan(world, p->next_tick, proxy, world_on_tick, GINT_TO_POINTER(proxy));
 }
 
 void world_deliver(world_t *world, int proxy, const event_t *event)
--- a/tests/world_parts.h
+++ b/tests/world_parts.h
@@ -29,7 +29,7 @@
 typedef struct fake_proxy {
 	core_t *core;
 	bool started;
-	usec_t ticking; /* when the next tick is planned */
+	usec_t next_tick; /* when the next tick is planned */
 } fake_proxy_t;
 
 /* A pooled connection, seen from both ends. */
@@ -96,7 +96,7 @@
 	usec_t at;
 	uint64_t seq;
 	int node; /* where it happens; -1 nowhere in particular */
-	callback_t run;
+	callback_t callback;
 	void *data;
 } planned_t;
 
--- a/tests/world_requests.c
+++ b/tests/world_requests.c
@@ -15,7 +15,7 @@
 		.repeatable = request->repeatable,
 		.resend = request->resend,
 		.continued = request->continued,
-		.left = request->deadline != 0 ? request->deadline : 2 * USEC_PER_SEC,
+		.time_left = request->deadline != 0 ? request->deadline : 2 * USEC_PER_SEC,
 	};
 	event_t event = {
 		.kind = EVENT_QUERY,
--- a/tests/world_time.c
+++ b/tests/world_time.c
@@ -20,7 +20,7 @@
 	planned->at = at;
 	planned->seq = ++world->seq;
 	planned->node = node;
-	planned->run = run;
+	planned->callback = run;
 	planned->data = data;
 	g_sequence_insert_sorted(world->events, planned, compare_planned, NULL);
 }
@@ -46,7 +46,7 @@
 			g_sequence_insert_sorted(world->events, planned, compare_planned, NULL);
 			continue;
 		}
-		planned->run(world, planned->data);
+		planned->callback(world, planned->data);
 		g_free(planned);
 	}
 	world->now = until;
