--- a/core/core.c
+++ b/core/core.c
@@ -70,7 +70,7 @@
 	return ++core->next_id;
 }
 
-/* splitmix64: small, seeded, and the same on every VM, as golden files need. */
+/* splitmix64: the golden tests need the same sequence on every VM. */
 uint64_t core_random(core_t *core, uint64_t limit)
 {
 	uint64_t z = core->rng += 0x9e3779b97f4a7c15u;
@@ -136,11 +136,12 @@
 }
 
 /*
- * A process can be stopped for a minute and go on unaware: what it believed of
- * others then is old although no timer of its own has fired meanwhile. A big
- * step of the clock voids it all; nobody is judged on what we missed.
+ * A process can be stopped for a minute and continue without noticing: its state
+ * about peers and members is then outdated although none of its timers has fired.
+ * A gap between two events that exceeds pause_threshold invalidates that state, so
+ * that no peer or member counts as silent because of the pause.
  */
-static void notice_pause(core_t *core, usec_t now)
+static void detect_pause(core_t *core, usec_t now)
 {
 	group_t *group;
 	group_t *next;
@@ -161,19 +162,19 @@
 	core->last_event_at = now;
 }
 
-static void start(core_t *core)
+static void start_timers(core_t *core)
 {
 	core->resumed_at = core->now;
 	peers_start(core);
 	tablesync_start(core);
 }
 
-static bool is_idle(const core_t *core)
+static bool has_no_work(const core_t *core)
 {
 	return HASH_COUNT(core->requests) == 0 && HASH_COUNT(core->txs) == 0;
 }
 
-static void drain(core_t *core)
+static void start_draining(core_t *core)
 {
 	if (core->draining)
 		return;
@@ -187,13 +188,13 @@
 
 static void check_drained(core_t *core)
 {
-	if (!core->draining || core->drained || !is_idle(core))
+	if (!core->draining || core->drained || !has_no_work(core))
 		return;
 	core->drained = true;
 	core_add_action(core, ACTION_DRAINED);
 }
 
-static void handle(core_t *core, const event_t *event)
+static void dispatch_event(core_t *core, const event_t *event)
 {
 	switch (event->kind) {
 	case EVENT_TICK:
@@ -241,7 +242,7 @@
 		edit_start(core, event->id, &event->edit);
 		break;
 	case EVENT_DRAIN:
-		drain(core);
+		start_draining(core);
 		break;
 	case EVENT_COUNT:
 		break;
@@ -253,10 +254,10 @@
 	bool first = core->now == 0;
 
 	core->now = now;
-	notice_pause(core, now);
+	detect_pause(core, now);
 	if (first)
-		start(core);
-	handle(core, event);
+		start_timers(core);
+	dispatch_event(core, event);
 	timers_expire(&core->timers, now);
 	if (core->fleet_epoch != core->fleet->epoch)
 		watch_refresh(core);
--- a/core/edit.c
+++ b/core/edit.c
@@ -6,10 +6,10 @@
 
 #include "tablesync.h"
 
-static void finish(edit_t *edit, edit_status_t status, const char *fmt, ...)
+static void finish_edit(edit_t *edit, edit_status_t status, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
-static void finish(edit_t *edit, edit_status_t status, const char *fmt, ...)
+static void finish_edit(edit_t *edit, edit_status_t status, const char *fmt, ...)
 {
 	static const char *const names[] = {
 		[EDIT_ACCEPTED] = "accepted",
@@ -41,13 +41,13 @@
 
 	(void)now;
 	if (edit->commit_sent)
-		finish(edit, EDIT_UNKNOWN,
-		       "the store has not answered; look for the edit's id in the history");
+		finish_edit(edit, EDIT_UNKNOWN,
+			    "the store has not answered; look for the edit's id in the history");
 	else
-		finish(edit, EDIT_REFUSED, "the store could not be asked");
+		finish_edit(edit, EDIT_REFUSED, "the store could not be asked");
 }
 
-/* The key of a row that somebody changed after the version this operator saw; NULL if none. */
+/* The key of an entry that was changed after the edit's base version; NULL if none. */
 static const char *find_conflict(const edit_t *edit)
 {
 	for (size_t i = 0; i < edit->entry_count; i++) {
@@ -60,7 +60,7 @@
 	return NULL;
 }
 
-/* Send the swap. */
+/* Send the compare-and-swap to the store. */
 static void send_commit(edit_t *edit)
 {
 	core_t *core = edit->core;
@@ -83,20 +83,21 @@
 	}
 }
 
-/* Check the edit against the table as we now know it, and try to put it on top. */
-static void commit(edit_t *edit)
+/* Check the edit against the table held here and try to commit it as the next version. */
+static void check_and_commit(edit_t *edit)
 {
 	core_t *core = edit->core;
 	err_t err = {0};
 	const char *conflict = find_conflict(edit);
 
 	if (conflict != NULL) {
-		finish(edit, EDIT_REFUSED, "%s was changed by another operator since version %llu",
-		       conflict, (unsigned long long)edit->base_version);
+		finish_edit(edit, EDIT_REFUSED,
+			    "%s was changed by another operator since version %llu", conflict,
+			    (unsigned long long)edit->base_version);
 		return;
 	}
 	if (table_check(core->table, edit->entries, edit->entry_count, &err) < 0) {
-		finish(edit, EDIT_REFUSED, "%s: %s", err.peer, err.text);
+		finish_edit(edit, EDIT_REFUSED, "%s: %s", err.peer, err.text);
 		return;
 	}
 	edit->sent_head = core->head_revision;
@@ -108,8 +109,8 @@
 {
 	(void)now;
 	/*
-	 * The very same swap: built on a later head, it could put the edit a second
-	 * time on top of itself, which a watch may have shown us by now.
+	 * The retry must expect the same head: the first attempt may have succeeded and
+	 * a watch may have brought its result, on which the edit would be applied twice.
 	 */
 	send_commit(list_entry(timer, edit_t, retry_timer));
 }
@@ -140,14 +141,15 @@
 	list_add_tail(&core->edits, &edit->node);
 	timers_arm(&core->timers, &edit->timer, core->now + timings->edit_timeout, on_timeout);
 	/*
-	 * Proxies that lose the store go on while they hear more than half of the
-	 * fleet. An edit taken on the smaller side of a cut would not reach them.
+	 * Proxies that lose the store keep serving while they reach more than half of
+	 * the fleet. An edit committed on the smaller side of a cut would not reach them.
 	 */
 	if (!tablesync_reaches_majority(core)) {
-		finish(edit, EDIT_REFUSED, "this proxy does not hear more than half of the fleet");
+		finish_edit(edit, EDIT_REFUSED,
+			    "this proxy does not hear more than half of the fleet");
 		return;
 	}
-	commit(edit);
+	check_and_commit(edit);
 }
 
 static edit_t *find_edit(const core_t *core, uint64_t id)
@@ -161,20 +163,20 @@
 	return NULL;
 }
 
-/* The edit, as the store now has it, goes into force here first. */
-static void taken(edit_t *edit, const store_event_t *event)
+/* The store has committed the edit: apply it here, from where it spreads to the fleet. */
+static void on_committed(edit_t *edit, const store_event_t *event)
 {
 	core_t *core = edit->core;
 
 	if (tablesync_merge(core, event->entries, event->entry_count, event->table_version,
 			    "edit") >= 0)
 		core->head_revision = event->head_revision;
-	finish(edit, EDIT_ACCEPTED, "in force here as version %llu",
-	       (unsigned long long)event->table_version);
+	finish_edit(edit, EDIT_ACCEPTED, "in force here as version %llu",
+		    (unsigned long long)event->table_version);
 }
 
-/* Somebody else's edit came first: take it in, and try on top of it. */
-static void overtaken(edit_t *edit, const store_event_t *event)
+/* Another edit was committed first: apply it and try this one on top of it. */
+static void on_conflict(edit_t *edit, const store_event_t *event)
 {
 	core_t *core = edit->core;
 
@@ -182,9 +184,9 @@
 	if (event->head_revision > core->head_revision)
 		core->head_revision = event->head_revision;
 	if (event->edit_found)
-		finish(edit, EDIT_ACCEPTED, "an earlier answer was lost; it had been taken");
+		finish_edit(edit, EDIT_ACCEPTED, "an earlier answer was lost; it had been taken");
 	else
-		commit(edit);
+		check_and_commit(edit);
 }
 
 void edit_store_done(core_t *core, uint64_t id, const store_event_t *event)
@@ -195,10 +197,10 @@
 		return;
 	switch (event->status) {
 	case STORE_OK:
-		taken(edit, event);
+		on_committed(edit, event);
 		break;
 	case STORE_CONFLICT:
-		overtaken(edit, event);
+		on_conflict(edit, event);
 		break;
 	case STORE_FAILED:
 		timers_arm(&core->timers, &edit->retry_timer,
--- a/core/event.h
+++ b/core/event.h
@@ -1,7 +1,8 @@
 /*
- * What goes into core (events) and what comes out (actions). Core does no I/O
- * and reads no clock: a harness feeds it timed events and carries out its
- * actions. Events are borrowed for the call; actions belong to who takes them.
+ * Input (events) and output (actions) of a core. A core does no I/O and reads no
+ * clock: an adapter passes it events with their time and carries out its actions.
+ * An event need only live during the call; the caller of core_pop_action() owns
+ * the action.
  */
 #pragma once
 
@@ -9,71 +10,74 @@
 #include "message.h"
 #include "types.h"
 
-/* Orders to a group member over its control connection. */
+/*
+ * Orders to a group member over its control connection: report its state, seal a
+ * term (promise to obey no lower one), become primary, replicate from a primary.
+ */
 typedef enum { ORDER_REPORT, ORDER_SEAL, ORDER_PROMOTE, ORDER_FOLLOW, ORDER_COUNT } order_kind_t;
 
 typedef enum {
 	ORDER_OK,
-	ORDER_REFUSED,	   /* the member declined, and reported why */
-	ORDER_UNREACHABLE, /* nobody listens there: the process is gone */
+	ORDER_REFUSED,	   /* the member declined and sent its report */
+	ORDER_UNREACHABLE, /* the connection was refused: the process is gone */
 	ORDER_TIMED_OUT,   /* no answer in time */
 } order_status_t;
 
-/* Work on a pooled connection. */
+/* Kinds of run: one step of a request on a pooled connection. */
 typedef enum {
-	RUN_READ,      /* one statement in a read-only transaction */
-	RUN_WRITE,     /* one statement, committed, with its request id if any */
-	RUN_BEGIN,     /* open a transaction */
+	RUN_READ,  /* one statement in a read-only transaction */
+	RUN_WRITE, /* one statement and its commit, which stores the request id if there is one */
+	RUN_BEGIN, /* open a transaction */
 	RUN_STATEMENT, /* a statement of the open transaction */
-	RUN_COMMIT,    /* commit it, with the request id if any */
+	RUN_COMMIT,    /* commit it, and store the request id if there is one */
 	RUN_ROLLBACK,
 	RUN_COUNT,
 } run_kind_t;
 
 typedef enum {
 	RUN_OK,
-	RUN_NOT_PRIMARY,	/* the server takes no writes (any more), and kept nothing */
-	RUN_REJECTED,		/* the server said no and kept nothing */
-	RUN_LOST_BEFORE_COMMIT, /* connection gone, commit never sent: rolled back */
-	RUN_LOST_AT_COMMIT,	/* connection gone, commit may have taken */
+	RUN_NOT_PRIMARY,	/* the server is read-only; nothing has taken effect */
+	RUN_REJECTED,		/* the server returned an error; nothing has taken effect */
+	RUN_LOST_BEFORE_COMMIT, /* connection lost before the commit was sent: rolled back */
+	RUN_LOST_AT_COMMIT,	/* connection lost after the commit was sent: may have run */
 } run_status_t;
 
 typedef struct run_result {
 	run_status_t status;
 	report_t before; /* the member's report just before the statement */
 	report_t after;	 /* and just after the statement or commit */
-	bool repeated;	 /* the request id was known; rows are the stored answer */
+	bool repeated;	 /* the request id had run before; rows are its stored answer */
 	char *rows;
 	char *detail; /* for all but RUN_OK */
 } run_result_t;
 
-/* A VM of the fleet, as the platform lists it. */
+/* A VM in the platform's list. */
 typedef struct vm {
 	char *name;
 	char *zone;
 	char *address;
 	bool leaving;
-	bool backend; /* a backend server, known by its address, not a proxy */
+	bool backend; /* a backend server, identified by its address, not a proxy */
 } vm_t;
 
 typedef enum { STORE_OK, STORE_CONFLICT, STORE_FAILED } store_status_t;
 
-/* Where an operator's edit stands. */
+/* The result of an operator's edit. */
 typedef enum { EDIT_ACCEPTED, EDIT_REFUSED, EDIT_UNKNOWN } edit_status_t;
 
 typedef enum {
-	EVENT_TICK,  /* a timer of core is due */
+	EVENT_TICK,  /* a timer of the core is due */
 	EVENT_QUERY, /* from a caller */
 	EVENT_CALLER_GONE,
 	EVENT_MESSAGE, /* from a peer */
-	EVENT_UNSENT,  /* a message to a peer was certainly not sent */
+	EVENT_UNSENT,  /* a message to a peer has certainly not been sent */
 	EVENT_CONN_UP,
 	EVENT_CONN_DOWN,
 	EVENT_RUN_DONE,
 	EVENT_ORDER_DONE,
 	EVENT_CONTROL_DOWN, /* a member's control connection broke */
-	EVENT_STORE_LOADED, /* the whole table, or what a watch brought */
-	EVENT_STORE_DONE,   /* an edit's compare-and-swap ended */
+	EVENT_STORE_LOADED, /* the result of a load, or a change from the watch */
+	EVENT_STORE_DONE,   /* the result of an edit's compare-and-swap */
 	EVENT_WATCH_DOWN,
 	EVENT_VMS,
 	EVENT_EDIT, /* an operator's edit */
@@ -95,7 +99,7 @@
 
 /* EVENT_CONN_UP; the id is the connection. */
 typedef struct conn_up_event {
-	int64_t slot; /* of the row's limit that the new connection has claimed */
+	int64_t slot; /* of the row's limit, claimed at the member by the new connection */
 } conn_up_event_t;
 
 /* EVENT_CONN_DOWN; the id is the connection. */
@@ -113,7 +117,7 @@
 	const char *group;
 	const char *member;
 	order_status_t status;
-	report_t report; /* of a member that answered */
+	report_t report; /* valid with ORDER_OK and ORDER_REFUSED */
 } order_event_t;
 
 /* EVENT_CONTROL_DOWN. */
@@ -128,11 +132,11 @@
 	const table_entry_t *entries;
 	size_t entry_count;
 	uint64_t table_version;
-	int64_t head_revision; /* the store's, of the table's head */
-	bool edit_found;       /* EVENT_STORE_DONE: the edit id is among those already taken */
+	int64_t head_revision; /* the store's revision of the key that holds the table version */
+	bool edit_found;       /* EVENT_STORE_DONE: the store lists the edit id as committed */
 } store_event_t;
 
-/* EVENT_VMS; the id is the question. */
+/* EVENT_VMS; the id is that of ACTION_VMS. */
 typedef struct vms_event {
 	store_status_t status;
 	const vm_t *vms;
@@ -169,15 +173,15 @@
 	ACTION_ANSWER,	/* to a caller */
 	ACTION_SEND,	/* to a peer */
 	ACTION_CONNECT, /* open a pooled connection and claim a slot of the row's limit */
-	ACTION_CLOSE,	/* a busy connection then reports how its run ended */
+	ACTION_CLOSE,	/* close a connection; if busy, EVENT_RUN_DONE follows */
 	ACTION_RUN,
 	ACTION_ORDER,
 	ACTION_STORE_LOAD,
 	ACTION_STORE_WATCH,
 	ACTION_STORE_COMMIT,
-	ACTION_VMS, /* ask the platform for its list */
+	ACTION_VMS, /* query the platform's list of VMs */
 	ACTION_EDIT_DONE,
-	ACTION_LOG, /* a line for the log */
+	ACTION_LOG, /* write a log line */
 	ACTION_DRAINED,
 	ACTION_COUNT,
 } action_kind_t;
@@ -188,7 +192,7 @@
 	char *token; /* NULL: the session has not changed */
 } answer_action_t;
 
-/* ACTION_SEND; the id is the request that the message is about, if any. */
+/* ACTION_SEND; the id is the request that the message refers to, or 0. */
 typedef struct send_action {
 	char *peer;
 	char *address; /* NULL: unknown */
@@ -200,9 +204,9 @@
 	char *group;
 	char *member;
 	char *address;
-	char *row; /* "SERVICE/CLASS", whose limit the connection counts against */
+	char *row; /* "SERVICE/CLASS": the connection counts against this row's limit */
 	int64_t limit;
-	bool evict; /* if no slot is free, end a session that holds one */
+	bool evict; /* if no slot is free, terminate the session that holds one */
 } connect_action_t;
 
 /* ACTION_RUN; the id is the connection. */
@@ -224,7 +228,7 @@
 	usec_t timeout;
 } order_action_t;
 
-/* ACTION_STORE_LOAD and ACTION_STORE_WATCH: what is known already. */
+/* ACTION_STORE_LOAD and ACTION_STORE_WATCH: the version held here, as the starting point. */
 typedef struct load_action {
 	uint64_t table_version;
 	int64_t head_revision;
@@ -232,7 +236,7 @@
 
 /* ACTION_STORE_COMMIT; the id is the edit. */
 typedef struct commit_action {
-	int64_t head_revision; /* of the head that is to be replaced */
+	int64_t head_revision; /* the swap succeeds only if the head is unchanged */
 	uint64_t table_version;
 	char *edit_id;
 	char *author;
@@ -244,7 +248,7 @@
 typedef struct edit_action {
 	edit_status_t status;
 	uint64_t table_version;
-	char *text; /* why it was refused */
+	char *text; /* explains the status */
 } edit_action_t;
 
 /* ACTION_LOG. */
--- a/core/message.h
+++ b/core/message.h
@@ -1,6 +1,6 @@
 /*
- * Messages between proxies, as core sees them. The peers' link puts them on
- * the wire; PROTOCOLS.md gives the format and the rules for versions.
+ * Messages between proxies, decoded. PROTOCOLS.md specifies the wire format and
+ * the compatibility rules.
  */
 #pragma once
 
@@ -10,10 +10,10 @@
 
 typedef enum {
 	MESSAGE_HEARTBEAT,
-	MESSAGE_EXECUTE,    /* run this query for me */
-	MESSAGE_ACCEPTED,   /* the execute arrived and is in hand */
+	MESSAGE_EXECUTE,    /* run this query for a caller of the sender */
+	MESSAGE_ACCEPTED,   /* the execute message has arrived and is being served */
 	MESSAGE_ANSWER,	    /* the final answer to an execute */
-	MESSAGE_TABLE_PULL, /* send me what changed since a version */
+	MESSAGE_TABLE_PULL, /* request the table's changes since a version */
 	MESSAGE_TABLE_PUSH,
 	MESSAGE_COUNT,
 } message_kind_t;
@@ -28,9 +28,9 @@
 typedef struct message {
 	message_kind_t kind;
 	/*
-	 * A clock reading of the sender, and the last such reading of the receiver
-	 * that the sender has seen (0: none). The receiver learns from the echo how
-	 * old a message can be at most, without comparing clocks.
+	 * The sender's clock, and the last clock reading of the receiver that the sender has
+	 * received (0: none). The message was sent after the echoed reading, so the receiver
+	 * can bound its age without comparing clocks.
 	 */
 	usec_t sent_at;
 	usec_t echo;
@@ -41,14 +41,14 @@
 	char *address;
 	bool leaving;
 	uint64_t table_version;
-	usec_t store_age; /* since the sender's table was known to be the store's */
+	usec_t store_age; /* time since the sender's table was confirmed to be the store's */
 
 	/* execute, accepted, answer */
 	uint64_t request;
 	query_t *query;
 	answer_t *answer;
 
-	/* table pull (since) and push (entries up to version) */
+	/* table pull (since) and push (entries changed after since, up to table_version) */
 	uint64_t since;
 	table_entry_t *entries;
 	size_t entry_count;
--- a/core/position.h
+++ b/core/position.h
@@ -4,15 +4,16 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* A place in a group's replicated log: the term it was written in, and where. */
+/* A position in a group's replicated log, with the term of the entry there. */
 typedef struct position {
 	uint64_t term;
 	uint64_t lsn;
 } position_t;
 
 /*
- * True if a log that ends at have contains want. Holds for confirmed positions
- * only: they are part of every later term's log, unconfirmed ones may not be.
+ * True if a log that ends at have contains want. Valid only if want is confirmed
+ * (held by a majority): such entries are in the log of every later term, while
+ * unconfirmed entries may be missing there.
  */
 static inline bool position_covers(position_t have, position_t want)
 {
--- a/core/state.h
+++ b/core/state.h
@@ -1,4 +1,10 @@
-/* The state of a core, shared by its modules and nobody else. */
+/*
+ * The state of a core (core.h), private to the modules of this folder.
+ *
+ * The operators' table (table.h) lists database groups and rows. A group is a
+ * set of members, backend servers with one replicated log, of which one is the
+ * primary. A row is a service and a class of requests, with its group and limits.
+ */
 #pragma once
 
 #include <uthash.h>
@@ -13,9 +19,9 @@
 struct placement_ops;
 typedef struct request request_t;
 
-/* A pooled connection. */
 typedef enum { CONN_CONNECTING, CONN_IDLE, CONN_BUSY, CONN_IN_TX } conn_state_t;
 
+/* The connections to one member for one row. */
 typedef struct pool {
 	list_t node; /* in member_t.pools */
 	char *row;
@@ -24,8 +30,8 @@
 	size_t total;
 	size_t connecting;
 	usec_t connect_after;	/* backoff after a refused or failed connect */
-	uint64_t dispatch_pass; /* of exec_dispatch, in which wanted was counted */
-	size_t wanted;		/* requests that found no connection in that pass */
+	uint64_t dispatch_pass; /* the group's pass in which wanted was counted */
+	size_t wanted;		/* requests that found no idle connection in that pass */
 } pool_t;
 
 typedef struct conn {
@@ -36,7 +42,7 @@
 	conn_state_t state;
 	int64_t slot;
 	usec_t idle_since;
-	request_t *request; /* whose run it is busy with, NULL if that was given up on */
+	request_t *request; /* that it runs; NULL if idle or if the request has been abandoned */
 	struct tx *tx;
 } conn_t;
 
@@ -57,35 +63,36 @@
 	bool leaving;
 	bool has_report;
 	report_t report;
-	usec_t reported_as_of; /* when the last answered report was asked for */
+	usec_t reported_as_of; /* when the report that was answered last was requested */
 	uint64_t report_order;
 	usec_t report_sent;
 	usec_t next_report;
 	int misses;	 /* reports in a row without an answer */
-	int unreachable; /* of these, those at which nobody listened */
+	int unreachable; /* how many of the misses were refused connections */
 	usec_t srtt;
 	usec_t rttvar;
-	usec_t data_as_of; /* its data is at least as new as the primary's was then, 0 unknown */
+	usec_t data_as_of; /* its data is at least as new as the primary's was then; 0: unknown */
 	usec_t follow_sent;
 	uint64_t follow_order;
-	uint64_t followed_term; /* the term in which it has obeyed an order to follow */
+	uint64_t followed_term; /* the term in which the member last obeyed ORDER_FOLLOW */
 	int64_t running;
 	list_t pools;
 } member_t;
 
-/* Where the primary's log stood at a time; true once a majority confirmed the primary. */
+/* Position of the primary's log, see samples.h. */
 typedef struct sample {
-	usec_t at;
+	usec_t at; /* when the report with this position was requested */
 	uint64_t lsn;
-	bool confirmed;
+	bool confirmed; /* a majority obeyed the primary's term at that time or later */
 } sample_t;
 
-/* Samples lie at least this far apart, so that the ring spans the lag of slow replicas. */
+/* The least time between samples, so that the ring spans the lag of slow replicas. */
 #define SAMPLE_SPACING (50 * USEC_PER_MSEC)
 #define GROUP_SAMPLES  256
 
 typedef enum { TAKEOVER_NONE, TAKEOVER_SEALING, TAKEOVER_PROMOTING } takeover_state_t;
 
+/* A replacement of the group's primary by this proxy, see takeover.h. */
 typedef struct takeover {
 	takeover_state_t state;
 	uint64_t term;
@@ -97,44 +104,49 @@
 	report_t reports[GROUP_MAX_MEMBERS];
 	uint64_t promote_order;
 	run_timer_t timer;
-	usec_t not_before; /* backoff */
+	usec_t not_before; /* no new takeover earlier: backoff after a failed one */
 	usec_t stall_backoff;
 	const char *reason;
 	uint64_t count;
 } takeover_t;
 
+/*
+ * A group of the operators' table. The first FLEET_RANKS proxies by rank watch
+ * it: they poll its members and may take over. The first of them, its home, runs
+ * the group's requests.
+ */
 struct group {
 	char *name;
 	UT_hash_handle hh;
 	core_t *core;
 	ranks_t ranks;
-	int rank;	   /* ours among the watchers, -1 if none */
+	int rank;	   /* of this proxy among the watchers, -1 if it is none */
 	member_t *members; /* NULL unless watched */
 	size_t member_count;
-	bool members_changing; /* runs are held back until the list of members is replaced */
-	uint64_t term;	       /* highest sealed that was reported */
-	member_t *primary;     /* promoted for that term, as far as we know */
+	bool members_changing; /* no run is started until the list of members is replaced */
+	uint64_t term;	       /* the highest sealed term that a member has reported */
+	member_t *primary; /* the member that reports to be primary of that term, NULL if none */
 	usec_t watched_since;
-	usec_t primary_lost_at; /* since when there is no usable one, 0 if there is */
-	sample_t *samples;	/* GROUP_SAMPLES of them; NULL unless watched */
+	usec_t primary_lost_at; /* since when there is no primary, 0 if there is one */
+	sample_t *samples;	/* a ring of GROUP_SAMPLES; NULL unless watched */
 	size_t sample_next;
 	list_t queue;		/* request_t, by weight and deadline */
-	list_t confirms;	/* request_t waiting for a majority */
-	usec_t confirm_time;	/* smoothed time that confirmation takes */
-	usec_t confirm_peak;	/* the longest of late */
-	usec_t service_time[2]; /* smoothed time that a run takes, by row_kind_t */
+	list_t confirms;	/* request_t that wait for a majority, see confirm.h */
+	usec_t confirm_time;	/* moving average of the time that a confirmation takes */
+	usec_t confirm_peak;	/* slowly decaying maximum of that time */
+	usec_t service_time[2]; /* moving average of the time that a run takes, by row_kind_t */
 	double retry_tokens;
 	takeover_t takeover;
 	run_timer_t timer;
-	bool dispatching;
-	uint64_t dispatch_pass;
+	bool dispatching;	/* exec_dispatch() is on the call stack */
+	uint64_t dispatch_pass; /* number of calls of exec_dispatch() */
 };
 
 typedef enum {
-	REQUEST_FORWARDED, /* another proxy is running it */
+	REQUEST_FORWARDED, /* sent to another proxy, or not routed yet */
 	REQUEST_QUEUED,
 	REQUEST_RUNNING,
-	REQUEST_CONFIRMING, /* run; waits for a majority of the group */
+	REQUEST_CONFIRMING, /* has run and waits for a majority of the group */
 } request_state_t;
 
 #define REQUEST_MAX_TRIES 4
@@ -144,7 +156,7 @@
 	UT_hash_handle hh;
 	core_t *core;
 	request_state_t state;
-	/* Who wants the answer: a caller of ours, or a peer that forwarded it. */
+	/* Gets the answer: a caller of this proxy, or the peer that forwarded the request. */
 	uint64_t caller;
 	char *peer;
 	uint64_t peer_request;
@@ -156,14 +168,17 @@
 	usec_t deadline;
 	run_timer_t timer;
 
-	/* while forwarded */
+	/* in state REQUEST_FORWARDED */
 	char *home;
 	char *tried_homes[REQUEST_MAX_TRIES];
 	size_t tried_count;
-	/* For a caller's: the home must accept by then. For a peer's: we tell it that we have. */
+	/*
+	 * For a caller's request: the home must accept it by then, or it is routed again. For
+	 * a peer's request: when this proxy sends MESSAGE_ACCEPTED.
+	 */
 	run_timer_t ack_timer;
 
-	/* while run here */
+	/* in the other states, at the proxy that runs the request */
 	group_t *group;
 	list_t node; /* in group_t.queue or group_t.confirms */
 	row_kind_t kind;
@@ -178,12 +193,12 @@
 	member_t *run_member;
 	usec_t run_started;
 	run_result_t *result;
-	position_t position; /* a majority must hold this */
-	usec_t ran_at;
-	usec_t data_as_of;
+	position_t position; /* the log position that a majority must hold before the answer */
+	usec_t ran_at;	     /* when the run ended */
+	usec_t data_as_of;   /* the data read is at least as new as the primary's was then */
 };
 
-/* Progress of one operator's edit. */
+/* An operator's edit of the table that has no final answer yet. */
 typedef struct edit {
 	list_t node;
 	uint64_t id; /* of the operator's call */
@@ -193,7 +208,7 @@
 	size_t entry_count;
 	uint64_t base_version;
 	bool commit_sent;
-	int64_t sent_head; /* what the last swap was built on */
+	int64_t sent_head; /* the head revision that the last compare-and-swap expected */
 	uint64_t sent_version;
 	run_timer_t timer;
 	run_timer_t retry_timer;
@@ -211,15 +226,15 @@
 	list_t actions;
 	timer_set_t timers;
 	fleet_t *fleet;
-	uint64_t fleet_epoch; /* that the groups' ranks follow */
-	bool refresh_pending; /* a group waits for its runs to end before it changes */
+	uint64_t fleet_epoch; /* for which the groups' ranks were computed */
+	bool refresh_pending; /* a group changes when its runs have ended: check again soon */
 	table_t *table;
-	int64_t head_revision;	/* of the store, with our table's version */
-	ranks_t store_watchers; /* proxies that watch the store */
+	int64_t head_revision;	/* of the store's table, as of the version held here */
+	ranks_t store_watchers; /* the proxies that watch the store, see tablesync.h */
 	bool watching_store;
-	uint64_t load_id; /* load in progress, 0 none */
+	uint64_t load_id; /* of the load in flight, 0 if none */
 	usec_t load_sent;
-	usec_t table_current_at; /* our table was known to be the store's then */
+	usec_t table_current_at; /* the table held here was the store's at this time, 0 unknown */
 	usec_t last_pull;
 	group_t *groups;
 	request_t *requests;
@@ -228,7 +243,7 @@
 	list_t edits;
 	bool draining;
 	bool drained;
-	usec_t resumed_at; /* end of the last pause */
+	usec_t resumed_at; /* end of the last pause of this process, or its start */
 	run_timer_t heartbeat_timer;
 	run_timer_t store_timer;
 	run_timer_t vm_timer;
@@ -237,14 +252,14 @@
 	uint64_t pauses;
 };
 
-/* A fresh action at the end of the queue; the caller fills it in. */
+/* Append a zeroed action to the queue; the caller fills it in. */
 action_t *core_add_action(core_t *core, action_kind_t kind);
 
-/* A line for the log: what was decided, with which step and peer. */
+/* Emit a log line (ACTION_LOG). */
 void core_log(core_t *core, bool warning, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
 uint64_t core_next_id(core_t *core);
 
-/* A number below limit (which is not 0). */
+/* A pseudo-random number below limit, which must not be 0. */
 uint64_t core_random(core_t *core, uint64_t limit);
--- a/core/takeover.c
+++ b/core/takeover.c
@@ -7,20 +7,23 @@
 #include "group.h"
 #include "pool.h"
 
-/* Refused connections in a row that prove that nobody is there. */
+/* Refused connections in a row that prove that the process is gone. */
 #define UNREACHABLE_PROOF 2
-/* Backoff after a takeover that failed: this much and up to as much again, at random. */
+/* Backoff after a failed takeover: a random time from this to twice this. */
 #define RETRY_BACKOFF (50 * USEC_PER_MSEC)
-/* A confirmation this many times slower than the slowest of late is a stall. */
+/* A confirmation this many times slower than the recent peak is a stall. */
 #define STALL_FACTOR 2
-/* After a takeover for a stall that cured nothing, the next one waits longer by this, up to MAX. */
+/*
+ * After the first takeover for a stall, the next one waits this many times stall_after,
+ * then twice as long each time, up to the maximum, until a confirmation succeeds.
+ */
 #define STALL_BACKOFF_FACTOR 10
 #define STALL_BACKOFF_MAX    (60 * USEC_PER_SEC)
 
-static void on_timeout(run_timer_t *timer, usec_t now);
+static void on_step_timeout(run_timer_t *timer, usec_t now);
 
-/* Longer than answers usually take, jitter included. */
-static usec_t allowed_wait(const member_t *member)
+/* Longer than the member's answers usually take, as for TCP retransmission (RFC 6298). */
+static usec_t answer_timeout(const member_t *member)
 {
 	usec_t floor = member->group->core->config.timings.detect_floor;
 	usec_t usual = member->srtt + 4 * member->rttvar;
@@ -29,8 +32,8 @@
 }
 
 /*
- * Only an unanswered question is evidence. The age of the last answer is not: a
- * proxy that has just become the group's home asked seldom before.
+ * Only an unanswered request for a report counts. The age of the last report does
+ * not: a proxy that has just become the group's home polled less often before.
  */
 static bool is_silent(const member_t *member)
 {
@@ -38,7 +41,8 @@
 
 	if (member->misses > member->unreachable)
 		return true;
-	return member->report_order != 0 && core->now - member->report_sent > allowed_wait(member);
+	return member->report_order != 0 &&
+	       core->now - member->report_sent > answer_timeout(member);
 }
 
 usec_t takeover_silence_deadline(const group_t *group)
@@ -47,13 +51,13 @@
 
 	if (primary == NULL || primary->report_order == 0)
 		return USEC_NEVER;
-	return primary->report_sent + allowed_wait(primary) + 1;
+	return primary->report_sent + answer_timeout(primary) + 1;
 }
 
 /*
- * A primary cut off from its peers still takes writes, but none is confirmed.
- * Replicas that just lag look the same for a while, hence the wide margin and
- * the growing backoff: needless takeovers would not cure a lag.
+ * A primary cut off from its replicas still accepts writes, but none is confirmed.
+ * Replicas that merely lag look the same for a while, and a takeover would not help
+ * then; hence the wide margin and the growing backoff.
  */
 static bool is_stalled(const group_t *group)
 {
@@ -67,8 +71,8 @@
 	return confirm_oldest_wait(group) > limit;
 }
 
-/* Why the primary counts as failed by our own evidence; NULL if it does not. */
-static const char *find_reason(const group_t *group)
+/* Why the primary counts as failed as observed by this proxy; NULL if it does not. */
+static const char *find_failure(const group_t *group)
 {
 	const member_t *primary = group->primary;
 	const core_timings_t *timings = &group->core->config.timings;
@@ -89,8 +93,8 @@
 	return NULL;
 }
 
-/* The baseline for measurements: one fixed time-out, one watcher, no other evidence. */
-static const char *find_reason_fixed(const group_t *group)
+/* The baseline for measurements: the home uses one fixed time-out and nothing else. */
+static const char *find_failure_fixed(const group_t *group)
 {
 	const core_t *core = group->core;
 	usec_t since =
@@ -101,7 +105,7 @@
 	return "fixed time-out";
 }
 
-/* When this rank's turn comes: the evidence must last a stagger longer for each rank above. */
+/* Each rank waits one stagger longer than the rank before it, so that one watcher acts first. */
 static bool is_our_turn(const group_t *group)
 {
 	const core_t *core = group->core;
@@ -129,12 +133,12 @@
 	return term > group->takeover.term ? term : group->takeover.term;
 }
 
-static void arm(group_t *group)
+static void arm_step_timer(group_t *group)
 {
 	core_t *core = group->core;
 
 	timers_arm(&core->timers, &group->takeover.timer,
-		   core->now + core->config.timings.seal_timeout, on_timeout);
+		   core->now + core->config.timings.seal_timeout, on_step_timeout);
 }
 
 static void raise_stall_backoff(group_t *group)
@@ -152,19 +156,19 @@
 }
 
 /*
- * A primary that leaves or is cut off from its peers can still answer, and its
- * log is the longest: sealed with the others it would be promoted again. So it
- * is not asked; the others must make the majority, and hold all that was
- * acknowledged. The order to follow seals it afterwards.
+ * A primary that is leaving or cut off from its replicas can still answer, and its
+ * log is the longest: if it were sealed with the others it would be promoted again.
+ * So the others must form the majority, which holds all acknowledged writes.
+ * ORDER_FOLLOW seals the old primary afterwards.
  */
-static bool is_passed_over(const member_t *member)
+static bool is_excluded_from_sealing(const member_t *member)
 {
 	const group_t *group = member->group;
 
 	return member->leaving || (member == group->primary && is_stalled(group));
 }
 
-static void start(group_t *group, const char *reason)
+static void start_takeover(group_t *group, const char *reason)
 {
 	takeover_t *takeover = &group->takeover;
 	core_t *core = group->core;
@@ -181,15 +185,15 @@
 	for (size_t i = 0; i < group->member_count; i++) {
 		takeover->sealed[i] = false;
 		takeover->seal_orders[i] = 0;
-		if (!is_passed_over(&group->members[i]))
+		if (!is_excluded_from_sealing(&group->members[i]))
 			takeover->seal_orders[i] = member_send_order(&group->members[i], ORDER_SEAL,
 								     takeover->term, NULL);
 	}
 	raise_stall_backoff(group);
-	arm(group);
+	arm_step_timer(group);
 }
 
-static size_t count_recent(const group_t *group)
+static size_t count_recent_reports(const group_t *group)
 {
 	const core_t *core = group->core;
 	size_t n = 0;
@@ -210,44 +214,45 @@
 
 	if (group->takeover.state != TAKEOVER_NONE || core->now < group->takeover.not_before)
 		return;
-	reason = core->config.fixed_detection ? find_reason_fixed(group) : find_reason(group);
+	reason = core->config.fixed_detection ? find_failure_fixed(group) : find_failure(group);
 	if (reason == NULL || !is_our_turn(group))
 		return;
-	/* Who can't reach a majority judges nobody: the cut may be on our side. */
+	/* Without a majority in reach, this proxy itself may be the one that is cut off. */
 	if (group_count_responsive(group) < group_majority(group))
 		return;
-	/* One that stands by asks seldom: somebody else may have taken over since. */
-	if (count_recent(group) < group_majority(group)) {
+	/* A standby polls rarely: another proxy may have taken over since its last reports. */
+	if (count_recent_reports(group) < group_majority(group)) {
 		group_request_reports(group);
 		return;
 	}
-	start(group, reason);
+	start_takeover(group, reason);
 }
 
-static void fail(group_t *group, const char *why)
+static void abort_takeover(group_t *group, const char *why)
 {
 	takeover_t *takeover = &group->takeover;
 	core_t *core = group->core;
 
 	timers_cancel(&core->timers, &takeover->timer);
 	takeover->state = TAKEOVER_NONE;
-	/* At random, so that two proxies that collided do not collide again. */
+	/* Randomised, so that two proxies that collided do not collide again. */
 	takeover->not_before = core->now + RETRY_BACKOFF + core_random(core, RETRY_BACKOFF);
 	core_log(core, true, "takeover failed group=%s term=%llu: %s", group->name,
 		 (unsigned long long)takeover->term, why);
 }
 
-static void on_timeout(run_timer_t *timer, usec_t now)
+static void on_step_timeout(run_timer_t *timer, usec_t now)
 {
 	takeover_t *takeover = list_entry(timer, takeover_t, timer);
 	group_t *group = list_entry(takeover, group_t, takeover);
 
 	(void)now;
-	fail(group, takeover->state == TAKEOVER_SEALING ? "no majority sealed in time"
-							: "promotion not answered in time");
+	abort_takeover(group, takeover->state == TAKEOVER_SEALING
+				      ? "no majority sealed in time"
+				      : "promotion not answered in time");
 }
 
-static bool is_longer(position_t a, position_t b)
+static bool is_longer_log(position_t a, position_t b)
 {
 	return a.term != b.term ? a.term > b.term : a.lsn > b.lsn;
 }
@@ -263,7 +268,7 @@
 		if (!takeover->sealed[i])
 			continue;
 		sealed++;
-		if (best == NULL || is_longer(takeover->reports[i].log, best_log)) {
+		if (best == NULL || is_longer_log(takeover->reports[i].log, best_log)) {
 			best = &group->members[i];
 			best_log = takeover->reports[i].log;
 		}
@@ -274,14 +279,14 @@
 	takeover->sealed_at = group->core->now;
 	takeover->candidate = best;
 	takeover->promote_order = member_send_order(best, ORDER_PROMOTE, takeover->term, NULL);
-	/* A sealed majority never confirms what still runs on the old primary: queue it again. */
+	/* A sealed majority never confirms runs on the old primary: end them for a retry. */
 	if (group->primary != NULL && group->primary != best)
 		pool_close_superseded(group->primary);
 	exec_dispatch(group);
-	arm(group);
+	arm_step_timer(group);
 }
 
-static void finish(group_t *group, const report_t *report, usec_t sent)
+static void finish_takeover(group_t *group, const report_t *report, usec_t sent)
 {
 	takeover_t *takeover = &group->takeover;
 	core_t *core = group->core;
@@ -300,7 +305,7 @@
 	exec_dispatch(group);
 }
 
-static void seal_done(group_t *group, size_t i, const order_event_t *event)
+static void handle_seal_done(group_t *group, size_t i, const order_event_t *event)
 {
 	takeover_t *takeover = &group->takeover;
 
@@ -308,7 +313,7 @@
 	if (event->status == ORDER_REFUSED) {
 		takeover->reports[i] = event->report;
 		group_apply_report(group, &group->members[i], &event->report, takeover->started);
-		fail(group, "a member has sealed a later term");
+		abort_takeover(group, "a member has sealed a later term");
 		return;
 	}
 	if (event->status != ORDER_OK)
@@ -324,12 +329,12 @@
 	size_t i = (size_t)(member - group->members);
 
 	if (takeover->state == TAKEOVER_SEALING && takeover->seal_orders[i] == id) {
-		seal_done(group, i, event);
+		handle_seal_done(group, i, event);
 	} else if (takeover->state == TAKEOVER_PROMOTING && takeover->promote_order == id) {
 		if (event->status == ORDER_OK) {
-			finish(group, &event->report, takeover->sealed_at);
+			finish_takeover(group, &event->report, takeover->sealed_at);
 		} else {
-			fail(group, "the chosen member was not promoted");
+			abort_takeover(group, "the chosen member was not promoted");
 		}
 	}
 }
--- a/core/types.h
+++ b/core/types.h
@@ -1,6 +1,6 @@
 /*
- * Words shared by all of core: log positions, reports of group members,
- * outcomes, and the reasons for which a request is refused.
+ * Basic types of the core: reports of group members, requests, answers with their
+ * outcomes, and the reasons for refusals.
  */
 #pragma once
 
@@ -10,11 +10,11 @@
 #include "clock.h"
 #include "position.h"
 
-/* What a group member says of itself, all of it at one instant. */
+/* The state that a group member reports of itself, taken at one instant. */
 typedef struct report {
-	uint64_t sealed; /* highest term it has promised to obey */
-	position_t log;	 /* term of its last log entry, and its log position */
-	bool primary;	 /* it was promoted for the term it has sealed */
+	uint64_t sealed; /* highest sealed term: the member obeys no lower one */
+	position_t log;	 /* term and position of its last log entry */
+	bool primary;	 /* the member was promoted for the term that it has sealed */
 } report_t;
 
 typedef enum { OUTCOME_DONE, OUTCOME_NOT_RUN, OUTCOME_UNKNOWN } outcome_t;
@@ -22,25 +22,25 @@
 typedef enum {
 	REFUSAL_NONE,
 	REFUSAL_BAD_REQUEST,   /* the request itself is wrong */
-	REFUSAL_BAD_TOKEN,     /* the session token is not ours */
+	REFUSAL_BAD_TOKEN,     /* the session token is not authentic */
 	REFUSAL_UNKNOWN_ROW,   /* the table has no such service and class */
-	REFUSAL_NO_TABLE,      /* no table yet, or it can't be known to be current */
+	REFUSAL_NO_TABLE,      /* there is no table yet, or it may be outdated */
 	REFUSAL_NO_PRIMARY,    /* no usable primary within the deadline */
-	REFUSAL_NO_MAJORITY,   /* the group could not confirm what was run */
-	REFUSAL_OVERLOAD,      /* the wait would not fit the deadline */
+	REFUSAL_NO_MAJORITY,   /* no majority of the group confirmed the run in time */
+	REFUSAL_OVERLOAD,      /* the request would not finish by its deadline */
 	REFUSAL_DEADLINE,      /* the deadline passed */
 	REFUSAL_NO_HOME,       /* no proxy that serves the group can be reached */
-	REFUSAL_STALE_MESSAGE, /* a forwarded request that may be old */
+	REFUSAL_STALE_MESSAGE, /* a forwarded request that may have passed its deadline */
 	REFUSAL_SHUTDOWN,      /* this proxy is shutting down */
 	REFUSAL_SQL,	       /* the backend server rejected the statement */
 	REFUSAL_TX_LOST,       /* the transaction is gone; it was rolled back */
 	REFUSAL_TX_BUSY,       /* a statement of the transaction is still running */
 	REFUSAL_CONN_LOST,     /* the backend connection broke */
-	REFUSAL_RETRY_BUDGET,  /* too many retries of late */
+	REFUSAL_RETRY_BUDGET,  /* the group's retry budget is used up */
 	REFUSAL_COUNT,
 } refusal_t;
 
-/* Names for answers, logs and dumps, such as "not_run" and "no_primary". */
+/* Names in answers, logs and dumps, such as "not_run" and "no_primary". */
 const char *outcome_name(outcome_t outcome);
 const char *refusal_name(refusal_t refusal);
 
@@ -59,31 +59,31 @@
 	char *service;
 	char *class_name;
 	char *text;
-	char *params;		 /* JSON array, passed to the backend server as parameters */
-	char *request_id;	 /* makes a write idempotent */
-	char *tx;		 /* handle of an open transaction */
-	bool repeatable;	 /* running it twice does no harm */
-	bool resend;		 /* the caller sent it before and does not know the outcome */
-	bool continued;		 /* the session exists although no token came with it */
-	position_t min_position; /* what the session has seen of this group */
-	usec_t time_left;	 /* time until the deadline, from when it was received or sent */
+	char *params;	  /* JSON array, passed to the backend server as parameters */
+	char *request_id; /* stored with a write, which makes resends idempotent */
+	char *tx;	  /* handle of an open transaction */
+	bool repeatable;  /* running the statement twice does no harm */
+	bool resend;	  /* the caller has sent it before and has not received the outcome */
+	bool continued;	  /* the caller has a session but has lost its token */
+	position_t min_position; /* a read must include the group's log up to here */
+	usec_t time_left; /* time until the deadline, as of when the query was received or sent */
 } query_t;
 
 /* The one final answer to a query. */
 typedef struct answer {
 	outcome_t outcome;
 	refusal_t refusal;
-	usec_t retry_after; /* when to come back, for refusals */
-	usec_t age;	    /* how old the data may be at most, for reads */
-	bool repeated;	    /* the stored answer of an earlier attempt */
+	usec_t retry_after; /* for refusals: time after which a retry makes sense */
+	usec_t age;	    /* for reads: upper bound on the age of the data */
+	bool repeated;	    /* this is the stored answer of an earlier attempt */
 	position_t position;
-	char *detail; /* for refusals: which step, which peer, what it said */
+	char *detail; /* for refusals: the step, the peer and its error text */
 	char *rows;   /* JSON object with columns, rows and affected */
-	char *member; /* who ran it */
+	char *member; /* that ran the query */
 	char *group;
 	char *tx;
 } answer_t;
 
-/* Deep copies, as children of parent. */
+/* Deep copies, as talloc children of parent. */
 query_t *query_copy(void *parent, const query_t *query);
 answer_t *answer_copy(void *parent, const answer_t *answer);
