--- a/core/exec.c
+++ b/core/exec.c
@@ -17,22 +17,22 @@
 #define MAX_ATTEMPTS 5
 #define SMOOTH_SHIFT 3
 #define PERCENT	     100
-/* When a primary is missing, callers are told to come back after this. */
+/* The least retry_after of refusals while a group has no primary. */
 #define FAILOVER_RETRY_AFTER (300 * USEC_PER_MSEC)
 
-static usec_t now_of(const request_t *request)
+static usec_t request_now(const request_t *request)
 {
 	return request->core->now;
 }
 
 /* --- choice of a member --- */
 
-static bool has_slot(const member_t *member, int64_t kept_free)
+static bool has_free_slot(const member_t *member, int64_t kept_free)
 {
 	return member->running + kept_free < member_limit(member);
 }
 
-static bool replica_fits(const request_t *request, const member_t *member)
+static bool replica_is_eligible(const request_t *request, const member_t *member)
 {
 	const group_t *group = request->group;
 
@@ -40,27 +40,27 @@
 		return false;
 	if (!position_covers(member->report.log, request->query->min_position))
 		return false;
-	return now_of(request) - member->data_as_of <= request->max_age;
+	return request_now(request) - member->data_as_of <= request->max_age;
 }
 
-static bool is_near(const core_t *core, const member_t *member)
+static bool is_in_own_zone(const core_t *core, const member_t *member)
 {
 	return !core->config.ignore_zones &&
 	       strcmp(member->spec.zone, core->fleet->self->zone) == 0;
 }
 
-/* Less loaded; with equal loads, nearer. */
-static bool is_better(const core_t *core, const member_t *a, const member_t *b)
+/* True if a is less loaded than b or, with equal loads, only a is in this proxy's zone. */
+static bool is_preferred_replica(const core_t *core, const member_t *a, const member_t *b)
 {
 	int64_t load_a = a->running * b->spec.slots;
 	int64_t load_b = b->running * a->spec.slots;
 
 	if (load_a != load_b)
 		return load_a < load_b;
-	return is_near(core, a) && !is_near(core, b);
+	return is_in_own_zone(core, a) && !is_in_own_zone(core, b);
 }
 
-/* The best replica that fits; *any tells whether one fits at all. */
+/* The best eligible replica with a free slot; *any: whether one is eligible, free or not. */
 static member_t *choose_replica(const request_t *request, bool *any)
 {
 	group_t *group = request->group;
@@ -70,16 +70,17 @@
 	for (size_t i = 0; i < group->member_count; i++) {
 		member_t *member = &group->members[i];
 
-		if (!replica_fits(request, member))
+		if (!replica_is_eligible(request, member))
 			continue;
 		*any = true;
-		if (has_slot(member, 0) && (best == NULL || is_better(group->core, member, best)))
+		if (has_free_slot(member, 0) &&
+		    (best == NULL || is_preferred_replica(group->core, member, best)))
 			best = member;
 	}
 	return best;
 }
 
-/* Reads leave one slot of the primary free, so that searches can't crowd out writes. */
+/* Reads leave one slot of the primary free, so that long reads can't block all writes. */
 static member_t *choose_primary(const request_t *request)
 {
 	const group_t *group = request->group;
@@ -92,10 +93,10 @@
 		return NULL;
 	if (request->kind == ROW_READ && primary->spec.slots > 1)
 		kept_free = 1;
-	return has_slot(primary, kept_free) ? primary : NULL;
+	return has_free_slot(primary, kept_free) ? primary : NULL;
 }
 
-static bool is_idle(const member_t *member)
+static bool is_idle_with_spare_slot(const member_t *member)
 {
 	return member != NULL && member->running == 0 && member->spec.slots > 1;
 }
@@ -110,8 +111,8 @@
 	replica = choose_replica(request, &any);
 	if (replica != NULL || !any)
 		return replica != NULL ? replica : choose_primary(request);
-	/* All fitting replicas are full: an idle primary may help, one that works may not. */
-	return is_idle(request->group->primary) ? choose_primary(request) : NULL;
+	/* All eligible replicas are busy: use the primary only if it is idle. */
+	return is_idle_with_spare_slot(request->group->primary) ? choose_primary(request) : NULL;
 }
 
 /* --- start --- */
@@ -141,8 +142,8 @@
 	return request->kind == ROW_READ ? RUN_READ : RUN_WRITE;
 }
 
-/* While a member is being promoted, connect to it for what waits for a primary. */
-static void prepare(const request_t *request, const row_t *row)
+/* Connect to the takeover's candidate early for requests that wait for a primary. */
+static void connect_to_candidate(const request_t *request, const row_t *row)
 {
 	const takeover_t *takeover = &request->group->takeover;
 
@@ -152,12 +153,12 @@
 		pool_connect(takeover->candidate, row);
 }
 
-/* A run that can't end in time would only take a slot from one that can. */
+/* A run that can't finish by its deadline would only occupy a slot. */
 static bool refuse_if_too_late(request_t *request)
 {
 	const group_t *group = request->group;
 
-	if (now_of(request) + group->service_time[request->kind] / 2 <= request->deadline)
+	if (request_now(request) + group->service_time[request->kind] / 2 <= request->deadline)
 		return false;
 	list_del(&request->node);
 	request_refuse(request, REFUSAL_OVERLOAD, queue_wait(group, request),
@@ -177,7 +178,7 @@
 	if (row == NULL || refuse_if_too_late(request))
 		return;
 	if (member == NULL) {
-		prepare(request, row);
+		connect_to_candidate(request, row);
 		return;
 	}
 	conn = pool_acquire(member, row);
@@ -187,14 +188,14 @@
 	}
 	list_del(&request->node);
 	request->attempts++;
-	/* Against the primary every read is checked like a strict one: it may be superseded. */
+	/* The primary may be superseded, so a read from it is confirmed like a linearizable one. */
 	request->linearizable |= request->kind == ROW_READ && member == request->group->primary;
 	exec_start(request, conn, run_kind(request));
 }
 
 void exec_dispatch(group_t *group)
 {
-	/* A refusal or an answer on the way may come back here; once is enough. */
+	/* try_start() may refuse or answer requests, which can call this function again. */
 	if (group->dispatching || group->members_changing)
 		return;
 	group->dispatching = true;
@@ -206,7 +207,7 @@
 
 /* --- arrival --- */
 
-static void read_row(request_t *request, const row_t *row)
+static void apply_row_settings(request_t *request, const row_t *row)
 {
 	core_t *core = request->core;
 
@@ -214,10 +215,10 @@
 	request->max_age = row->max_age;
 	request->weight = row->weight;
 	request->prefers_replica = (int64_t)core_random(core, PERCENT) < row->replica_share;
-	/* A session whose token is lost may have written anything: only the primary will do. */
+	/* A session that lost its token may have written anything, so only the primary is safe. */
 	request->linearizable =
 		row->kind == ROW_READ && (row->max_age == 0 || request->query->continued);
-	/* A transaction may write whatever its row says, so it belongs on the primary. */
+	/* A transaction may write even if its row is for reads, so it needs the primary. */
 	if (request->query->verb == VERB_BEGIN)
 		request->kind = ROW_WRITE;
 }
@@ -229,14 +230,14 @@
 
 	request->group = group;
 	request->group_name = talloc_strdup(request, group->name);
-	read_row(request, row);
+	apply_row_settings(request, row);
 	if (queue_admit(request, row))
 		exec_dispatch(group);
 }
 
-/* --- ends of runs --- */
+/* --- results of runs --- */
 
-static void leave_conn(request_t *request)
+static void detach_conn(request_t *request)
 {
 	conn_t *conn = request->conn;
 
@@ -245,7 +246,7 @@
 	conn->request = NULL;
 }
 
-static usec_t come_back(const group_t *group)
+static usec_t retry_after_failure(const group_t *group)
 {
 	usec_t wait =
 		group->service_time[ROW_WRITE] * list_length(&group->queue) / group->member_count;
@@ -253,29 +254,29 @@
 	return wait > FAILOVER_RETRY_AFTER ? wait : FAILOVER_RETRY_AFTER;
 }
 
-/* Queue it again if that is safe, worthwhile and within the budget; else it gets its answer. */
+/* Queue the request again if that is safe, in time and within the retry budget, else refuse it. */
 static void retry_or_refuse(request_t *request, refusal_t refusal, const char *why)
 {
 	group_t *group = request->group;
 
 	if (request->maybe_ran && !request_is_repeatable(request)) {
-		request_refuse(request, refusal, come_back(group), "%s", why);
+		request_refuse(request, refusal, retry_after_failure(group), "%s", why);
 		return;
 	}
-	if (request->attempts >= MAX_ATTEMPTS || now_of(request) >= request->deadline) {
-		request_refuse(request, refusal, come_back(group), "%s, after %d attempts", why,
-			       request->attempts);
+	if (request->attempts >= MAX_ATTEMPTS || request_now(request) >= request->deadline) {
+		request_refuse(request, refusal, retry_after_failure(group),
+			       "%s, after %d attempts", why, request->attempts);
 		return;
 	}
 	if (!retry_budget_spend(group)) {
-		request_refuse(request, REFUSAL_RETRY_BUDGET, come_back(group),
+		request_refuse(request, REFUSAL_RETRY_BUDGET, retry_after_failure(group),
 			       "%s; too many retries of late", why);
 		return;
 	}
 	queue_insert(request);
 }
 
-static void answer_done(request_t *request)
+static void send_answer(request_t *request)
 {
 	answer_t answer = {
 		.outcome = OUTCOME_DONE,
@@ -288,24 +289,24 @@
 	};
 
 	if (!request->linearizable && request->kind == ROW_READ)
-		answer.age = now_of(request) - request->data_as_of;
+		answer.age = request_now(request) - request->data_as_of;
 	retry_budget_credit(request->group);
 	request_finish(request, &answer);
 }
 
 void exec_confirmed(request_t *request)
 {
-	answer_done(request);
+	send_answer(request);
 }
 
-static void run_lost(request_t *request, bool at_commit, const char *detail)
+static void handle_run_lost(request_t *request, bool at_commit, const char *detail)
 {
-	/* Without a commit sent the server rolls back when the connection drops. */
+	/* If the commit was not sent, the server rolls back when the connection is lost. */
 	request->maybe_ran |= at_commit;
 	retry_or_refuse(request, REFUSAL_CONN_LOST, detail);
 }
 
-static void run_rejected(request_t *request, const char *detail)
+static void handle_run_rejected(request_t *request, const char *detail)
 {
 	answer_t answer = {
 		.outcome = OUTCOME_NOT_RUN,
@@ -316,8 +317,8 @@
 	};
 
 	/*
-	 * With a request id the server looked for an earlier attempt before it
-	 * rejected this one; without, an earlier attempt may still have taken.
+	 * With a request id, the server has checked for an earlier attempt before it
+	 * rejected this one. Without one, an earlier attempt may have taken effect.
 	 */
 	if (request->maybe_ran && request->query->request_id == NULL)
 		answer.outcome = OUTCOME_UNKNOWN;
@@ -331,8 +332,8 @@
 	return after->primary && after->sealed == request->group->term;
 }
 
-/* The replica may have been reset since its last report: its own word at the run counts. */
-static bool replica_was_fit(request_t *request)
+/* The replica may have been reset since its last report: check its report from the run itself. */
+static bool replica_was_eligible(request_t *request)
 {
 	const report_t *before = &request->result->before;
 
@@ -341,21 +342,22 @@
 		return false;
 	request->data_as_of = samples_time_of(request->group, before->log.lsn);
 	return request->data_as_of != 0 &&
-	       now_of(request) - request->data_as_of <= request->max_age;
+	       request_now(request) - request->data_as_of <= request->max_age;
 }
 
-static void read_done(request_t *request)
+static void handle_read_done(request_t *request)
 {
-	if (request->linearizable ? ran_on_current_primary(request) : replica_was_fit(request)) {
+	if (request->linearizable ? ran_on_current_primary(request)
+				  : replica_was_eligible(request)) {
 		confirm_add(request);
 		return;
 	}
-	/* Next time on the primary, which has no age to miss. */
+	/* Retry on the primary, whose data is never too old. */
 	request->prefers_replica = false;
 	retry_or_refuse(request, REFUSAL_NO_PRIMARY, "the member was no longer fit for the read");
 }
 
-static void write_done(request_t *request)
+static void handle_write_done(request_t *request)
 {
 	request->maybe_ran = true;
 	if (ran_on_current_primary(request))
@@ -375,14 +377,14 @@
 			"the primary was superseded before a majority held it");
 }
 
-static void smooth_service(group_t *group, row_kind_t kind, usec_t took)
+static void update_service_time(group_t *group, row_kind_t kind, usec_t took)
 {
 	usec_t *mean = &group->service_time[kind];
 
 	*mean += (took >> SMOOTH_SHIFT) - (*mean >> SMOOTH_SHIFT);
 }
 
-static void keep_result(request_t *request, const run_result_t *result)
+static void copy_result(request_t *request, const run_result_t *result)
 {
 	run_result_t *copy = talloc(request, run_result_t);
 
@@ -394,33 +396,36 @@
 	request->ran_at = request->core->now;
 }
 
-static void statement_done(request_t *request, const run_result_t *result)
+static void handle_statement_done(request_t *request, const run_result_t *result)
 {
 	switch (result->status) {
 	case RUN_OK:
 		if (request->kind == ROW_READ)
-			read_done(request);
+			handle_read_done(request);
 		else
-			write_done(request);
+			handle_write_done(request);
 		break;
 	case RUN_NOT_PRIMARY:
 		group_on_not_primary(request->run_member);
 		retry_or_refuse(request, REFUSAL_NO_PRIMARY, result->detail);
 		break;
 	case RUN_REJECTED:
-		run_rejected(request, result->detail);
+		handle_run_rejected(request, result->detail);
 		break;
 	case RUN_LOST_BEFORE_COMMIT:
-		run_lost(request, false, result->detail);
+		handle_run_lost(request, false, result->detail);
 		break;
 	case RUN_LOST_AT_COMMIT:
-		run_lost(request, true, result->detail);
+		handle_run_lost(request, true, result->detail);
 		break;
 	}
 }
 
-/* The late answer of a read whose caller has had its final one: read whole, so thrown away. */
-static void abandoned_run_done(conn_t *conn, const run_result_t *result)
+/*
+ * The run of a read has ended after its request was answered at the deadline: the
+ * result is dropped and the connection reused.
+ */
+static void handle_abandoned_run(conn_t *conn, const run_result_t *result)
 {
 	member_t *member = conn->pool->member;
 
@@ -443,22 +448,22 @@
 	if (conn == NULL)
 		return;
 	if (request == NULL) {
-		abandoned_run_done(conn, result);
+		handle_abandoned_run(conn, result);
 		return;
 	}
 	group = request->group;
 	usable = result->status == RUN_OK || result->status == RUN_REJECTED ||
 		 result->status == RUN_NOT_PRIMARY;
-	leave_conn(request);
+	detach_conn(request);
 	if (usable)
-		smooth_service(group, request->kind, core->now - request->run_started);
-	keep_result(request, result);
+		update_service_time(group, request->kind, core->now - request->run_started);
+	copy_result(request, result);
 	if (request->query->verb != VERB_STATEMENT) {
 		tx_run_done(request, conn, usable);
 	} else {
 		if (usable)
 			pool_release(conn);
-		statement_done(request, result);
+		handle_statement_done(request, result);
 	}
 	exec_dispatch(group);
 }
@@ -466,16 +471,16 @@
 /* --- deadline --- */
 
 /*
- * Closing the connection of a read proves nothing and costs a new one, most of
- * all when the group is busy. The caller is answered; the connection stays busy
- * until its answer has come.
+ * A read has no effect to settle, and closing its connection would cost a new
+ * one, most of all while the group is overloaded. So the request is refused and
+ * the connection stays busy until the server has answered.
  */
 static void abandon_read(request_t *request)
 {
 	request->conn->request = NULL;
 	request->conn = NULL;
 	request->maybe_ran = true;
-	request_refuse(request, REFUSAL_DEADLINE, come_back(request->group),
+	request_refuse(request, REFUSAL_DEADLINE, retry_after_failure(request->group),
 		       "still running on %s at the deadline", request->run_member->spec.name);
 }
 
@@ -487,10 +492,10 @@
 	case REQUEST_QUEUED:
 		list_del(&request->node);
 		if (group->primary == NULL)
-			request_refuse(request, REFUSAL_NO_PRIMARY, come_back(group),
+			request_refuse(request, REFUSAL_NO_PRIMARY, retry_after_failure(group),
 				       "group %s has no primary", group->name);
 		else
-			request_refuse(request, REFUSAL_DEADLINE, come_back(group),
+			request_refuse(request, REFUSAL_DEADLINE, retry_after_failure(group),
 				       "still queued at the deadline");
 		break;
 	case REQUEST_RUNNING:
@@ -499,15 +504,15 @@
 			break;
 		}
 		/*
-		 * Closing tells which it is: without a commit sent the server rolls
-		 * back. The link answers with EVENT_RUN_DONE before anything else.
+		 * Closing settles the outcome: the EVENT_RUN_DONE that follows at once tells
+		 * whether the commit was sent; if not, the server rolls back.
 		 */
 		pool_close_conn(request->conn);
 		break;
 	case REQUEST_CONFIRMING:
 		list_del(&request->node);
 		request->maybe_ran = true;
-		request_refuse(request, REFUSAL_NO_MAJORITY, come_back(group),
+		request_refuse(request, REFUSAL_NO_MAJORITY, retry_after_failure(group),
 			       "no majority of group %s held it in time", group->name);
 		break;
 	case REQUEST_FORWARDED:
--- a/core/queue.c
+++ b/core/queue.c
@@ -5,16 +5,16 @@
 #include "group.h"
 #include "request.h"
 
-/* Bounds of the time to come back that a refusal names. */
+/* The least retry_after of a refusal. */
 #define RETRY_AFTER_MIN (50 * USEC_PER_MSEC)
 
-static bool wants_replica(const request_t *request)
+static bool may_use_replica(const request_t *request)
 {
 	return request->kind == ROW_READ && !request->linearizable && request->prefers_replica;
 }
 
-/* Runs at once that the members which serve this kind of request allow. */
-static usec_t parallel_runs(const group_t *group, bool on_replicas)
+/* How many runs may go in parallel on the replicas, or on the primary. */
+static usec_t parallel_run_limit(const group_t *group, bool on_replicas)
 {
 	int64_t runs = 0;
 
@@ -30,19 +30,19 @@
 
 usec_t queue_wait(const group_t *group, const request_t *request)
 {
-	bool on_replicas = wants_replica(request);
+	bool on_replicas = may_use_replica(request);
 	usec_t work = 0;
 
 	list_for_each (it, &group->queue) {
 		const request_t *other = list_entry(it, request_t, node);
 
-		if (other->weight >= request->weight && wants_replica(other) == on_replicas)
+		if (other->weight >= request->weight && may_use_replica(other) == on_replicas)
 			work += group->service_time[other->kind];
 	}
-	return work / parallel_runs(group, on_replicas);
+	return work / parallel_run_limit(group, on_replicas);
 }
 
-static int64_t waiting_of_row(const group_t *group, const char *row)
+static int64_t count_queued_of_row(const group_t *group, const char *row)
 {
 	int64_t n = 0;
 
@@ -58,7 +58,7 @@
 	usec_t left = request->deadline - request->core->now;
 	usec_t back = wait > RETRY_AFTER_MIN ? wait : RETRY_AFTER_MIN;
 
-	if (waiting_of_row(group, request->row) >= row->queue) {
+	if (count_queued_of_row(group, request->row) >= row->queue) {
 		request_refuse(request, REFUSAL_OVERLOAD, back, "%lld requests of %s wait already",
 			       (long long)row->queue, request->row);
 		return false;
@@ -74,7 +74,7 @@
 	return true;
 }
 
-static bool goes_before(const request_t *a, const request_t *b)
+static bool is_ordered_before(const request_t *a, const request_t *b)
 {
 	if (a->weight != b->weight)
 		return a->weight > b->weight;
@@ -87,9 +87,9 @@
 	list_t *pos = &group->queue;
 
 	request->state = REQUEST_QUEUED;
-	/* From the end: most newcomers have the latest deadline of their weight. */
+	/* From the end: most new requests have the latest deadline of their weight. */
 	while (pos->prev != &group->queue &&
-	       goes_before(request, list_entry(pos->prev, request_t, node)))
+	       is_ordered_before(request, list_entry(pos->prev, request_t, node)))
 		pos = pos->prev;
 	list_add_before(pos, &request->node);
 }
--- a/core/request.c
+++ b/core/request.c
@@ -63,7 +63,7 @@
 
 bool request_is_repeatable(const request_t *request)
 {
-	/* A transaction that was begun unseen changes nothing, and is closed when it stays idle. */
+	/* A transaction opened by a lost BEGIN changes nothing and is rolled back after tx_idle. */
 	return request->kind == ROW_READ || request->query->repeatable ||
 	       request->query->request_id != NULL || request->query->verb == VERB_BEGIN;
 }
@@ -80,7 +80,7 @@
 	action->answer.token = session_encode(action, core->config.token_key, request->session);
 }
 
-static void release(request_t *request)
+static void free_request(request_t *request)
 {
 	core_t *core = request->core;
 
@@ -104,7 +104,7 @@
 		router_answer_peer(request, answer);
 	else
 		answer_caller(request, answer);
-	release(request);
+	free_request(request);
 }
 
 void request_refuse(request_t *request, refusal_t refusal, usec_t retry_after, const char *fmt, ...)
@@ -135,7 +135,7 @@
 	HASH_ITER (hh, core->requests, request, next) {
 		if (request->peer == NULL && request->caller == caller) {
 			if (request->state == REQUEST_QUEUED)
-				release(request);
+				free_request(request);
 			return;
 		}
 	}
--- a/core/router.c
+++ b/core/router.c
@@ -14,31 +14,32 @@
 #include "tablesync.h"
 #include "tx.h"
 
-/* The home's deadline comes this much earlier, so that its answer still arrives in time. */
+/* The home's deadline is earlier by this, so that its answer arrives before the caller's. */
 #define ANSWER_MARGIN (10 * USEC_PER_MSEC)
-/* A home that has not answered after this part of the time allowed says that it accepted. */
-#define ACCEPT_PART	     4
+/* A home that has not answered within this fraction of ack_timeout sends MESSAGE_ACCEPTED. */
+#define ACCEPT_DIVISOR	     4
 #define RETRY_AFTER_HOME     (500 * USEC_PER_MSEC)
 #define RETRY_AFTER_TABLE    USEC_PER_SEC
 #define RETRY_AFTER_SHUTDOWN (10 * USEC_PER_MSEC)
-#define FIRST_WATCH	     USEC_PER_SEC
-/* How often a request that waits after our own pause is tried again. */
-#define WAKE_RETRY (50 * USEC_PER_MSEC)
+/* A proxy counts as able to serve a group for this long after it began to watch it. */
+#define WATCH_START_GRACE USEC_PER_SEC
+/* Between attempts to route a request that waits after a pause of this process. */
+#define RESUME_RETRY_INTERVAL (50 * USEC_PER_MSEC)
 /*
- * How long a statement of a transaction waits for a broken connection to its
- * home: one is tried again after 250 ms at the latest, an attempt may take
- * 300 ms. The price: if the home is gone, the caller learns it so much later.
+ * How long a statement of a transaction waits for a broken connection to its home
+ * to be restored: the next attempt to connect starts within 250 ms and may take
+ * 300 ms. If the home is gone, its callers are notified later by this time.
  */
 #define LINK_WAIT (600 * USEC_PER_MSEC)
-/* Between two attempts to send such a statement. */
-#define LINK_RETRY (50 * USEC_PER_MSEC)
+/* Between attempts to send such a statement. */
+#define LINK_RETRY_INTERVAL (50 * USEC_PER_MSEC)
 
 static void route(request_t *request);
 static void admit(request_t *request);
 
-/* --- after a pause of our own --- */
+/* --- after a pause of this process --- */
 
-static void on_wake_retry(run_timer_t *timer, usec_t now)
+static void on_resume_retry(run_timer_t *timer, usec_t now)
 {
 	request_t *request = list_entry(timer, request_t, ack_timer);
 
@@ -50,12 +51,11 @@
 }
 
 /*
- * A process that was paused believes nothing that it knew before: not that its
- * table is current, that its peers can be reached or that backend servers
- * respond. A request that is the first thing it finds would be refused for what
- * is known some milliseconds later, when the peers' messages are read and the
- * connections made anew. It is tried again instead until a peer in good health
- * would have been heard. Returns false when that time is over.
+ * After a pause this process can't rely on its table being current, nor on its
+ * peers and backend servers being reachable. A request read right then would be
+ * refused, although the messages of peers and new connections settle all that
+ * within milliseconds. So the request is retried for suspect_after, by when a
+ * healthy peer has sent a message. Returns false once that time is over.
  */
 static bool wait_after_pause(request_t *request)
 {
@@ -65,13 +65,14 @@
 		return false;
 	request->home = NULL;
 	request->tried_count = 0;
-	timers_arm(&core->timers, &request->ack_timer, core->now + WAKE_RETRY, on_wake_retry);
+	timers_arm(&core->timers, &request->ack_timer, core->now + RESUME_RETRY_INTERVAL,
+		   on_resume_retry);
 	return true;
 }
 
 /* --- checks on arrival --- */
 
-/* A caller's own BEGIN or COMMIT would break out of the transaction that we wrap it in. */
+/* A caller's own BEGIN or COMMIT would end the transaction in which the proxy runs it. */
 static bool is_transaction_control(const char *text)
 {
 	static const char *const words[] = {
@@ -85,7 +86,7 @@
 		text++;
 	while (isalpha((unsigned char)text[len]))
 		len++;
-	/* A comment could hide the first word; statements that start with one are refused. */
+	/* A leading comment could hide the first keyword, so such statements are refused. */
 	if (len == 0)
 		return true;
 	for (size_t i = 0; i < sizeof(words) / sizeof(words[0]); i++) {
@@ -141,7 +142,7 @@
 	return true;
 }
 
-static void arm_deadline(request_t *request, usec_t longest)
+static void limit_deadline(request_t *request, usec_t longest)
 {
 	if (request->query->time_left <= longest)
 		return;
@@ -150,7 +151,7 @@
 	timers_arm(&request->core->timers, &request->timer, request->deadline, request->timer.cb);
 }
 
-/* Find the row and what it says; false if there is none. */
+/* Look up the request's row and apply its settings; refuses and returns false if there is none. */
 static bool apply_row(request_t *request)
 {
 	core_t *core = request->core;
@@ -168,13 +169,13 @@
 	request->kind = query->verb == VERB_BEGIN ? ROW_WRITE : row->kind;
 	query->min_position = session_min_position(request->session, row->group);
 	query->continued |= session_is_partial(request->session, row->group);
-	arm_deadline(request, row->timeout);
+	limit_deadline(request, row->timeout);
 	return true;
 }
 
 /* --- forwarding --- */
 
-static bool was_tried(const request_t *request, const char *home)
+static bool home_was_tried(const request_t *request, const char *home)
 {
 	for (size_t i = 0; i < request->tried_count; i++) {
 		if (strcmp(request->tried_homes[i], home) == 0)
@@ -201,7 +202,7 @@
 		   on_ack_timeout);
 }
 
-/* The first rank not tried yet; suspects only when nobody else is left. */
+/* The first-ranked proxy not tried yet; a suspect one only if no other is left. */
 static proxy_t *choose_home(const request_t *request, const ranks_t *ranks)
 {
 	proxy_t *last_resort = NULL;
@@ -209,7 +210,7 @@
 	for (size_t i = 0; i < ranks->len; i++) {
 		proxy_t *proxy = ranks->proxies[i];
 
-		if (was_tried(request, proxy->name))
+		if (home_was_tried(request, proxy->name))
 			continue;
 		if (!proxy->suspect)
 			return proxy;
@@ -219,13 +220,13 @@
 	return last_resort;
 }
 
-/* A proxy that can't reach a majority of the group is of no use to it. */
-static bool is_servable(const group_t *group)
+/* A proxy that can't reach a majority of the group's members can't confirm anything. */
+static bool can_serve_group(const group_t *group)
 {
 	if (group->members == NULL || group->rank < 0)
 		return false;
 	return group_count_responsive(group) >= group_majority(group) ||
-	       group->core->now - group->watched_since < FIRST_WATCH;
+	       group->core->now - group->watched_since < WATCH_START_GRACE;
 }
 
 static void route(request_t *request)
@@ -252,7 +253,7 @@
 		forward(request, home->name);
 		return;
 	}
-	if (!is_servable(group) && !core->placement->runs_all) {
+	if (!can_serve_group(group) && !core->placement->runs_all) {
 		request->tried_homes[request->tried_count++] = home->name;
 		route(request);
 		return;
@@ -298,10 +299,10 @@
 	admit(request);
 }
 
-/* --- what becomes of a forward --- */
+/* --- results of a forwarded request --- */
 
-/* The home is gone or silent, and may have run the request or not. */
-static void home_lost(request_t *request, const char *why)
+/* The home is gone or silent; whether it has run the request is unknown. */
+static void handle_home_lost(request_t *request, const char *why)
 {
 	proxy_t *home = fleet_find(request->core->fleet, request->home);
 
@@ -309,8 +310,10 @@
 		fleet_set_suspect(home, request->core->now);
 	timers_cancel(&request->core->timers, &request->ack_timer);
 	if (request->query->tx != NULL) {
-		/* Its connection drops with it and the server rolls back, unless this was the
-		 * commit. */
+		/*
+		 * If the home is gone, its connections are closed and the server rolls back,
+		 * unless this request was the commit.
+		 */
 		request->maybe_ran = request->query->verb == VERB_COMMIT;
 		request_refuse(request, REFUSAL_TX_LOST, 0, "proxy %s %s", request->home, why);
 		return;
@@ -321,7 +324,7 @@
 			       request->home, why);
 		return;
 	}
-	/* The next home must not say "not run" of what the first may be running. */
+	/* The next home must not answer "not run" while the first one may run the request. */
 	if (request->kind == ROW_WRITE && request->query->verb != VERB_BEGIN) {
 		request->maybe_ran = true;
 		request->query->resend = true;
@@ -332,7 +335,8 @@
 static void on_ack_timeout(run_timer_t *timer, usec_t now)
 {
 	(void)now;
-	home_lost(list_entry(timer, request_t, ack_timer), "did not accept the request in time");
+	handle_home_lost(list_entry(timer, request_t, ack_timer),
+			 "did not accept the request in time");
 }
 
 static void on_link_retry(run_timer_t *timer, usec_t now)
@@ -345,11 +349,11 @@
 }
 
 /*
- * A statement of a transaction can go nowhere but to its home. When the
- * connection there breaks, both proxies and the transaction are well, and a
- * caller who were told that it is lost would leave it open, with its locks,
- * until it has been idle for long. It was certainly not sent: it waits until a
- * connection would have been made anew. Returns false when that time is over.
+ * A statement of a transaction can only run at the proxy that opened the
+ * transaction. If merely the connection to that proxy breaks, the transaction is
+ * intact; a caller that got "transaction lost" would leave it open, with its locks,
+ * until tx_idle. The statement has certainly not been sent, so it is sent again
+ * for LINK_WAIT. Returns false once that time is over.
  */
 static bool wait_for_link(request_t *request)
 {
@@ -357,7 +361,8 @@
 
 	if (core->now - request->arrived >= LINK_WAIT)
 		return false;
-	timers_arm(&core->timers, &request->ack_timer, core->now + LINK_RETRY, on_link_retry);
+	timers_arm(&core->timers, &request->ack_timer, core->now + LINK_RETRY_INTERVAL,
+		   on_link_retry);
 	return true;
 }
 
@@ -393,7 +398,7 @@
 			continue;
 		home = fleet_find(core->fleet, request->home);
 		if (home == NULL || home->suspect)
-			home_lost(request, "fell silent");
+			handle_home_lost(request, "fell silent");
 	}
 }
 
@@ -418,14 +423,14 @@
 		timers_cancel(&core->timers, &request->ack_timer);
 }
 
-/* Refusals after which another home, or the same one again, may still run it. */
-static bool try_elsewhere(request_t *request, const answer_t *answer)
+/* Retry after a refusal that allows it, at the same home or the next one; false if none does. */
+static bool retry_after_refusal(request_t *request, const answer_t *answer)
 {
 	if (answer->outcome != OUTCOME_NOT_RUN && !request->maybe_ran)
 		return false;
 	switch (answer->refusal) {
 	case REFUSAL_STALE_MESSAGE:
-		/* Its refusal has brought the home's clock, which the next try echoes. */
+		/* The refusal carries the home's clock, which the next attempt echoes. */
 		if (request->tried_count < REQUEST_MAX_TRIES) {
 			forward(request, request->home);
 			return true;
@@ -446,24 +451,24 @@
 {
 	request_t *request = request_find(core, message->request);
 
-	/* A late answer finds its request gone: numbers are never used twice. */
+	/* The request of a late answer no longer exists: ids are never reused. */
 	if (request == NULL || request->state != REQUEST_FORWARDED)
 		return;
 	timers_cancel(&core->timers, &request->ack_timer);
-	if (!try_elsewhere(request, message->answer))
+	if (!retry_after_refusal(request, message->answer))
 		request_finish(request, message->answer);
 }
 
 void router_deadline(request_t *request)
 {
-	/* Reads have no effect, but whether this one was run is not known either. */
+	/* This holds for reads too: whether the home has run one is unknown. */
 	request->maybe_ran |= request->home != NULL;
 	request_refuse(request, REFUSAL_DEADLINE, RETRY_AFTER_HOME,
 		       "proxy %s has not answered by the deadline",
 		       request->home != NULL ? request->home : "none");
 }
 
-/* --- the home's side --- */
+/* --- requests forwarded to this proxy --- */
 
 void router_answer_peer(request_t *request, const answer_t *answer)
 {
@@ -486,9 +491,9 @@
 }
 
 /*
- * A message may have waited in a buffer while we were paused or cut off, and
- * its sender may have tried elsewhere since. It is no older than the echo of
- * our own clock in it, so no clocks need to be compared.
+ * A message may have waited in a buffer while this proxy was paused or cut off, and
+ * its sender may have sent the request to another home since. The message was sent
+ * after this proxy's clock reading that it echoes, which bounds its age.
  */
 static bool is_too_old(const core_t *core, const message_t *message)
 {
@@ -510,7 +515,7 @@
 		return;
 	}
 	timers_arm(&core->timers, &request->ack_timer,
-		   core->now + core->config.timings.ack_timeout / ACCEPT_PART, on_accept_due);
+		   core->now + core->config.timings.ack_timeout / ACCEPT_DIVISOR, on_accept_due);
 	if (query->tx != NULL) {
 		tx_submit(request);
 		return;
@@ -519,7 +524,7 @@
 		return;
 	row = table_find_row(core->table, query->service, query->class_name);
 	group = row != NULL ? group_find(core, row->group) : NULL;
-	if (group == NULL || !is_servable(group)) {
+	if (group == NULL || !can_serve_group(group)) {
 		request_refuse(request, REFUSAL_NO_HOME, RETRY_AFTER_HOME,
 			       "proxy %s does not serve the group of %s/%s", core->name,
 			       query->service, query->class_name);
