--- a/core/confirm.c
+++ b/core/confirm.c
@@ -3,16 +3,16 @@
 #include "exec.h"
 #include "group.h"
 
-/* Weight of a new measurement in the smoothed time, as a shift. */
+/* Weight of a new value in the moving average, as a shift. */
 #define SMOOTH_SHIFT 3
-/* How fast the peak falls with each confirmation, as a shift. */
+/* Part of the peak that decays with each confirmation, as a shift. */
 #define PEAK_DECAY_SHIFT 6
 
 /*
- * Within one term only the primary writes, and replicas follow its log in
- * order. So the primary holds every entry of its term that a replica holds.
+ * Within a term only the primary writes, and replicas receive its log in order. So
+ * the primary holds every entry of its term that a replica holds.
  */
-static bool holds(const request_t *request, const member_t *member)
+static bool holds_position(const request_t *request, const member_t *member)
 {
 	const group_t *group = request->group;
 	bool is_primary = member == group->primary && member->report.sealed == group->term;
@@ -25,8 +25,12 @@
 	       member->report.log.lsn >= request->position.lsn;
 }
 
-/* Asked after the read, the member had promised no later term: nobody could have superseded it. */
-static bool witnesses(const request_t *request, const member_t *member)
+/*
+ * By a report requested after the run, the member had not sealed a later term. A
+ * majority of such members rules out that another primary had superseded the one of
+ * the run.
+ */
+static bool still_obeys_term(const request_t *request, const member_t *member)
 {
 	if (member == request->run_member)
 		return request->result->after.sealed == request->position.term;
@@ -41,35 +45,35 @@
 	size_t fresh = 0;
 
 	for (size_t i = 0; i < group->member_count; i++) {
-		holders += holds(request, &group->members[i]);
-		fresh += witnesses(request, &group->members[i]);
+		holders += holds_position(request, &group->members[i]);
+		fresh += still_obeys_term(request, &group->members[i]);
 	}
 	if (holders < group_majority(group))
 		return false;
 	return !request->linearizable || fresh >= group_majority(group);
 }
 
-static void smooth(usec_t *mean, usec_t value)
+static void update_average(usec_t *mean, usec_t value)
 {
 	*mean += (value >> SMOOTH_SHIFT) - (*mean >> SMOOTH_SHIFT);
 }
 
-/* The longest confirmation of late: what a replica's lag makes usual is no stall. */
-static void hold_peak(usec_t *peak, usec_t value)
+/* Recent maximum of confirmation times: a delay that is usual for lagging replicas is no stall. */
+static void update_peak(usec_t *peak, usec_t value)
 {
 	*peak -= *peak >> PEAK_DECAY_SHIFT;
 	if (value > *peak)
 		*peak = value;
 }
 
-static void confirmed(request_t *request)
+static void finish_confirmed(request_t *request)
 {
 	group_t *group = request->group;
 	usec_t took = group->core->now - request->ran_at;
 
 	list_del(&request->node);
-	smooth(&group->confirm_time, took);
-	hold_peak(&group->confirm_peak, took);
+	update_average(&group->confirm_time, took);
+	update_peak(&group->confirm_peak, took);
 	group->takeover.stall_backoff = 0;
 	exec_confirmed(request);
 }
@@ -81,7 +85,7 @@
 	request->state = REQUEST_CONFIRMING;
 	list_add_tail(&group->confirms, &request->node);
 	if (is_confirmed(request))
-		confirmed(request);
+		finish_confirmed(request);
 	else if (group->core->now >= request->deadline)
 		exec_deadline(request); /* its timer has fired already, during the run */
 	else
@@ -94,7 +98,7 @@
 		request_t *request = list_entry(it, request_t, node);
 
 		if (is_confirmed(request))
-			confirmed(request);
+			finish_confirmed(request);
 	}
 }
 
--- a/core/confirm.h
+++ b/core/confirm.h
@@ -1,21 +1,22 @@
 /*
- * Confirmation: an answer is given only when a majority of the group holds what
- * it rests on. Commit on the primary is not enough, since replication is
- * asynchronous and the primary may be superseded. A strict read needs a
- * majority that still obeyed the term when asked after the read.
+ * Confirmation: an answer is sent only when a majority of the group's members holds
+ * the log up to the position that it depends on. A commit on the primary is not
+ * enough, since replication is asynchronous and the primary may be superseded. A
+ * linearizable read also needs reports, requested after the read, that a majority
+ * still obeys the term.
  */
 #pragma once
 
 #include "state.h"
 
-/* Queue a request whose run has ended well; answers at once if it can. */
+/* Add a request whose run has succeeded; answers at once if it is confirmed already. */
 void confirm_add(request_t *request);
 
-/* New reports came in: answer what a majority now holds. */
+/* After a new report: answer the requests that a majority now confirms. */
 void confirm_check(group_t *group);
 
-/* The group's term rose: what was run in an earlier one can't be confirmed any more. */
+/* After the group's term rose: runs in an earlier term can't be confirmed any more. */
 void confirm_term_changed(group_t *group);
 
-/* How long the oldest unconfirmed request has waited. */
+/* How long the oldest unconfirmed request has waited, 0 if there is none. */
 usec_t confirm_oldest_wait(const group_t *group);
--- a/core/group.c
+++ b/core/group.c
@@ -10,14 +10,14 @@
 #include "samples.h"
 #include "takeover.h"
 
-/* Smoothing of round-trip times, as TCP does it (RFC 6298). */
+/* Weights of a new sample in the round-trip time and its variation, as in RFC 6298. */
 #define SRTT_SHIFT   3
 #define RTTVAR_SHIFT 2
-/* A member is responsive if it answered within so many polls. */
+/* A member is responsive if it answered within this many poll intervals. */
 #define RESPONSIVE_POLLS 3
-/* What a slot is taken to work on a run at least, between round trips. */
+/* Lower bound for the time that a slot works on a run, in member_limit(). */
 #define MIN_BUSY_TIME USEC_PER_MSEC
-/* A refused connection is asked again soon: two in a row prove that nobody is there. */
+/* After a refused connection: two in a row prove that the process is gone. */
 #define UNREACHABLE_RECHECK (10 * USEC_PER_MSEC)
 #define FOLLOW_RETRY	    (300 * USEC_PER_MSEC)
 
@@ -107,7 +107,7 @@
 	return action->id;
 }
 
-static void ask_report(member_t *member)
+static void request_report(member_t *member)
 {
 	core_t *core = member->group->core;
 
@@ -121,16 +121,16 @@
 void group_request_reports(group_t *group)
 {
 	for (size_t i = 0; i < group->member_count; i++)
-		ask_report(&group->members[i]);
+		request_report(&group->members[i]);
 }
 
-/* While answers wait for a majority, ask more often than the poll. */
-static void set_next_report(member_t *member)
+/* While answers wait for a majority, request reports more often than poll_interval. */
+static void hasten_next_report(member_t *member)
 {
 	group_t *group = member->group;
 	usec_t soon = group->core->now + group->core->config.timings.confirm_poll_interval;
 
-	/* The primary's word adds nothing: it holds what it ran. */
+	/* A report of the primary is not needed: it holds all that it ran. */
 	if (member == group->primary)
 		return;
 	if (!list_empty(&group->confirms) && member->next_report > soon)
@@ -159,7 +159,7 @@
 
 	for (size_t i = 0; i < group->member_count; i++) {
 		if (group->members[i].next_report <= now)
-			ask_report(&group->members[i]);
+			request_report(&group->members[i]);
 	}
 	for (size_t i = 0; i < group->member_count; i++) {
 		if (!is_responsive(&group->members[i]))
@@ -202,8 +202,8 @@
 }
 
 /*
- * Once it has obeyed, a member that lags is left alone: told again, it would
- * start to fetch the log anew and might never catch up.
+ * A member that has obeyed the order in this term is not sent it again, even if it
+ * lags: it would restart the transfer of the log and might never catch up.
  */
 void group_order_follow(member_t *member)
 {
@@ -219,8 +219,11 @@
 	member->follow_order = member_send_order(member, ORDER_FOLLOW, group->term, group->primary);
 }
 
-/* A member that is behind in term, or still thinks itself primary, may not follow yet. */
-static void check_follows(member_t *member)
+/*
+ * A member that is behind in term, or still counts itself primary, may not replicate
+ * from the primary yet.
+ */
+static void order_follow_if_behind(member_t *member)
 {
 	const group_t *group = member->group;
 	const report_t *report = &member->report;
@@ -233,7 +236,7 @@
 
 void group_apply_report(group_t *group, member_t *member, const report_t *report, usec_t sent)
 {
-	/* Answers can overtake each other; an older question must not undo a newer answer. */
+	/* Answers can arrive out of order: ignore one to an earlier request than the last. */
 	if (member->has_report && sent < member->reported_as_of)
 		return;
 	member->has_report = true;
@@ -248,12 +251,12 @@
 	} else if (group->primary == member) {
 		set_primary(group, NULL);
 	}
-	check_follows(member);
+	order_follow_if_behind(member);
 	samples_confirm(group);
 	samples_refresh_ages(group);
 }
 
-static void measure_rtt(member_t *member, usec_t rtt)
+static void update_rtt(member_t *member, usec_t rtt)
 {
 	usec_t gap;
 
@@ -267,13 +270,13 @@
 	member->srtt += (rtt >> SRTT_SHIFT) - (member->srtt >> SRTT_SHIFT);
 }
 
-static void report_done(group_t *group, member_t *member, const order_event_t *event)
+static void handle_report_done(group_t *group, member_t *member, const order_event_t *event)
 {
 	usec_t sent = member->report_sent;
 
 	member->report_order = 0;
 	if (event->status == ORDER_OK) {
-		measure_rtt(member, group->core->now - sent);
+		update_rtt(member, group->core->now - sent);
 		group_apply_report(group, member, &event->report, sent);
 	} else {
 		member->misses++;
@@ -283,13 +286,13 @@
 		}
 	}
 	confirm_check(group);
-	set_next_report(member);
+	hasten_next_report(member);
 	takeover_consider(group);
 	exec_dispatch(group);
 	group_arm_timer(group);
 }
 
-static void follow_done(member_t *member, const order_event_t *event)
+static void handle_follow_done(member_t *member, const order_event_t *event)
 {
 	if (event->status == ORDER_OK)
 		member->followed_term = event->report.sealed;
@@ -303,9 +306,9 @@
 	if (member == NULL)
 		return;
 	if (id == member->report_order)
-		report_done(group, member, event);
+		handle_report_done(group, member, event);
 	else if (id == member->follow_order)
-		follow_done(member, event);
+		handle_follow_done(member, event);
 	else
 		takeover_order_done(group, member, id, event);
 }
@@ -317,8 +320,8 @@
 
 	if (member == NULL)
 		return;
-	/* Ask at once: a process that is gone refuses the new connection. */
-	ask_report(member);
+	/* Request a report at once: if the process is gone, the new connection is refused. */
+	request_report(member);
 	group_arm_timer(group);
 }
 
--- a/core/pool.c
+++ b/core/pool.c
@@ -8,10 +8,10 @@
 #include "placement.h"
 #include "tx.h"
 
-/* After a connect that failed or found no free slot. */
+/* Until the next connect after one that failed or found no free slot. */
 #define CONNECT_BACKOFF (20 * USEC_PER_MSEC)
-/* Once another proxy serves the group, its connections are needed there. */
-#define IDLE_WHEN_MOVED (200 * USEC_PER_MSEC)
+/* Idle time-out once another proxy is the group's home and needs the slots. */
+#define CONN_IDLE_AFTER_MOVE (200 * USEC_PER_MSEC)
 
 conn_t *pool_find_conn(const core_t *core, uint64_t id)
 {
@@ -32,7 +32,7 @@
 	return NULL;
 }
 
-static pool_t *get_pool(member_t *member, const char *row)
+static pool_t *find_or_create_pool(member_t *member, const char *row)
 {
 	pool_t *pool = find_pool(member, row);
 
@@ -55,7 +55,7 @@
 	list_for_each (it, &pool->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
 
-		/* A slot above a lowered limit is no longer ours to use. */
+		/* A slot above a lowered limit may no longer be used. */
 		if (conn->state != CONN_IDLE || conn->slot >= row->connections)
 			continue;
 		conn->state = CONN_BUSY;
@@ -67,7 +67,7 @@
 void pool_connect(member_t *member, const row_t *row)
 {
 	core_t *core = member->group->core;
-	pool_t *pool = get_pool(member, row->name);
+	pool_t *pool = find_or_create_pool(member, row->name);
 	action_t *action;
 	conn_t *conn;
 
@@ -94,7 +94,7 @@
 	action->connect.address = talloc_strdup(action, member->spec.address);
 	action->connect.row = talloc_strdup(action, row->name);
 	action->connect.limit = row->connections;
-	/* A dead home's slots would be free only when the server has noticed. */
+	/* The slots of a dead home stay claimed until the server ends its sessions. */
 	action->connect.evict = fleet_replaces_suspect(&member->group->ranks);
 }
 
@@ -106,7 +106,7 @@
 	conn->idle_since = conn->pool->member->group->core->now;
 }
 
-static void forget(core_t *core, conn_t *conn)
+static void free_conn(core_t *core, conn_t *conn)
 {
 	pool_t *pool = conn->pool;
 
@@ -124,9 +124,9 @@
 	action_t *action = core_add_action(core, ACTION_CLOSE);
 
 	action->id = conn->id;
-	/* A busy one is forgotten when the link has told how its run ended. */
+	/* A busy one is freed by EVENT_CONN_DOWN, after the result of its run. */
 	if (conn->state == CONN_CONNECTING || conn->state == CONN_IDLE)
-		forget(core, conn);
+		free_conn(core, conn);
 }
 
 void pool_conn_up(core_t *core, uint64_t id, const conn_up_event_t *event)
@@ -157,15 +157,15 @@
 	}
 	if (conn->tx != NULL)
 		tx_lost(conn->tx);
-	forget(core, conn);
+	free_conn(core, conn);
 	exec_dispatch(group);
 }
 
-static bool is_surplus(const group_t *group, const conn_t *conn)
+static bool should_close_idle(const group_t *group, const conn_t *conn)
 {
 	const core_t *core = group->core;
 	const row_t *row = table_find_row_named(core->table, conn->pool->row);
-	usec_t allowed = group->rank == 0 ? core->config.timings.conn_idle : IDLE_WHEN_MOVED;
+	usec_t allowed = group->rank == 0 ? core->config.timings.conn_idle : CONN_IDLE_AFTER_MOVE;
 
 	if (conn->state != CONN_IDLE)
 		return false;
@@ -183,7 +183,7 @@
 			list_for_each_safe (it, &pool->conns) {
 				conn_t *conn = list_entry(it, conn_t, node);
 
-				if (is_surplus(group, conn))
+				if (should_close_idle(group, conn))
 					pool_close_conn(conn);
 			}
 		}
@@ -210,7 +210,7 @@
 	       (conn->request->kind == ROW_WRITE || conn->request->linearizable);
 }
 
-/* One without a request is a read that was given up on. */
+/* True if the connection runs a read; without a request the read has been abandoned. */
 static bool is_read(const conn_t *conn)
 {
 	if (conn->state != CONN_BUSY)
--- a/core/retry.c
+++ b/core/retry.c
@@ -1,7 +1,7 @@
 #include "retry.h"
 
-#define EARNED_BY_SUCCESS 0.1
-#define TOKENS_MAX	  20.0
+#define TOKENS_PER_SUCCESS 0.1
+#define TOKENS_MAX	   20.0
 
 void retry_budget_init(group_t *group)
 {
@@ -10,7 +10,7 @@
 
 void retry_budget_credit(group_t *group)
 {
-	group->retry_tokens += EARNED_BY_SUCCESS;
+	group->retry_tokens += TOKENS_PER_SUCCESS;
 	if (group->retry_tokens > TOKENS_MAX)
 		group->retry_tokens = TOKENS_MAX;
 }
--- a/core/retry.h
+++ b/core/retry.h
@@ -1,7 +1,7 @@
 /*
- * Retry budget of a group: first attempts earn a fraction of a retry, so that
- * retries stay a small share of the load and can't keep a struggling group
- * down after a failover.
+ * Retry budget of a group (a token bucket): each success adds a fraction of a token
+ * and each retry takes one. So retries stay a small share of the load and can't keep
+ * an overloaded group down after a failover.
  */
 #pragma once
 
@@ -12,5 +12,5 @@
 
 void retry_budget_credit(group_t *group);
 
-/* True if the budget had room; one retry is taken from it. */
+/* Take one token; false if there is none. */
 bool retry_budget_spend(group_t *group);
--- a/core/samples.c
+++ b/core/samples.c
@@ -5,9 +5,9 @@
 #include "group.h"
 
 /*
- * A superseded primary's log stands still, and data compared with it looks
- * fresh for ever. So a sample counts only after a majority, asked later than
- * the primary was, still obeyed the primary's term.
+ * The log of a superseded primary may stop growing, and data compared with it would
+ * look fresh for ever. So a sample counts only once a majority has reported, for
+ * requests sent no earlier than the sample's, that it still obeys the primary's term.
  */
 void samples_confirm(group_t *group)
 {
--- a/core/samples.h
+++ b/core/samples.h
@@ -1,24 +1,24 @@
 /*
- * The age of replica data without comparing clocks. If the primary stood at
- * position p when it was asked at our time t, a replica known to be at or past p
- * is at most now - t old.
+ * Bounds the age of replica data without comparing clocks. If the primary's log
+ * stood at position p when this proxy requested a report at time t, the data of a
+ * replica at or past p is at most now - t old.
  */
 #pragma once
 
 #include "state.h"
 
-/* Where the primary's log stood when it was asked at sent. */
+/* Add the position that the primary reported, with the time sent of the request for the report. */
 void samples_add(group_t *group, const report_t *report, usec_t sent);
 
-/* New reports may confirm samples, and so make the members' data younger. */
+/* After a new report: mark the samples that it confirms, then update the members' data_as_of. */
 void samples_confirm(group_t *group);
 void samples_refresh_ages(group_t *group);
 
-/* Forget all: another term, or nothing can be known of the time between. */
+/* Discard all samples: after a change of term or a pause of this process. */
 void samples_clear(group_t *group);
 
 /*
- * The time at which the primary's log stood no further than lsn, as a bound on
- * the age of data read there; 0 if none is known.
+ * The latest time at which the primary's log stood at lsn or before, by a confirmed
+ * sample: data read at lsn is at least as new as that. 0 if there is no such sample.
  */
 usec_t samples_time_of(const group_t *group, uint64_t lsn);
