--- a/core/session.c
+++ b/core/session.c
@@ -7,7 +7,7 @@
 #include <sodium.h>
 #include <talloc.h>
 
-#define MAX_TOKEN_BYTES 4096
+#define TOKEN_MAX_BYTES 4096
 #define BASE64		sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
 _Static_assert(SESSION_KEY_BYTES == crypto_auth_KEYBYTES, "the key is libsodium's");
@@ -37,7 +37,7 @@
 
 int session_decode(const unsigned char *key, const char *token, session_t *out)
 {
-	unsigned char raw[MAX_TOKEN_BYTES];
+	unsigned char raw[TOKEN_MAX_BYTES];
 	size_t len;
 	json_t *list;
 	int rc;
@@ -60,7 +60,7 @@
 
 char *session_encode(void *parent, const unsigned char *key, const session_t *session)
 {
-	unsigned char raw[MAX_TOKEN_BYTES];
+	unsigned char raw[TOKEN_MAX_BYTES];
 	json_t *list = json_array();
 	json_t *whole = json_pack("{s:o, s:b}", "groups", list, "overflowed", session->overflowed);
 	size_t len;
--- a/core/table.c
+++ b/core/table.c
@@ -15,7 +15,7 @@
 
 typedef enum { FIELD_INT, FIELD_MSEC, FIELD_KIND, FIELD_TEXT } field_type_t;
 
-/* A field of a row or a member, as the operator writes it. */
+/* A field of a row or a member in the JSON that operators write. */
 typedef struct field {
 	const char *key;
 	field_type_t type;
@@ -26,8 +26,8 @@
 	bool required;
 } field_t;
 
-/* A number with a default. */
-#define FIELD_NUMBER(name, kind, where, lowest, highest, preset)                                   \
+/* A number with a range and a default. */
+#define FIELD_OPTIONAL(name, kind, where, lowest, highest, preset)                                 \
 	{                                                                                          \
 		.key = (name), .type = (kind), .offset = (where), .min = (lowest),                 \
 		.max = (highest), .initial = (preset)                                              \
@@ -40,27 +40,28 @@
 static const field_t row_fields[] = {
 	FIELD_REQUIRED("group", FIELD_TEXT, offsetof(row_t, group)),
 	FIELD_REQUIRED("kind", FIELD_KIND, offsetof(row_t, kind)),
-	FIELD_NUMBER("max_age_ms", FIELD_MSEC, offsetof(row_t, max_age), 0, MAX_MSEC, 0),
-	FIELD_NUMBER("connections", FIELD_INT, offsetof(row_t, connections), 1, MAX_CONNECTIONS, 2),
-	FIELD_NUMBER("weight", FIELD_INT, offsetof(row_t, weight), 0, 100, 50),
-	FIELD_NUMBER("replica_lean", FIELD_INT, offsetof(row_t, replica_share), 0, 100, 100),
-	FIELD_NUMBER("timeout_ms", FIELD_MSEC, offsetof(row_t, timeout), 1, MAX_MSEC, 5000),
-	FIELD_NUMBER("queue", FIELD_INT, offsetof(row_t, queue), 1, MAX_CONNECTIONS, 200),
+	FIELD_OPTIONAL("max_age_ms", FIELD_MSEC, offsetof(row_t, max_age), 0, MAX_MSEC, 0),
+	FIELD_OPTIONAL("connections", FIELD_INT, offsetof(row_t, connections), 1, MAX_CONNECTIONS,
+		       2),
+	FIELD_OPTIONAL("weight", FIELD_INT, offsetof(row_t, weight), 0, 100, 50),
+	FIELD_OPTIONAL("replica_lean", FIELD_INT, offsetof(row_t, replica_share), 0, 100, 100),
+	FIELD_OPTIONAL("timeout_ms", FIELD_MSEC, offsetof(row_t, timeout), 1, MAX_MSEC, 5000),
+	FIELD_OPTIONAL("queue", FIELD_INT, offsetof(row_t, queue), 1, MAX_CONNECTIONS, 200),
 };
 
 static const field_t member_fields[] = {
 	FIELD_REQUIRED("name", FIELD_TEXT, offsetof(member_spec_t, name)),
 	FIELD_REQUIRED("zone", FIELD_TEXT, offsetof(member_spec_t, zone)),
 	FIELD_REQUIRED("address", FIELD_TEXT, offsetof(member_spec_t, address)),
-	FIELD_NUMBER("slots", FIELD_INT, offsetof(member_spec_t, slots), 1, MAX_CONNECTIONS, 2),
-	FIELD_NUMBER("connections", FIELD_INT, offsetof(member_spec_t, connections), 1,
-		     MAX_CONNECTIONS, 15),
+	FIELD_OPTIONAL("slots", FIELD_INT, offsetof(member_spec_t, slots), 1, MAX_CONNECTIONS, 2),
+	FIELD_OPTIONAL("connections", FIELD_INT, offsetof(member_spec_t, connections), 1,
+		       MAX_CONNECTIONS, 15),
 };
 
 #define COUNT_OF(array) (sizeof(array) / sizeof((array)[0]))
 
-static int reject(err_t *err, const char *key, const char *field, const json_t *value,
-		  const char *expected)
+static int reject_value(err_t *err, const char *key, const char *field, const json_t *value,
+			const char *expected)
 {
 	char *shown = value != NULL ? json_dumps(value, JSON_ENCODE_ANY | JSON_COMPACT) : NULL;
 
@@ -80,7 +81,7 @@
 	    (!json_is_integer(value) || number < spec->min || number > spec->max)) {
 		snprintf(expected, sizeof(expected), "an integer from %lld to %lld",
 			 (long long)spec->min, (long long)spec->max);
-		return reject(err, key, spec->key, value, expected);
+		return reject_value(err, key, spec->key, value, expected);
 	}
 	if (spec->type == FIELD_MSEC)
 		*(usec_t *)out = (usec_t)number * USEC_PER_MSEC;
@@ -99,7 +100,7 @@
 	else if (text != NULL && strcmp(text, "write") == 0)
 		*out = ROW_WRITE;
 	else
-		return reject(err, key, spec->key, value, "\"read\" or \"write\"");
+		return reject_value(err, key, spec->key, value, "\"read\" or \"write\"");
 	return 0;
 }
 
@@ -109,7 +110,7 @@
 	const char *text = json_string_value(value);
 
 	if (text == NULL || text[0] == '\0')
-		return reject(err, key, spec->key, value, "a string that is not empty");
+		return reject_value(err, key, spec->key, value, "a string that is not empty");
 	*out = talloc_strdup(parent, text);
 	return 0;
 }
@@ -121,7 +122,7 @@
 	void *out = (char *)base + spec->offset;
 
 	if (value == NULL && spec->required)
-		return reject(err, key, spec->key, NULL, "a value");
+		return reject_value(err, key, spec->key, NULL, "a value");
 	switch (spec->type) {
 	case FIELD_INT:
 	case FIELD_MSEC:
@@ -146,7 +147,7 @@
 		for (size_t i = 0; i < count && !known; i++)
 			known = strcmp(fields[i].key, name) == 0;
 		if (!known)
-			return reject(err, key, name, value, "no such field");
+			return reject_value(err, key, name, value, "no such field");
 	}
 	return 0;
 }
@@ -196,10 +197,10 @@
 
 	if (rc < 0)
 		return rc;
-	/* An even number of members gains no safety: the majority grows with it. */
+	/* An even number of members tolerates no more failures than one member fewer. */
 	if (count == 0 || count > GROUP_MAX_MEMBERS || count % 2 == 0)
-		return reject(err, item->entry.key, "members", members,
-			      "a list of 1, 3, 5 or 7 members");
+		return reject_value(err, item->entry.key, "members", members,
+				    "a list of 1, 3, 5 or 7 members");
 	group->name = talloc_strdup(group, item->entry.key + strlen("group/"));
 	group->member_count = count;
 	for (size_t i = 0; i < count; i++) {
@@ -321,7 +322,7 @@
 
 const row_t *table_find_row(const table_t *table, const char *service, const char *class_name)
 {
-	char name[256 - sizeof("row/") + 1]; /* with the prefix it fills a key */
+	char name[256 - sizeof("row/") + 1]; /* with the prefix "row/" it fits a key of 256 bytes */
 
 	snprintf(name, sizeof(name), "%s/%s", service, class_name);
 	return table_find_row_named(table, name);
@@ -351,7 +352,7 @@
 	return out;
 }
 
-/* The table as it would be: what an edit changes lies over what is held. */
+/* The table as it would be after an edit: the entries of edit override those of held. */
 typedef struct view {
 	const table_t *held;
 	const table_t *edit;
@@ -371,9 +372,9 @@
 
 typedef int (*view_row_t)(const row_t *row, void *data, err_t *err);
 
-/* Call for every row of the group, as the view has them, until one call fails. */
-static int view_each_row(const view_t *view, const char *group, view_row_t call, void *data,
-			 err_t *err)
+/* Call call() for each row of the group in the view until one call fails. */
+static int for_each_view_row(const view_t *view, const char *group, view_row_t call, void *data,
+			     err_t *err)
 {
 	const table_t *tables[] = {view->edit, view->held};
 	table_item_t *item;
@@ -392,7 +393,7 @@
 	return rc;
 }
 
-static int reject_group(const row_t *row, void *data, err_t *err)
+static int reject_row_without_group(const row_t *row, void *data, err_t *err)
 {
 	(void)data;
 	return err_set(err, -EINVAL, STEP, row->name,
@@ -406,15 +407,15 @@
 	return 0;
 }
 
-/* The limits of all rows and the control connections must fit each member. */
+/* The limits of all rows and the control connections must fit each member's connections. */
 static int check_group(const view_t *view, const char *name, err_t *err)
 {
 	const group_spec_t *group = view_group(view, name);
 	int64_t sum = CONTROL_CONNECTIONS;
 
 	if (group == NULL)
-		return view_each_row(view, name, reject_group, NULL, err);
-	view_each_row(view, name, add_connections, &sum, err);
+		return for_each_view_row(view, name, reject_row_without_group, NULL, err);
+	for_each_view_row(view, name, add_connections, &sum, err);
 	for (size_t i = 0; i < group->member_count; i++) {
 		const member_spec_t *member = &group->members[i];
 
@@ -428,8 +429,8 @@
 	return 0;
 }
 
-/* The group that an entry is, or that its row is in; NULL for a deleted row. */
-static const char *group_touched(const table_item_t *item)
+/* The name of the group that the entry defines or that its row uses; NULL for a deleted row. */
+static const char *affected_group(const table_item_t *item)
 {
 	if (item->row != NULL)
 		return item->row->group;
@@ -438,7 +439,7 @@
 	return NULL;
 }
 
-/* What the edit does not touch was sound before and stays so. */
+/* Only the groups affected by the edit are checked: the others were valid and stay so. */
 int table_check(const table_t *table, const table_entry_t *entries, size_t count, err_t *err)
 {
 	void *scratch = talloc_new(NULL);
@@ -448,7 +449,7 @@
 	table_item_t *next;
 
 	HASH_ITER (hh, view.edit->items, item, next) {
-		const char *group = group_touched(item);
+		const char *group = affected_group(item);
 
 		if (rc >= 0 && group != NULL)
 			rc = check_group(&view, group, err);
--- a/core/tablesync.c
+++ b/core/tablesync.c
@@ -8,19 +8,20 @@
 #include "peers.h"
 #include "watch.h"
 
-#define KEEPERS_KEY "table"
-/* A pull is not repeated before this, whoever offers the version. */
+/* The key for which rendezvous hashing selects the store watchers. */
+#define STORE_WATCHERS_KEY "table"
+/* The least time between two pulls as long as no push has answered the first. */
 #define PULL_INTERVAL (100 * USEC_PER_MSEC)
-/* A load that gets no answer is given up after this. */
+/* A load without an answer for this time is abandoned. */
 #define LOAD_TIMEOUT (3 * USEC_PER_SEC)
-/* The platform's list is asked for less often in a large fleet: at most so many calls a second. */
+/* Limit for the whole fleet on queries of the platform's list: a large fleet polls less often. */
 #define VM_CALLS_PER_SECOND 50
 
 static void on_store_timer(run_timer_t *timer, usec_t now);
 static void on_vm_timer(run_timer_t *timer, usec_t now);
 
-/* News from before this time no longer counts; never 0, which stands for "never heard". */
-static usec_t stale_limit(const core_t *core)
+/* Confirmations from before this time have expired; never 0, which stands for "none". */
+static usec_t oldest_valid_time(const core_t *core)
 {
 	usec_t stale = core->config.timings.table_max_age;
 
@@ -29,21 +30,21 @@
 
 bool tablesync_reaches_majority(const core_t *core)
 {
-	return fleet_majority_is_alive(core->fleet, stale_limit(core));
+	return fleet_majority_is_alive(core->fleet, oldest_valid_time(core));
 }
 
 bool table_is_current(const core_t *core)
 {
 	if (core->table->version == 0)
 		return false;
-	if (core->table_current_at != 0 && core->table_current_at >= stale_limit(core))
+	if (core->table_current_at != 0 && core->table_current_at >= oldest_valid_time(core))
 		return true;
 	return tablesync_reaches_majority(core);
 }
 
-static bool is_keeper(core_t *core)
+static bool is_store_watcher(core_t *core)
 {
-	fleet_rank(core->fleet, KEEPERS_KEY, &core->store_watchers);
+	fleet_rank(core->fleet, STORE_WATCHERS_KEY, &core->store_watchers);
 	for (size_t i = 0; i < core->store_watchers.len; i++) {
 		if (core->store_watchers.proxies[i]->self)
 			return true;
@@ -51,7 +52,7 @@
 	return false;
 }
 
-static void load(core_t *core)
+static void load_table(core_t *core)
 {
 	action_t *action;
 
@@ -65,12 +66,12 @@
 	action->load.head_revision = core->head_revision;
 }
 
-static usec_t jitter(core_t *core, usec_t base)
+static usec_t add_jitter(core_t *core, usec_t base)
 {
 	return base + core_random(core, base / 2 + 1);
 }
 
-/* Keepers look regularly; others only when nobody tells them that their table is current. */
+/* Store watchers load regularly, others only if no heartbeat confirms their table for long. */
 static void on_store_timer(run_timer_t *timer, usec_t now)
 {
 	core_t *core = list_entry(timer, core_t, store_timer);
@@ -78,10 +79,10 @@
 	usec_t stale = timings->table_max_age / 2;
 	bool lonely = core->table->version == 0 || now - core->table_current_at > stale;
 
-	timers_arm(&core->timers, timer, now + jitter(core, timings->store_check_interval),
+	timers_arm(&core->timers, timer, now + add_jitter(core, timings->store_check_interval),
 		   on_store_timer);
-	if (is_keeper(core) || lonely)
-		load(core);
+	if (is_store_watcher(core) || lonely)
+		load_table(core);
 }
 
 static void on_vm_timer(run_timer_t *timer, usec_t now)
@@ -92,8 +93,8 @@
 	action_t *action = core_add_action(core, ACTION_VMS);
 
 	action->id = core_next_id(core);
-	timers_arm(&core->timers, timer, now + jitter(core, interval > spread ? interval : spread),
-		   on_vm_timer);
+	timers_arm(&core->timers, timer,
+		   now + add_jitter(core, interval > spread ? interval : spread), on_vm_timer);
 }
 
 void tablesync_start(core_t *core)
@@ -129,7 +130,7 @@
 	return changed;
 }
 
-static void pull(core_t *core, const proxy_t *from)
+static void pull_table(core_t *core, const proxy_t *from)
 {
 	message_t message = {.kind = MESSAGE_TABLE_PULL, .since = core->table->version};
 
@@ -142,10 +143,10 @@
 void tablesync_on_heartbeat(core_t *core, proxy_t *from, const message_t *message)
 {
 	if (message->table_version > core->table->version) {
-		pull(core, from);
+		pull_table(core, from);
 		return;
 	}
-	/* Sent after the echo of our clock in it, so its news is no younger than that. */
+	/* The message was sent after the clock reading that it echoes, so that bounds its age. */
 	if (message->table_version < core->table->version || message->store_age == USEC_NEVER ||
 	    message->echo <= message->store_age)
 		return;
@@ -166,8 +167,7 @@
 
 void tablesync_on_push(core_t *core, proxy_t *from, const message_t *message)
 {
-	/* It answers a pull since a version we have passed or still hold, else a part is missing.
-	 */
+	/* A push that starts after the version held here would leave out the changes in between. */
 	if (message->since > core->table->version)
 		return;
 	core->last_pull = 0;
@@ -175,11 +175,11 @@
 			from->name);
 }
 
-static void watch(core_t *core)
+static void watch_store(core_t *core)
 {
 	action_t *action;
 
-	if (core->watching_store || !is_keeper(core))
+	if (core->watching_store || !is_store_watcher(core))
 		return;
 	core->watching_store = true;
 	action = core_add_action(core, ACTION_STORE_WATCH);
@@ -197,9 +197,9 @@
 		core->load_id = 0;
 	if (event->status != STORE_OK)
 		return;
-	/* A watch brings single edits: after a gap the entries in between would be missing. */
+	/* A watch delivers single edits: after a gap, load the table to get those in between. */
 	if (!ours && event->table_version > core->table->version + 1) {
-		load(core);
+		load_table(core);
 		return;
 	}
 	if (tablesync_merge(core, event->entries, event->entry_count, event->table_version,
@@ -207,10 +207,10 @@
 		return;
 	if (event->head_revision > core->head_revision)
 		core->head_revision = event->head_revision;
-	/* A store restored from a backup may lag behind: what was accepted stays in force. */
+	/* A store restored from a backup may be older; accepted edits stay in force here. */
 	if (event->table_version == core->table->version)
 		tablesync_set_current_at(core, asked);
-	watch(core);
+	watch_store(core);
 }
 
 void tablesync_on_watch_down(core_t *core)
--- a/core/tablesync.h
+++ b/core/tablesync.h
@@ -1,7 +1,8 @@
 /*
- * Keeping the table current. A few proxies (its keepers, by rendezvous hash)
- * watch the store; the others learn from heartbeats that a newer version exists
- * and pull what changed. So calls on the store do not grow with the fleet.
+ * Keeps the operators' table current. The store watchers, FLEET_RANKS proxies chosen
+ * by rendezvous hashing, watch the store. Heartbeats carry the table version; a proxy
+ * that receives a newer one pulls the changes from the sender. So the number of store
+ * calls does not grow with the fleet.
  */
 #pragma once
 
@@ -9,28 +10,30 @@
 
 void tablesync_start(core_t *core);
 
-/* A heartbeat of a peer told its version. */
+/* Messages from peers: heartbeat (the table's part), pull, push. */
 void tablesync_on_heartbeat(core_t *core, proxy_t *from, const message_t *message);
 void tablesync_on_pull(core_t *core, proxy_t *from, const message_t *message);
 void tablesync_on_push(core_t *core, proxy_t *from, const message_t *message);
 
+/* Events of the store and of the platform. */
 void tablesync_on_load(core_t *core, uint64_t id, const store_event_t *event);
 void tablesync_on_watch_down(core_t *core);
 void tablesync_on_vms(core_t *core, const vms_event_t *event);
 
-/* Take entries into the table and let everybody follow. */
+/* Merge entries into the table, adapt the groups, and announce a new version to the neighbours. */
 int tablesync_merge(core_t *core, const table_entry_t *entries, size_t count, uint64_t version,
 		    const char *source);
 
-/* Our version was the store's at that time. */
+/* Record that the version held here was the store's at that time. */
 void tablesync_set_current_at(core_t *core, usec_t at);
 
-/* True if more than half of the fleet was heard within the time that a table stays known. */
+/* True if more than half of the fleet was alive within the last table_max_age. */
 bool tablesync_reaches_majority(const core_t *core);
 
 /*
- * True if the table can be known to be current: the store said so lately, or
- * more than half of the fleet is heard. An edit is accepted only by a proxy
- * that hears more than half, so one of those would know of it.
+ * True if the table is certainly current: it was the store's within the last
+ * table_max_age, or more than half of the fleet is reached. A proxy accepts an edit
+ * only while it reaches more than half of the fleet too, and any two majorities have
+ * a proxy in common, which has received the edit.
  */
 bool table_is_current(const core_t *core);
