--- a/core/fleet.c
+++ b/core/fleet.c
@@ -5,10 +5,10 @@
 #include <talloc.h>
 #include <xxhash.h>
 
-/* A suspect that is not expected is tried again after so many times the allowed silence. */
-#define SECOND_CHANCE 5
+/* The suspicion of a peer without heartbeats expires after this many times the allowed silence. */
+#define RETRY_SUSPECT_FACTOR 5
 
-static void note_change(fleet_t *fleet, fleet_change_kind_t kind, const proxy_t *proxy)
+static void record_change(fleet_t *fleet, fleet_change_kind_t kind, const proxy_t *proxy)
 {
 	fleet->changes[fleet->epoch % FLEET_CHANGES] = (fleet_change_t){kind, proxy};
 	fleet->epoch++;
@@ -21,7 +21,7 @@
 	proxy->name = talloc_strdup(proxy, name);
 	proxy->zone = talloc_strdup(proxy, zone);
 	HASH_ADD_KEYPTR(hh, fleet->proxies, proxy->name, strlen(proxy->name), proxy);
-	note_change(fleet, FLEET_JOINED, proxy);
+	record_change(fleet, FLEET_JOINED, proxy);
 	return proxy;
 }
 
@@ -49,7 +49,7 @@
 	return proxy;
 }
 
-/* Replace *field if text says something else; true if it did. */
+/* Replace *field if text is given and differs; true if replaced. */
 static bool update_text(proxy_t *proxy, char **field, const char *text)
 {
 	if (text == NULL || (*field != NULL && strcmp(*field, text) == 0))
@@ -69,7 +69,7 @@
 		proxy->added_at = now;
 	}
 	if (update_text(proxy, &proxy->zone, zone))
-		note_change(fleet, FLEET_MOVED, proxy);
+		record_change(fleet, FLEET_MOVED, proxy);
 	update_text(proxy, &proxy->address, address);
 	proxy->listed |= listed;
 	return proxy;
@@ -84,13 +84,14 @@
 		usec_t last;
 
 		if (proxy->added_at == 0)
-			proxy->added_at = now; /* from the settings, before the clock was known */
+			proxy->added_at =
+				now; /* from the settings, before the first event brought a time */
 		last = proxy->last_received > proxy->added_at ? proxy->last_received
 							      : proxy->added_at;
 		if (proxy->self || proxy->listed || now - last < forget_after)
 			continue;
 		HASH_DEL(fleet->proxies, proxy);
-		note_change(fleet, FLEET_LEFT, proxy);
+		record_change(fleet, FLEET_LEFT, proxy);
 		talloc_free(proxy);
 	}
 }
@@ -118,7 +119,7 @@
 	proxy->last_echo = 0;
 	proxy->peer_clock = 0;
 	proxy->table_version = 0;
-	note_change(fleet, FLEET_JOINED, proxy);
+	record_change(fleet, FLEET_JOINED, proxy);
 }
 
 void fleet_on_message(fleet_t *fleet, proxy_t *proxy, usec_t now, const message_t *message)
@@ -142,12 +143,12 @@
 	if (proxy->leaving)
 		return;
 	proxy->leaving = true;
-	note_change(fleet, FLEET_LEFT, proxy);
+	record_change(fleet, FLEET_LEFT, proxy);
 }
 
 void fleet_set_suspect(proxy_t *proxy, usec_t now)
 {
-	/* It moves nobody's rank: a suspect is passed over when ranks are used. */
+	/* Ranks do not change: users of ranks skip suspect proxies. */
 	if (proxy->self)
 		return;
 	proxy->suspect = true;
@@ -161,11 +162,12 @@
 
 	HASH_ITER (hh, fleet->proxies, proxy, next) {
 		if (!proxy->sends_heartbeats) {
-			if (proxy->suspect && now - proxy->suspected_at > SECOND_CHANCE * allowed)
+			if (proxy->suspect &&
+			    now - proxy->suspected_at > RETRY_SUSPECT_FACTOR * allowed)
 				proxy->suspect = false;
 			continue;
 		}
-		/* Never heard: just added. Only forwarding can tell. */
+		/* A peer that has sent nothing yet is new: requests show if it is down. */
 		if (proxy->last_received != 0 && now - proxy->last_received > allowed)
 			fleet_set_suspect(proxy, now);
 	}
@@ -182,7 +184,7 @@
 	}
 }
 
-static uint64_t score(const proxy_t *proxy, const char *key)
+static uint64_t hash_score(const proxy_t *proxy, const char *key)
 {
 	uint64_t seed = XXH64(key, strlen(key), 0);
 
@@ -220,15 +222,15 @@
 	list[i] = entry;
 }
 
-static bool same_zone(const proxy_t *a, const proxy_t *b)
+static bool is_same_zone(const proxy_t *a, const proxy_t *b)
 {
 	return a->zone != NULL && b->zone != NULL && strcmp(a->zone, b->zone) == 0;
 }
 
-static void note_in_zone(best_t *best, scored_t entry)
+static void update_zone_best(best_t *best, scored_t entry)
 {
 	for (size_t i = 0; i < best->zones; i++) {
-		if (!same_zone(best->by_zone[i].proxy, entry.proxy))
+		if (!is_same_zone(best->by_zone[i].proxy, entry.proxy))
 			continue;
 		if (entry.score > best->by_zone[i].score)
 			best->by_zone[i] = entry;
@@ -246,16 +248,16 @@
 	best->zones = 0;
 	best->count = 0;
 	HASH_ITER (hh, fleet->proxies, proxy, next) {
-		scored_t entry = {proxy, score(proxy, key)};
+		scored_t entry = {proxy, hash_score(proxy, key)};
 
 		if (proxy->leaving)
 			continue;
-		note_in_zone(best, entry);
+		update_zone_best(best, entry);
 		insert_scored(best->overall, &best->count, FLEET_RANKS, entry);
 	}
 }
 
-static bool already_ranked(const ranks_t *ranks, const proxy_t *proxy)
+static bool is_ranked(const ranks_t *ranks, const proxy_t *proxy)
 {
 	for (size_t i = 0; i < ranks->len; i++) {
 		if (ranks->proxies[i] == proxy)
@@ -268,31 +270,31 @@
 {
 	for (size_t i = 1; i < ranks->len; i++) {
 		for (size_t j = 0; j < i; j++) {
-			if (same_zone(ranks->proxies[i], ranks->proxies[j]))
+			if (is_same_zone(ranks->proxies[i], ranks->proxies[j]))
 				return true;
 		}
 	}
 	return false;
 }
 
-/* Can the change have moved these ranks? Saying yes too often costs time only. */
-static bool affects(const ranks_t *ranks, const char *key, const fleet_change_t *change)
+/* True if the change may have moved these ranks. A false positive only costs time. */
+static bool may_affect_ranks(const ranks_t *ranks, const char *key, const fleet_change_t *change)
 {
 	switch (change->kind) {
 	case FLEET_JOINED:
-		/* With too few zones a proxy of a new one is ranked whatever its score. */
+		/* With too few zones, a proxy in a new zone is ranked whatever its score. */
 		return ranks->len < FLEET_RANKS || has_zone_twice(ranks) ||
-		       score(change->proxy, key) > ranks->lowest_score;
+		       hash_score(change->proxy, key) > ranks->lowest_score;
 	case FLEET_LEFT:
-		return already_ranked(ranks, change->proxy);
+		return is_ranked(ranks, change->proxy);
 	case FLEET_MOVED:
 		break;
 	}
 	return true;
 }
 
-/* It left again since, and may be freed: its score is not to be asked for. */
-static bool left_later(const fleet_t *fleet, uint64_t since, const proxy_t *proxy)
+/* True if the proxy left at a later epoch. It may be freed: its score can't be computed. */
+static bool left_since(const fleet_t *fleet, uint64_t since, const proxy_t *proxy)
 {
 	for (uint64_t e = since; e < fleet->epoch; e++) {
 		const fleet_change_t *change = &fleet->changes[e % FLEET_CHANGES];
@@ -303,29 +305,29 @@
 	return false;
 }
 
-static bool still_holds(const fleet_t *fleet, const char *key, const ranks_t *ranks)
+static bool ranks_still_hold(const fleet_t *fleet, const char *key, const ranks_t *ranks)
 {
 	if (ranks->epoch == 0 || fleet->epoch - ranks->epoch > FLEET_CHANGES)
 		return false;
-	/* Ranks that hold a proxy that left are settled first: it may be freed. */
+	/* First look for ranked proxies that left, since they may be freed. */
 	for (uint64_t e = ranks->epoch; e < fleet->epoch; e++) {
 		const fleet_change_t *change = &fleet->changes[e % FLEET_CHANGES];
 
-		if (change->kind == FLEET_LEFT && already_ranked(ranks, change->proxy))
+		if (change->kind == FLEET_LEFT && is_ranked(ranks, change->proxy))
 			return false;
 	}
 	for (uint64_t e = ranks->epoch; e < fleet->epoch; e++) {
 		const fleet_change_t *change = &fleet->changes[e % FLEET_CHANGES];
 
-		if (change->kind == FLEET_JOINED && left_later(fleet, e, change->proxy))
+		if (change->kind == FLEET_JOINED && left_since(fleet, e, change->proxy))
 			continue;
-		if (affects(ranks, key, change))
+		if (may_affect_ranks(ranks, key, change))
 			return false;
 	}
 	return true;
 }
 
-/* The best of different zones first; where zones are too few, the best of the rest. */
+/* Ranks the best proxies of different zones first, then the best of the others. */
 void fleet_rank(const fleet_t *fleet, const char *key, ranks_t *ranks)
 {
 	scored_t zone_winners[FLEET_RANKS];
@@ -334,7 +336,7 @@
 
 	if (ranks->epoch == fleet->epoch)
 		return;
-	if (still_holds(fleet, key, ranks)) {
+	if (ranks_still_hold(fleet, key, ranks)) {
 		ranks->epoch = fleet->epoch;
 		return;
 	}
@@ -345,12 +347,12 @@
 	for (size_t i = 0; i < winners; i++)
 		ranks->proxies[ranks->len++] = zone_winners[i].proxy;
 	for (size_t i = 0; i < best.count && ranks->len < FLEET_RANKS; i++) {
-		if (!already_ranked(ranks, best.overall[i].proxy))
+		if (!is_ranked(ranks, best.overall[i].proxy))
 			ranks->proxies[ranks->len++] = best.overall[i].proxy;
 	}
 	ranks->lowest_score = UINT64_MAX;
 	for (size_t i = 0; i < ranks->len; i++) {
-		uint64_t mine = score(ranks->proxies[i], key);
+		uint64_t mine = hash_score(ranks->proxies[i], key);
 
 		if (mine < ranks->lowest_score)
 			ranks->lowest_score = mine;
@@ -389,8 +391,10 @@
 
 	HASH_ITER (hh, fleet->proxies, proxy, next) {
 		all++;
-		/* Not proxy->heard: what comes in now may have waited in a buffer while we were
-		 * paused. */
+		/*
+		 * proxy->last_received is no proof: a message received now may have waited in a
+		 * buffer while this process was paused.
+		 */
 		if (proxy->self || (proxy->last_echo != 0 && proxy->last_echo >= since))
 			heard++;
 	}
--- a/core/peers.c
+++ b/core/peers.c
@@ -10,7 +10,10 @@
 #include "tx.h"
 #include "watch.h"
 
-/* Beyond it, extra neighbours by hash join the parts that share no group. */
+/*
+ * Prefix of the key for which extra neighbours are selected by hash in a large fleet.
+ * They connect parts of the fleet that have no group in common.
+ */
 #define HASH_NEIGHBOURS "neighbours/"
 
 void peers_send(core_t *core, const char *peer, const message_t *message)
@@ -30,7 +33,7 @@
 
 static void send_heartbeat(core_t *core, const proxy_t *to)
 {
-	/* Who has told us of itself knows us too: where we are need not travel each time. */
+	/* A peer that has sent a message has this proxy's zone and address already. */
 	bool is_known = to->peer_clock != 0;
 	message_t message = {
 		.kind = MESSAGE_HEARTBEAT,
@@ -56,14 +59,14 @@
 	out[(*len)++] = proxy;
 }
 
-static void add_ranked(proxy_t **out, size_t *len, size_t max, const ranks_t *ranks)
+static void add_ranked_neighbours(proxy_t **out, size_t *len, size_t max, const ranks_t *ranks)
 {
 	for (size_t i = 0; i < ranks->len; i++)
 		add_neighbour(out, len, max, ranks->proxies[i]);
 }
 
-/* These, and nobody else, send us heartbeats regularly. */
-static void expect(core_t *core, proxy_t *const *proxies, size_t len)
+/* Only these proxies send heartbeats to this one regularly. */
+static void set_heartbeat_senders(core_t *core, proxy_t *const *proxies, size_t len)
 {
 	proxy_t *proxy;
 	proxy_t *next;
@@ -74,7 +77,7 @@
 		proxies[i]->sends_heartbeats = true;
 }
 
-/* Those we share a watched group with, the table's keepers if we are one, and some by hash. */
+/* The proxies that watch a group together with this one, and some selected by hash. */
 static size_t large_fleet_neighbours(core_t *core, proxy_t **out, size_t max)
 {
 	size_t len = 0;
@@ -85,16 +88,17 @@
 
 	HASH_ITER (hh, core->groups, group, next) {
 		if (group->rank >= 0)
-			add_ranked(out, &len, max, &group->ranks);
+			add_ranked_neighbours(out, &len, max, &group->ranks);
 	}
-	expect(core, out, len); /* sharing a group is mutual, being picked by hash is not */
+	set_heartbeat_senders(core, out,
+			      len); /* sharing a group is mutual, being picked by hash is not */
 	fleet_rank(core->fleet, key, &picks);
-	add_ranked(out, &len, max, &picks);
+	add_ranked_neighbours(out, &len, max, &picks);
 	talloc_free(key);
 	return len;
 }
 
-static size_t all_others(core_t *core, proxy_t **out, size_t max)
+static size_t small_fleet_neighbours(core_t *core, proxy_t **out, size_t max)
 {
 	size_t len = 0;
 	proxy_t *proxy;
@@ -102,7 +106,7 @@
 
 	HASH_ITER (hh, core->fleet->proxies, proxy, next)
 		add_neighbour(out, &len, max, proxy);
-	expect(core, out, len);
+	set_heartbeat_senders(core, out, len);
 	return len;
 }
 
@@ -113,7 +117,7 @@
 	size_t len;
 
 	if (HASH_COUNT(core->fleet->proxies) <= core->config.small_fleet)
-		len = all_others(core, neighbours, max);
+		len = small_fleet_neighbours(core, neighbours, max);
 	else
 		len = large_fleet_neighbours(core, neighbours, max);
 	for (size_t i = 0; i < len; i++)
@@ -142,14 +146,17 @@
 	on_heartbeat(&core->heartbeat_timer, core->now);
 }
 
-static void take_heartbeat(core_t *core, proxy_t *from, const message_t *message)
+static void receive_heartbeat(core_t *core, proxy_t *from, const message_t *message)
 {
 	bool news = message->leaving && !core->draining;
 
 	fleet_add(core->fleet, core->now, from->name, message->zone, message->address, false);
 	from->table_version = message->table_version;
 	tablesync_on_heartbeat(core, from, message);
-	/* One that we would not have told may not know us: answer, or it never hears an echo. */
+	/*
+	 * The sender has received nothing from this proxy yet and may not be one of its
+	 * neighbours: answer, so that it gets an echo of its clock.
+	 */
 	if (message->echo == 0)
 		send_heartbeat(core, from);
 	if (news)
@@ -164,11 +171,11 @@
 		from = fleet_add(core->fleet, core->now, peer, message->zone, message->address,
 				 false);
 	if (message->incarnation < from->incarnation)
-		return; /* a message of its earlier life, late */
+		return; /* a late message of an earlier incarnation */
 	fleet_on_message(core->fleet, from, core->now, message);
 	switch (message->kind) {
 	case MESSAGE_HEARTBEAT:
-		take_heartbeat(core, from, message);
+		receive_heartbeat(core, from, message);
 		break;
 	case MESSAGE_EXECUTE:
 		router_execute(core, from, message);
--- a/core/peers.h
+++ b/core/peers.h
@@ -1,7 +1,8 @@
 /*
- * Talk between proxies: heartbeats to neighbours, and the header of every
- * message. Neighbours are those that watch a group with us and a few more by
- * hash, so that their number does not grow with the fleet.
+ * Messages between proxies: heartbeats to neighbours, the header of every message,
+ * and dispatch of received ones. Neighbours are the proxies that watch a group
+ * together with this one and a few selected by hash, so that their number does not
+ * grow with the fleet.
  */
 #pragma once
 
@@ -10,10 +11,10 @@
 /* Fill in the header and send a copy of message. */
 void peers_send(core_t *core, const char *peer, const message_t *message);
 
-/* Start sending heartbeats. */
+/* Start the periodic heartbeats. */
 void peers_start(core_t *core);
 
-/* Tell the neighbours at once, after news that can't wait. */
+/* Send heartbeats to all neighbours now, as after a change that they need at once. */
 void peers_send_heartbeats(core_t *core);
 
 void peers_receive(core_t *core, const char *peer, const message_t *message);
--- a/core/placement.c
+++ b/core/placement.c
@@ -10,7 +10,7 @@
 	return -1;
 }
 
-/* The members hold the limit themselves, slot by slot, so a home may ask for all of it. */
+/* Slots claimed at the member enforce the limit, so a home may use all of it. */
 static int64_t whole_limit(const core_t *core, int64_t limit)
 {
 	(void)core;
--- a/core/placement.h
+++ b/core/placement.h
@@ -1,8 +1,7 @@
 /*
- * Placement: which proxies run a group's requests, and how many connections
- * each may hold. The product's way is one home a group, to which others
- * forward. The other one, fixed equal shares, is the baseline of the load
- * measurement.
+ * Placement policies: which proxies run a group's requests, and how many connections
+ * each may open. In normal operation each group has one home to which the others
+ * forward. The policy of equal shares is the baseline of the load measurement.
  */
 #pragma once
 
@@ -10,11 +9,11 @@
 
 typedef struct placement_ops {
 	const char *name;
-	/* The place of this proxy among those that run the group's requests, -1 if it does not. */
+	/* The rank of this proxy among those that run the group's requests, -1 if it has none. */
 	int (*rank)(const core_t *core, const ranks_t *ranks);
-	/* True if every proxy runs what it receives. */
+	/* True if every proxy runs the requests that it receives. */
 	bool runs_all;
-	/* How many of a row's connections on a member this proxy may open. */
+	/* How many connections of a row to a member this proxy may open. */
 	int64_t (*share)(const core_t *core, int64_t limit);
 } placement_ops_t;
 
--- a/core/tx.c
+++ b/core/tx.c
@@ -35,7 +35,7 @@
 	tx_t *tx;
 
 	HASH_FIND(hh, core->txs, &seq, sizeof(seq), tx);
-	/* The whole handle must match: a number may come from an earlier incarnation. */
+	/* Compare the whole handle: the number may be of an earlier incarnation. */
 	return tx != NULL && strcmp(tx->handle, handle) == 0 ? tx : NULL;
 }
 
@@ -55,7 +55,7 @@
 	request->tx = tx;
 }
 
-static void forget(core_t *core, tx_t *tx)
+static void free_tx(core_t *core, tx_t *tx)
 {
 	if (tx->current != NULL)
 		tx->current->tx = NULL;
@@ -63,12 +63,12 @@
 	talloc_free(tx);
 }
 
-/* The connection's transaction is over; the connection may serve others again. */
+/* The transaction has ended: free it and make its connection idle. */
 static void end_tx(core_t *core, tx_t *tx)
 {
 	conn_t *conn = tx->conn;
 
-	forget(core, tx);
+	free_tx(core, tx);
 	pool_release(conn);
 }
 
@@ -79,7 +79,7 @@
 	core_log(core, true, "transaction lost handle=%s group=%s: it was rolled back", tx->handle,
 		 tx->group->name);
 	tx->conn->tx = NULL;
-	forget(core, tx);
+	free_tx(core, tx);
 }
 
 static run_kind_t run_kind(verb_t verb)
@@ -100,7 +100,7 @@
 	tx_t *tx = find_tx(core, request->query->tx);
 
 	if (tx == NULL) {
-		/* A commit whose handle is gone may be a resend of one that took. */
+		/* An unknown handle may be that of a commit that succeeded and is sent again. */
 		if (request->query->verb == VERB_COMMIT && request->query->request_id == NULL)
 			request->maybe_ran = request->query->resend;
 		request_refuse(request, REFUSAL_TX_LOST, 0,
@@ -122,14 +122,14 @@
 	exec_start(request, tx->conn, run_kind(request->query->verb));
 }
 
-static void lost(request_t *request, const run_result_t *result)
+static void refuse_lost(request_t *request, const run_result_t *result)
 {
 	request->maybe_ran = result->status == RUN_LOST_AT_COMMIT;
 	request_refuse(request, REFUSAL_TX_LOST, 0, "%s",
 		       result->detail != NULL ? result->detail : "the connection broke");
 }
 
-static void rejected(request_t *request, const run_result_t *result)
+static void answer_rejected(request_t *request, const run_result_t *result)
 {
 	answer_t answer = {
 		.outcome = OUTCOME_NOT_RUN,
@@ -143,7 +143,7 @@
 	request_finish(request, &answer);
 }
 
-static void rolled_back(request_t *request)
+static void answer_rolled_back(request_t *request)
 {
 	answer_t answer = {
 		.outcome = OUTCOME_DONE,
@@ -155,10 +155,10 @@
 }
 
 /*
- * What a statement of an open transaction read must not be stale either, so it
- * waits for a majority like a strict read; a commit waits like a write.
+ * A statement of an open transaction must not return stale data, so it waits for a
+ * majority like a linearizable read; a commit waits like a write.
  */
-static void confirm(request_t *request)
+static void confirm_or_supersede(request_t *request)
 {
 	const report_t *after = &request->result->after;
 
@@ -174,18 +174,18 @@
 {
 	tx_t *tx = request->tx;
 
-	/* An open transaction on a superseded primary can never be confirmed: drop it. */
+	/* An open transaction on a superseded primary can never be confirmed: abort it. */
 	if (tx != NULL) {
 		conn_t *conn = tx->conn;
 
 		conn->tx = NULL;
-		forget(request->core, tx);
+		free_tx(request->core, tx);
 		pool_close_conn(conn);
 	}
 	request_refuse(request, REFUSAL_TX_LOST, 0, "the primary was superseded");
 }
 
-static void run_ok(request_t *request, conn_t *conn)
+static void handle_run_ok(request_t *request, conn_t *conn)
 {
 	core_t *core = request->core;
 
@@ -193,18 +193,18 @@
 	case VERB_BEGIN:
 		open_tx(request, conn);
 		request->tx->current = request;
-		confirm(request);
+		confirm_or_supersede(request);
 		break;
 	case VERB_COMMIT:
 		end_tx(core, request->tx);
-		confirm(request);
+		confirm_or_supersede(request);
 		break;
 	case VERB_ROLLBACK:
 		end_tx(core, request->tx);
-		rolled_back(request);
+		answer_rolled_back(request);
 		break;
 	default:
-		confirm(request);
+		confirm_or_supersede(request);
 		break;
 	}
 }
@@ -214,16 +214,16 @@
 	verb_t verb = request->query->verb;
 
 	if (!usable) {
-		lost(request, request->result);
+		refuse_lost(request, request->result);
 		return;
 	}
 	if (request->result->status == RUN_OK) {
-		run_ok(request, conn);
+		handle_run_ok(request, conn);
 		return;
 	}
 	if (request->result->status == RUN_NOT_PRIMARY)
 		group_on_not_primary(request->run_member);
-	/* After a failed statement the server aborts the transaction; a failed commit ends it. */
+	/* A failed statement leaves the transaction open but aborted; a failed commit ends it. */
 	if (request->tx == NULL) {
 		pool_release(conn);
 	} else if (verb == VERB_COMMIT || verb == VERB_ROLLBACK) {
@@ -231,7 +231,7 @@
 	} else {
 		request->tx->current = NULL;
 	}
-	rejected(request, request->result);
+	answer_rejected(request, request->result);
 }
 
 void tx_close_idle(core_t *core)
@@ -247,7 +247,7 @@
 		core_log(core, true, "transaction idle too long handle=%s group=%s", tx->handle,
 			 tx->group->name);
 		conn->tx = NULL;
-		forget(core, tx);
+		free_tx(core, tx);
 		pool_close_conn(conn);
 	}
 }
--- a/core/watch.c
+++ b/core/watch.c
@@ -10,10 +10,11 @@
 #include "retry.h"
 #include "samples.h"
 
+/* Start values of the moving averages of a new group. */
 #define INITIAL_SERVICE_TIME (5 * USEC_PER_MSEC)
 #define INITIAL_CONFIRM_TIME (5 * USEC_PER_MSEC)
 
-static void copy_spec(member_t *member, const member_spec_t *spec)
+static void copy_member_spec(member_t *member, const member_spec_t *spec)
 {
 	member->spec = *spec;
 	member->spec.name = talloc_strdup(member->group->members, spec->name);
@@ -36,7 +37,7 @@
 		member->group = group;
 		member->reported_as_of = core->now;
 		list_init(&member->pools);
-		copy_spec(member, &spec->members[i]);
+		copy_member_spec(member, &spec->members[i]);
 	}
 	group_request_reports(group);
 	group_arm_timer(group);
@@ -87,7 +88,7 @@
 	return false;
 }
 
-static bool same_members(const group_t *group, const group_spec_t *spec)
+static bool has_same_members(const group_t *group, const group_spec_t *spec)
 {
 	if (group->member_count != spec->member_count)
 		return false;
@@ -101,7 +102,7 @@
 	return true;
 }
 
-static void update_limits(group_t *group, const group_spec_t *spec)
+static void update_member_limits(group_t *group, const group_spec_t *spec)
 {
 	for (size_t i = 0; i < spec->member_count; i++) {
 		group->members[i].spec.slots = spec->members[i].slots;
@@ -110,10 +111,10 @@
 }
 
 /*
- * Let go of the members once nothing runs on them. Until then changing holds
- * new runs back, so that a busy group takes up a new list of members too.
+ * Stop watching once nothing runs on the members. Until then members_changing holds
+ * back new runs, so that a new list of members takes effect in a busy group too.
  */
-static void try_stop(group_t *group)
+static void stop_watching_if_unused(group_t *group)
 {
 	bool moved = group->rank < 0;
 
@@ -133,10 +134,10 @@
 	if (group->members != NULL) {
 		if (item->group == NULL)
 			group->rank = -1;
-		if (group->rank >= 0 && same_members(group, item->group))
-			update_limits(group, item->group);
+		if (group->rank >= 0 && has_same_members(group, item->group))
+			update_member_limits(group, item->group);
 		else
-			try_stop(group);
+			stop_watching_if_unused(group);
 	}
 	if (group->members == NULL && group->rank >= 0 && item->group != NULL)
 		start_watching(group, item->group);
--- a/core/watch.h
+++ b/core/watch.h
@@ -1,10 +1,10 @@
 /*
- * Which groups exist and which ones this proxy watches: follows the table and
- * the fleet, and lets go of a group's members once nothing runs on them.
+ * Creates the groups of the table and starts and stops watching them as the table
+ * and the fleet change. Watching stops once no request runs on the group's members.
  */
 #pragma once
 
 #include "state.h"
 
-/* Bring the groups up to the table and the fleet as they are now. */
+/* Update the groups to the current table and fleet. */
 void watch_refresh(core_t *core);
