--- a/core/confirm.c
+++ b/core/confirm.c
@@ -92,7 +92,7 @@
 		group_request_reports(group);
 }
 
-void confirm_check(group_t *group)
+void confirm_answer_ready(group_t *group)
 {
 	list_for_each_safe (it, &group->confirms) {
 		request_t *request = list_entry(it, request_t, node);
--- a/core/confirm.h
+++ b/core/confirm.h
@@ -13,7 +13,7 @@
 void confirm_add(request_t *request);
 
 /* After a new report: answer the requests that a majority now confirms. */
-void confirm_check(group_t *group);
+void confirm_answer_ready(group_t *group);
 
 /* After the group's term rose: runs in an earlier term can't be confirmed any more. */
 void confirm_term_changed(group_t *group);
--- a/core/core.c
+++ b/core/core.c
@@ -182,7 +182,7 @@
 	core_log(core, false, "shutting down: %u requests and %u transactions to finish",
 		 HASH_COUNT(core->requests), HASH_COUNT(core->txs));
 	fleet_set_leaving(core->fleet, core->fleet->self);
-	watch_refresh(core);
+	watch_update_groups(core);
 	peers_send_heartbeats(core);
 }
 
@@ -260,6 +260,6 @@
 	dispatch_event(core, event);
 	timers_expire(&core->timers, now);
 	if (core->fleet_epoch != core->fleet->epoch)
-		watch_refresh(core);
+		watch_update_groups(core);
 	check_drained(core);
 }
--- a/core/group.c
+++ b/core/group.c
@@ -165,7 +165,7 @@
 		if (!is_responsive(&group->members[i]))
 			pool_close_stuck_reads(&group->members[i]);
 	}
-	takeover_consider(group);
+	takeover_start_if_due(group);
 	pool_close_idle(group);
 	exec_dispatch(group);
 	group_arm_timer(group);
@@ -253,7 +253,7 @@
 	}
 	order_follow_if_behind(member);
 	samples_confirm(group);
-	samples_refresh_ages(group);
+	samples_update_members(group);
 }
 
 static void update_rtt(member_t *member, usec_t rtt)
@@ -285,9 +285,9 @@
 			member->next_report = group->core->now + UNREACHABLE_RECHECK;
 		}
 	}
-	confirm_check(group);
+	confirm_answer_ready(group);
 	hasten_next_report(member);
-	takeover_consider(group);
+	takeover_start_if_due(group);
 	exec_dispatch(group);
 	group_arm_timer(group);
 }
--- a/core/peers.c
+++ b/core/peers.c
@@ -138,7 +138,7 @@
 	}
 	tx_close_idle(core);
 	if (core->refresh_pending)
-		watch_refresh(core);
+		watch_update_groups(core);
 }
 
 void peers_start(core_t *core)
--- a/core/samples.c
+++ b/core/samples.c
@@ -40,7 +40,7 @@
 	return best;
 }
 
-void samples_refresh_ages(group_t *group)
+void samples_update_members(group_t *group)
 {
 	for (size_t i = 0; i < group->member_count; i++) {
 		member_t *member = &group->members[i];
--- a/core/samples.h
+++ b/core/samples.h
@@ -12,7 +12,7 @@
 
 /* After a new report: mark the samples that it confirms, then update the members' data_as_of. */
 void samples_confirm(group_t *group);
-void samples_refresh_ages(group_t *group);
+void samples_update_members(group_t *group);
 
 /* Discard all samples: after a change of term or a pause of this process. */
 void samples_clear(group_t *group);
--- a/core/table.c
+++ b/core/table.c
@@ -338,7 +338,8 @@
 	return item != NULL ? item->group : NULL;
 }
 
-table_entry_t *table_changes(void *parent, const table_t *table, uint64_t since, size_t *count)
+table_entry_t *table_changes_since(void *parent, const table_t *table, uint64_t since,
+				   size_t *count)
 {
 	table_entry_t *out = talloc_array(parent, table_entry_t, HASH_COUNT(table->items) + 1);
 	table_item_t *item;
--- a/core/table.h
+++ b/core/table.h
@@ -72,7 +72,8 @@
 const table_entry_t *table_find_entry(const table_t *table, const char *key);
 
 /* The entries changed after version since; the table keeps ownership of their strings. */
-table_entry_t *table_changes(void *parent, const table_t *table, uint64_t since, size_t *count);
+table_entry_t *table_changes_since(void *parent, const table_t *table, uint64_t since,
+				   size_t *count);
 
 /*
  * Check that the table would be valid with these entries merged: every row and
--- a/core/tablesync.c
+++ b/core/tablesync.c
@@ -125,7 +125,7 @@
 		return 0;
 	core_log(core, false, "table in force version=%llu changed=%d source=%s",
 		 (unsigned long long)core->table->version, changed, source);
-	watch_refresh(core);
+	watch_update_groups(core);
 	peers_send_heartbeats(core);
 	return changed;
 }
@@ -159,7 +159,7 @@
 
 	if (core->table->version <= message->since)
 		return;
-	push.entries = table_changes(core, core->table, message->since, &push.entry_count);
+	push.entries = table_changes_since(core, core->table, message->since, &push.entry_count);
 	push.since = message->since;
 	peers_send(core, from->name, &push);
 	talloc_free(push.entries);
--- a/core/takeover.c
+++ b/core/takeover.c
@@ -207,7 +207,7 @@
 	return n;
 }
 
-void takeover_consider(group_t *group)
+void takeover_start_if_due(group_t *group)
 {
 	const core_t *core = group->core;
 	const char *reason;
--- a/core/takeover.h
+++ b/core/takeover.h
@@ -12,7 +12,7 @@
 #include "state.h"
 
 /* Start a takeover if the primary counts as failed and this proxy's rank is due to act. */
-void takeover_consider(group_t *group);
+void takeover_start_if_due(group_t *group);
 
 /* When a pending report makes the primary count as silent; USEC_NEVER if none is pending. */
 usec_t takeover_silence_deadline(const group_t *group);
--- a/core/watch.c
+++ b/core/watch.c
@@ -145,7 +145,7 @@
 		group->members != NULL && (group->members_changing || group->rank < 0);
 }
 
-void watch_refresh(core_t *core)
+void watch_update_groups(core_t *core)
 {
 	table_item_t *item;
 	table_item_t *next;
--- a/core/watch.h
+++ b/core/watch.h
@@ -7,4 +7,4 @@
 #include "state.h"
 
 /* Update the groups to the current table and fleet. */
-void watch_refresh(core_t *core);
+void watch_update_groups(core_t *core);
--- a/tests/session.c
+++ b/tests/session.c
@@ -142,12 +142,13 @@
 
 static void do_stall(play_t *play, char **words)
 {
-	world_stall(play->world, world_node(words[1]), world_node(words[2]), msec(words[3]));
+	world_delay_messages(play->world, world_node(words[1]), world_node(words[2]),
+			     msec(words[3]));
 }
 
 static void do_unlink(play_t *play, char **words)
 {
-	world_unlink(play->world, world_node(words[1]), world_node(words[2]), msec(words[3]));
+	world_disconnect(play->world, world_node(words[1]), world_node(words[2]), msec(words[3]));
 }
 
 static void do_lag(play_t *play, char **words)
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -105,10 +105,10 @@
 	table_entry_t *changes;
 
 	g_assert_cmpint(table_merge(table, &entry, 1, 2, NULL), ==, 1);
-	changes = table_changes(table, table, 1, &count);
+	changes = table_changes_since(table, table, 1, &count);
 	g_assert_cmpuint(count, ==, 1);
 	g_assert_cmpstr(changes[0].key, ==, "row/s/d");
-	table_changes(table, table, 0, &count);
+	table_changes_since(table, table, 0, &count);
 	g_assert_cmpuint(count, ==, 3);
 	talloc_free(table);
 }
--- a/tests/world.c
+++ b/tests/world.c
@@ -78,7 +78,7 @@
 	member->free_at = g_array_new(FALSE, TRUE, sizeof(usec_t));
 	g_array_set_size(member->free_at, (guint)world->config.slots);
 	g_ptr_array_add(member->log, log_entry_new(1, NULL, NULL, NULL));
-	world_plan(world, 50 * USEC_PER_MSEC, -1, fake_members_catch_up, GINT_TO_POINTER(i));
+	world_schedule(world, 50 * USEC_PER_MSEC, -1, fake_member_on_catch_up, GINT_TO_POINTER(i));
 }
 
 static void on_start(world_t *world, void *data)
@@ -118,7 +118,7 @@
 		snprintf(address, sizeof(address), "p:%d", j);
 		core_add_seed(world->proxies[i].core, &vm);
 	}
-	world_plan(world, 1000 + world_random(world, 20000), i, on_start, GINT_TO_POINTER(i));
+	world_schedule(world, 1000 + world_random(world, 20000), i, on_start, GINT_TO_POINTER(i));
 }
 
 world_t *world_create(const world_config_t *config)
@@ -155,7 +155,7 @@
 	memset(world->frozen, 0, sizeof(world->frozen));
 	memset(world->vanished, true, sizeof(world->vanished));
 	for (int i = 0; i < world->config.proxies; i++)
-		world_for_conns(world, i, world_abandon);
+		world_for_each_conn(world, i, fake_conn_abandon);
 	world_run(world, USEC_NEVER - 1);
 }
 
--- a/tests/world.h
+++ b/tests/world.h
@@ -74,10 +74,10 @@
 void world_freeze(world_t *world, int node, usec_t for_how_long);
 void world_cut(world_t *world, int a, int b, bool cut);
 /* What proxy a sends to b waits on the way, as behind a lost packet. */
-void world_stall(world_t *world, int a, int b, usec_t for_how_long);
+void world_delay_messages(world_t *world, int a, int b, usec_t for_how_long);
 
 /* a has no connection to b for so long: what it sends is told to be unsent. */
-void world_unlink(world_t *world, int a, int b, usec_t for_how_long);
+void world_disconnect(world_t *world, int a, int b, usec_t for_how_long);
 void world_lose_answers(world_t *world, int count); /* of the store's commits */
 void world_set_lag(world_t *world, usec_t lag);
 void world_leave(world_t *world, int node);
--- a/tests/world_conns.c
+++ b/tests/world_conns.c
@@ -96,8 +96,8 @@
 		if (reply->commit_next) {
 			conn->commit_sent = true;
 			conn->refs++;
-			world_plan(world, world->now + world_latency(world, conn->proxy, node),
-				   node, run_commit_arrive, conn);
+			world_schedule(world, world->now + world_latency(world, conn->proxy, node),
+				       node, run_commit_arrive, conn);
 		} else {
 			run_finish(world, conn, &reply->result);
 		}
@@ -118,8 +118,8 @@
 	reply->result = *result;
 	reply->commit_next = commit_next;
 	conn->refs++;
-	world_plan(world, world->now + world_latency(world, node, conn->proxy), conn->proxy,
-		   run_reply, reply);
+	world_schedule(world, world->now + world_latency(world, node, conn->proxy), conn->proxy,
+		       run_reply, reply);
 }
 
 static char *rows_of(const char *value)
@@ -221,8 +221,8 @@
 	    !world_is_down(world, world_member_node(conn->member))) {
 		/* Whoever inserted the id first has it; the other waits, as on a unique index. */
 		if (id_is_locked(world, conn, conn->query->request_id)) {
-			world_plan(world, world->now + USEC_PER_MSEC,
-				   world_member_node(conn->member), run_end, conn);
+			world_schedule(world, world->now + USEC_PER_MSEC,
+				       world_member_node(conn->member), run_end, conn);
 			return;
 		}
 		run_serve(world, conn);
@@ -258,15 +258,15 @@
 	}
 	/* As a database does with a unique key that another open transaction holds. */
 	if (id_is_locked(world, conn, conn->query->request_id)) {
-		world_plan(world, world->now + USEC_PER_MSEC, node, run_arrive, conn);
+		world_schedule(world, world->now + USEC_PER_MSEC, node, run_arrive, conn);
 		return;
 	}
 	conn->before = fake_member_report(&world->members[conn->member]);
-	world_plan(world, take_slot(world, conn->member) + world->config.service_time, node,
-		   run_end, conn);
+	world_schedule(world, take_slot(world, conn->member) + world->config.service_time, node,
+		       run_end, conn);
 }
 
-void world_do_run(world_t *world, int proxy, action_t *action)
+void world_start_run(world_t *world, int proxy, action_t *action)
 {
 	fake_conn_t *conn = conn_find(world, proxy, action->id);
 	event_t event = {.kind = EVENT_RUN_DONE, .id = action->id};
@@ -283,8 +283,9 @@
 	talloc_free(conn->query);
 	conn->query = query_copy(NULL, action->run.query);
 	conn->refs++;
-	world_plan(world, world->now + world_latency(world, proxy, world_member_node(conn->member)),
-		   world_member_node(conn->member), run_arrive, conn);
+	world_schedule(world,
+		       world->now + world_latency(world, proxy, world_member_node(conn->member)),
+		       world_member_node(conn->member), run_arrive, conn);
 }
 
 /* The member drops a connection of a proxy: its transaction is rolled back, its slot free. */
@@ -295,19 +296,20 @@
 	conn->dropped = true;
 }
 
-void fake_conn_tell_reset(world_t *world, fake_conn_t *conn)
+void fake_conn_send_reset(world_t *world, fake_conn_t *conn)
 {
 	conn->refs++;
-	world_plan(world,
-		   world->now + world_latency(world, world_member_node(conn->member), conn->proxy),
-		   conn->proxy, on_reset, conn);
+	world_schedule(world,
+		       world->now +
+			       world_latency(world, world_member_node(conn->member), conn->proxy),
+		       conn->proxy, on_reset, conn);
 }
 
 void fake_conn_end_session(world_t *world, fake_conn_t *conn)
 {
 	fake_conn_drop(world, conn);
 	if (conn->open)
-		fake_conn_tell_reset(world, conn);
+		fake_conn_send_reset(world, conn);
 }
 
 typedef struct connect_step {
@@ -377,7 +379,7 @@
 	g_free(step);
 }
 
-void world_do_connect(world_t *world, int proxy, action_t *action)
+void world_start_connect(world_t *world, int proxy, action_t *action)
 {
 	fake_conn_t *conn = g_new0(fake_conn_t, 1);
 	connect_step_t *step = g_new0(connect_step_t, 1);
@@ -397,12 +399,13 @@
 		MAX(world->counts.peak_conns, world->members[conn->member].conns);
 	*step = (connect_step_t){conn, g_strdup(action->connect.row), (int)action->connect.limit,
 				 action->connect.evict};
-	world_plan(world,
-		   world->now + world->config.connect_time + 2 * world_latency(world, proxy, node),
-		   proxy, on_connected, step);
+	world_schedule(world,
+		       world->now + world->config.connect_time +
+			       2 * world_latency(world, proxy, node),
+		       proxy, on_connected, step);
 }
 
-void world_do_close(world_t *world, int proxy, action_t *action)
+void world_close_conn(world_t *world, int proxy, action_t *action)
 {
 	fake_conn_t *conn = conn_find(world, proxy, action->id);
 
--- a/tests/world_cores.c
+++ b/tests/world_cores.c
@@ -43,9 +43,9 @@
 		return;
 	}
 	*mail = (mail_t){proxy, to, message_copy(NULL, action->send.message)};
-	world_plan(world,
-		   MAX(world->now + world_latency(world, proxy, to), world->stalled[proxy][to]), to,
-		   mail_arrive, mail);
+	world_schedule(world,
+		       MAX(world->now + world_latency(world, proxy, to), world->stalled[proxy][to]),
+		       to, mail_arrive, mail);
 }
 
 /* --- what callers and operators are told --- */
@@ -74,7 +74,7 @@
 	return value;
 }
 
-void world_violate(world_t *world, const char *fmt, ...)
+void world_add_violation(world_t *world, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -110,7 +110,7 @@
 
 	g_free(key);
 	if (told->answered)
-		world_violate(world, "%s was answered twice", name);
+		world_add_violation(world, "%s was answered twice", name);
 	told->answered = true;
 	told->outcome = answer->outcome;
 	told->refusal = answer->refusal;
@@ -122,11 +122,12 @@
 	told->member = g_strdup(answer->member);
 	told->token = g_strdup(action->answer.token);
 	told->tx = g_strdup(answer->tx);
-	world_say(world, "p%d answer %s %s%s%s%s%s%s%s", proxy, name, outcome_name(answer->outcome),
-		  answer->refusal != REFUSAL_NONE ? " " : "",
-		  answer->refusal != REFUSAL_NONE ? refusal_name(answer->refusal) : "",
-		  told->value != NULL ? " value=" : "", told->value != NULL ? told->value : "",
-		  told->member != NULL ? " member=" : "", told->member != NULL ? told->member : "");
+	world_trace(world, "p%d answer %s %s%s%s%s%s%s%s", proxy, name,
+		    outcome_name(answer->outcome), answer->refusal != REFUSAL_NONE ? " " : "",
+		    answer->refusal != REFUSAL_NONE ? refusal_name(answer->refusal) : "",
+		    told->value != NULL ? " value=" : "", told->value != NULL ? told->value : "",
+		    told->member != NULL ? " member=" : "",
+		    told->member != NULL ? told->member : "");
 	count_read(world, told);
 	if (told->outcome == OUTCOME_DONE && told->written != NULL)
 		note_acknowledged(world, told);
@@ -138,8 +139,9 @@
 	char *key = world_conn_key(proxy, action->id);
 	const char *name = g_hash_table_lookup(world->edit_ids, key);
 
-	world_say(world, "p%d edit %s %s version=%llu: %s", proxy, name, names[action->edit.status],
-		  (unsigned long long)action->edit.table_version, action->edit.text);
+	world_trace(world, "p%d edit %s %s version=%llu: %s", proxy, name,
+		    names[action->edit.status], (unsigned long long)action->edit.table_version,
+		    action->edit.text);
 	g_hash_table_replace(world->edits, g_strdup(name), g_strdup(names[action->edit.status]));
 	g_free(key);
 }
@@ -150,24 +152,24 @@
 {
 	if (order->kind == ORDER_REPORT)
 		return;
-	world_say(world, "p%d order %s %s term=%llu%s%s", proxy, order_kind_name(order->kind),
-		  order->member, (unsigned long long)order->term, order->target ? " target=" : "",
-		  order->target ? order->target : "");
+	world_trace(world, "p%d order %s %s term=%llu%s%s", proxy, order_kind_name(order->kind),
+		    order->member, (unsigned long long)order->term, order->target ? " target=" : "",
+		    order->target ? order->target : "");
 }
 
 static void describe_run(world_t *world, int proxy, const run_action_t *run)
 {
 	const char *text = run->query->text;
 
-	world_say(world, "p%d run %s %s%s%s", proxy, run_kind_name(run->kind), run->member,
-		  text ? " " : "", text ? text : "");
+	world_trace(world, "p%d run %s %s%s%s", proxy, run_kind_name(run->kind), run->member,
+		    text ? " " : "", text ? text : "");
 }
 
 static void describe(world_t *world, int proxy, const action_t *action)
 {
 	switch (action->kind) {
 	case ACTION_LOG:
-		world_say(world, "p%d note %s", proxy, action->log.text);
+		world_trace(world, "p%d note %s", proxy, action->log.text);
 		break;
 	case ACTION_ORDER:
 		describe_order(world, proxy, &action->order);
@@ -177,12 +179,13 @@
 		break;
 	case ACTION_SEND:
 		if (action->send.message->kind != MESSAGE_HEARTBEAT)
-			world_say(world, "p%d send %s to %s", proxy,
-				  message_kind_name(action->send.message->kind), action->send.peer);
+			world_trace(world, "p%d send %s to %s", proxy,
+				    message_kind_name(action->send.message->kind),
+				    action->send.peer);
 		break;
 	case ACTION_CONNECT:
-		world_say(world, "p%d connect %s %s", proxy, action->connect.member,
-			  action->connect.row);
+		world_trace(world, "p%d connect %s %s", proxy, action->connect.member,
+			    action->connect.row);
 		break;
 	case ACTION_ANSWER:
 	case ACTION_EDIT_DONE:
@@ -190,7 +193,7 @@
 	case ACTION_STORE_LOAD:
 		break;
 	default:
-		world_say(world, "p%d %s", proxy, action_kind_name(action->kind));
+		world_trace(world, "p%d %s", proxy, action_kind_name(action->kind));
 		break;
 	}
 }
@@ -213,31 +216,32 @@
 		do_send(world, proxy, action);
 		return false;
 	case ACTION_CONNECT:
-		world_do_connect(world, proxy, action);
+		world_start_connect(world, proxy, action);
 		return false;
 	case ACTION_CLOSE:
-		world_do_close(world, proxy, action);
+		world_close_conn(world, proxy, action);
 		return false;
 	case ACTION_RUN:
-		world_do_run(world, proxy, action);
+		world_start_run(world, proxy, action);
 		return false;
 	case ACTION_ORDER:
-		world_do_order(world, proxy, action);
+		world_start_order(world, proxy, action);
 		return true;
 	case ACTION_STORE_LOAD:
 	case ACTION_STORE_COMMIT:
-		world_do_store(world, proxy, action);
+		world_start_store_call(world, proxy, action);
 		return true;
 	case ACTION_VMS:
 		world->counts.store_calls++;
-		world_plan(world, world->now + 2 * STORE_LATENCY, proxy, world_do_vms,
-			   GINT_TO_POINTER(proxy));
+		world_schedule(world, world->now + 2 * STORE_LATENCY, proxy, world_on_list_vms,
+			       GINT_TO_POINTER(proxy));
 		return false;
 	case ACTION_EDIT_DONE:
 		do_edit_done(world, proxy, action);
 		return false;
 	case ACTION_DRAINED:
-		world_plan(world, world->now + EXIT_TIME, -1, on_exit_due, GINT_TO_POINTER(proxy));
+		world_schedule(world, world->now + EXIT_TIME, -1, on_exit_due,
+			       GINT_TO_POINTER(proxy));
 		return false;
 	default:
 		return false;
@@ -261,7 +265,7 @@
 	if (wake == USEC_NEVER || p->next_tick <= wake)
 		return;
 	p->next_tick = wake > world->now ? wake : world->now;
-	world_plan(world, p->next_tick, proxy, world_on_tick, GINT_TO_POINTER(proxy));
+	world_schedule(world, p->next_tick, proxy, world_on_tick, GINT_TO_POINTER(proxy));
 }
 
 void world_deliver(world_t *world, int proxy, const event_t *event)
--- a/tests/world_faults.c
+++ b/tests/world_faults.c
@@ -15,7 +15,7 @@
 	return name[0] == 'm' ? world_member_node(atoi(name + 1)) : -1;
 }
 
-void world_for_conns(world_t *world, int node, void (*call)(world_t *, fake_conn_t *))
+void world_for_each_conn(world_t *world, int node, void (*call)(world_t *, fake_conn_t *))
 {
 	GList *all = g_hash_table_get_values(world->conns);
 
@@ -29,7 +29,7 @@
 }
 
 /* The proxy's process is gone: the kernel resets its connections at once. */
-void world_abandon(world_t *world, fake_conn_t *conn)
+void fake_conn_abandon(world_t *world, fake_conn_t *conn)
 {
 	conn->open = false;
 	fake_conn_drop(world, conn);
@@ -41,23 +41,23 @@
 	int proxy = GPOINTER_TO_INT(data);
 
 	if (!world->ending && (world->vanished[proxy] || world->frozen[proxy] > world->now))
-		world_for_conns(world, proxy, fake_conn_end_session);
+		world_for_each_conn(world, proxy, fake_conn_end_session);
 }
 
 static void plan_idle_sessions(world_t *world, int node)
 {
 	if (node < WORLD_MAX_PROXIES)
-		world_plan(world, world->now + IDLE_SESSION_TIME, -1, on_idle_sessions,
-			   GINT_TO_POINTER(node));
+		world_schedule(world, world->now + IDLE_SESSION_TIME, -1, on_idle_sessions,
+			       GINT_TO_POINTER(node));
 }
 
 void world_kill(world_t *world, int node)
 {
-	world_say(world, "-- killed %s%d", node < WORLD_MAX_PROXIES ? "p" : "m",
-		  node < WORLD_MAX_PROXIES ? node : node - WORLD_MAX_PROXIES);
+	world_trace(world, "-- killed %s%d", node < WORLD_MAX_PROXIES ? "p" : "m",
+		    node < WORLD_MAX_PROXIES ? node : node - WORLD_MAX_PROXIES);
 	world->dead[node] = true;
-	world_for_conns(world, node,
-			node < WORLD_MAX_PROXIES ? world_abandon : fake_conn_tell_reset);
+	world_for_each_conn(world, node,
+			    node < WORLD_MAX_PROXIES ? fake_conn_abandon : fake_conn_send_reset);
 	for (int i = 0; i < world->config.proxies && node >= WORLD_MAX_PROXIES; i++) {
 		char name[24];
 		event_t event = {.kind = EVENT_CONTROL_DOWN,
@@ -71,35 +71,36 @@
 
 void world_vanish(world_t *world, int node)
 {
-	world_say(world, "-- vanished %s%d", node < WORLD_MAX_PROXIES ? "p" : "m",
-		  node < WORLD_MAX_PROXIES ? node : node - WORLD_MAX_PROXIES);
+	world_trace(world, "-- vanished %s%d", node < WORLD_MAX_PROXIES ? "p" : "m",
+		    node < WORLD_MAX_PROXIES ? node : node - WORLD_MAX_PROXIES);
 	world->vanished[node] = true;
 	plan_idle_sessions(world, node);
 }
 
 void world_freeze(world_t *world, int node, usec_t for_how_long)
 {
-	world_say(world, "-- froze node %d for %.0f ms", node, (double)for_how_long / 1000.0);
+	world_trace(world, "-- froze node %d for %.0f ms", node, (double)for_how_long / 1000.0);
 	world->frozen[node] = world->now + for_how_long;
 	plan_idle_sessions(world, node);
 }
 
 void world_cut(world_t *world, int a, int b, bool cut)
 {
-	world_say(world, "-- %s %d and %d", cut ? "cut" : "healed", a, b);
+	world_trace(world, "-- %s %d and %d", cut ? "cut" : "healed", a, b);
 	world->cut[a][b] = cut;
 	world->cut[b][a] = cut;
 }
 
-void world_stall(world_t *world, int a, int b, usec_t for_how_long)
+void world_delay_messages(world_t *world, int a, int b, usec_t for_how_long)
 {
-	world_say(world, "-- stalled %d to %d for %.0f ms", a, b, (double)for_how_long / 1000.0);
+	world_trace(world, "-- stalled %d to %d for %.0f ms", a, b, (double)for_how_long / 1000.0);
 	world->stalled[a][b] = world->now + for_how_long;
 }
 
-void world_unlink(world_t *world, int a, int b, usec_t for_how_long)
+void world_disconnect(world_t *world, int a, int b, usec_t for_how_long)
 {
-	world_say(world, "-- unlinked %d from %d for %.0f ms", a, b, (double)for_how_long / 1000.0);
+	world_trace(world, "-- unlinked %d from %d for %.0f ms", a, b,
+		    (double)for_how_long / 1000.0);
 	world->unlinked[a][b] = world->now + for_how_long;
 }
 
--- a/tests/world_members.c
+++ b/tests/world_members.c
@@ -151,11 +151,11 @@
 		g_free(r);
 		return;
 	}
-	world_plan(world,
-		   world->now +
-			   world_latency(world, world_member_node(from), world_member_node(to)) +
-			   world->config.replication_lag,
-		   world_member_node(to), do_replicate, r);
+	world_schedule(
+		world,
+		world->now + world_latency(world, world_member_node(from), world_member_node(to)) +
+			world->config.replication_lag,
+		world_member_node(to), do_replicate, r);
 }
 
 void fake_member_append(world_t *world, int m, log_entry_t *entry)
@@ -168,7 +168,7 @@
 }
 
 /* A replica asks its upstream now and then, as after a reconnect. */
-void fake_members_catch_up(world_t *world, void *data)
+void fake_member_on_catch_up(world_t *world, void *data)
 {
 	int m = GPOINTER_TO_INT(data);
 	const fake_member_t *member = &world->members[m];
@@ -177,7 +177,8 @@
 	    world->members[member->upstream].primary)
 		replicate_to(world, member->upstream, m);
 	if (!world->ending)
-		world_plan(world, world->now + 50 * USEC_PER_MSEC, -1, fake_members_catch_up, data);
+		world_schedule(world, world->now + 50 * USEC_PER_MSEC, -1, fake_member_on_catch_up,
+			       data);
 }
 
 static void seal(fake_member_t *member, uint64_t term)
@@ -289,11 +290,11 @@
 		order->status =
 			obey(world, order->member, order->action) ? ORDER_OK : ORDER_REFUSED;
 	order->report = fake_member_report(&world->members[order->member]);
-	world_plan(world, world->now + world_latency(world, node, order->proxy), order->proxy,
-		   order_answer, order);
+	world_schedule(world, world->now + world_latency(world, node, order->proxy), order->proxy,
+		       order_answer, order);
 }
 
-void world_do_order(world_t *world, int proxy, action_t *action)
+void world_start_order(world_t *world, int proxy, action_t *action)
 {
 	order_t *order = g_new0(order_t, 1);
 
@@ -306,8 +307,8 @@
 	order->member = fake_member_at(action->order.address);
 	order->action = action;
 	order->refs = 2;
-	world_plan(world,
-		   world->now + world_latency(world, proxy, world_member_node(order->member)),
-		   world_member_node(order->member), order_arrive, order);
-	world_plan(world, world->now + action->order.timeout, proxy, order_timeout, order);
+	world_schedule(world,
+		       world->now + world_latency(world, proxy, world_member_node(order->member)),
+		       world_member_node(order->member), order_arrive, order);
+	world_schedule(world, world->now + action->order.timeout, proxy, order_timeout, order);
 }
--- a/tests/world_parts.h
+++ b/tests/world_parts.h
@@ -92,24 +92,24 @@
 
 typedef void (*callback_t)(world_t *world, void *data);
 
-typedef struct planned {
+typedef struct scheduled {
 	usec_t at;
 	uint64_t seq;
 	int node; /* where it happens; -1 nowhere in particular */
 	callback_t callback;
 	void *data;
-} planned_t;
+} scheduled_t;
 
 /* --- time, nodes and the links between them --- */
 
-void world_plan(world_t *world, usec_t at, int node, callback_t run, void *data);
+void world_schedule(world_t *world, usec_t at, int node, callback_t run, void *data);
 bool world_is_down(const world_t *world, int node);
 uint64_t world_random(world_t *world, uint64_t limit);
 int world_member_node(int member);
 int world_zone(const world_t *world, int node);
 usec_t world_latency(world_t *world, int a, int b);
 bool world_is_cut(const world_t *world, int a, int b);
-void world_say(world_t *world, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void world_trace(world_t *world, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 
 /* --- members of the group and their orders --- */
 
@@ -121,37 +121,38 @@
 const log_entry_t *log_find_request(const GPtrArray *log, const char *id);
 const log_entry_t *fake_member_request(fake_member_t *member, const char *id);
 void fake_member_append(world_t *world, int m, log_entry_t *entry);
-void fake_members_catch_up(world_t *world, void *data);
+void fake_member_on_catch_up(world_t *world, void *data);
 int fake_member_at(const char *address);
-void world_do_order(world_t *world, int proxy, action_t *action);
+void world_start_order(world_t *world, int proxy, action_t *action);
 
 /* --- pooled connections, from both ends --- */
 
 char *world_conn_key(int proxy, uint64_t id);
 void fake_conn_unref(fake_conn_t *conn);
-void world_do_run(world_t *world, int proxy, action_t *action);
+void world_start_run(world_t *world, int proxy, action_t *action);
 void fake_conn_drop(world_t *world, fake_conn_t *conn);
-void fake_conn_tell_reset(world_t *world, fake_conn_t *conn);
+void fake_conn_send_reset(world_t *world, fake_conn_t *conn);
 void fake_conn_end_session(world_t *world, fake_conn_t *conn);
-void world_do_connect(world_t *world, int proxy, action_t *action);
-void world_do_close(world_t *world, int proxy, action_t *action);
+void world_start_connect(world_t *world, int proxy, action_t *action);
+void world_close_conn(world_t *world, int proxy, action_t *action);
 
 /* --- the platform's store and its list of VMs --- */
 
 gint store_compare_keys(gconstpointer a, gconstpointer b, gpointer data);
 void store_item_free(gpointer ptr);
 void store_put(world_t *world, const char *key, const char *value);
-void world_do_store(world_t *world, int proxy, action_t *action);
-void world_do_vms(world_t *world, void *data);
+void world_start_store_call(world_t *world, int proxy, action_t *action);
+void world_on_list_vms(world_t *world, void *data);
 
 /* --- proxies: what goes into their cores and comes out --- */
 
 void told_free(gpointer ptr);
-void world_violate(world_t *world, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void world_add_violation(world_t *world, const char *fmt, ...)
+	__attribute__((format(printf, 2, 3)));
 void world_on_tick(world_t *world, void *data);
 void world_deliver(world_t *world, int proxy, const event_t *event);
 
 /* --- faults --- */
 
-void world_for_conns(world_t *world, int node, void (*call)(world_t *, fake_conn_t *));
-void world_abandon(world_t *world, fake_conn_t *conn);
+void world_for_each_conn(world_t *world, int node, void (*call)(world_t *, fake_conn_t *));
+void fake_conn_abandon(world_t *world, fake_conn_t *conn);
--- a/tests/world_requests.c
+++ b/tests/world_requests.c
@@ -38,10 +38,10 @@
 	if (request->floor != NULL)
 		g_hash_table_replace(world->floors, g_strdup(request->name),
 				     g_strdup(request->floor));
-	world_say(world, "p%d query %s %s %s%s%s", request->proxy, request->name,
-		  request->class_name != NULL ? request->class_name : "tx",
-		  request->key != NULL ? request->key : "", request->value != NULL ? "=" : "",
-		  request->value != NULL ? request->value : "");
+	world_trace(world, "p%d query %s %s %s%s%s", request->proxy, request->name,
+		    request->class_name != NULL ? request->class_name : "tx",
+		    request->key != NULL ? request->key : "", request->value != NULL ? "=" : "",
+		    request->value != NULL ? request->value : "");
 	world_deliver(world, request->proxy, &event);
 }
 
@@ -158,8 +158,8 @@
 static void check_acknowledged(world_t *world, const result_t *told)
 {
 	if (told->written != NULL && history_index(world, told->key, told->written) < 0)
-		world_violate(world, "%s was acknowledged, but %s=%s is missing", told->name,
-			      told->key, told->written);
+		world_add_violation(world, "%s was acknowledged, but %s=%s is missing", told->name,
+				    told->key, told->written);
 }
 
 /* What was read must be there for good too, and not before what the reader had to see. */
@@ -172,11 +172,11 @@
 	if (told->written != NULL || told->key == NULL)
 		return;
 	if (told->value != NULL && index < 0)
-		world_violate(world, "%s read %s=%s, which does not survive", told->name, told->key,
-			      told->value);
+		world_add_violation(world, "%s read %s=%s, which does not survive", told->name,
+				    told->key, told->value);
 	if (index < floor_index)
-		world_violate(world, "%s read %s, older than %s", told->name,
-			      told->value != NULL ? told->value : "nothing", floor);
+		world_add_violation(world, "%s read %s, older than %s", told->name,
+				    told->value != NULL ? told->value : "nothing", floor);
 }
 
 static void check_done(world_t *world)
@@ -205,7 +205,7 @@
 		const log_entry_t *entry = world->members[primary].log->pdata[i];
 
 		if (entry->request_id != NULL && !g_hash_table_add(seen, entry->request_id))
-			world_violate(world, "request %s ran twice", entry->request_id);
+			world_add_violation(world, "request %s ran twice", entry->request_id);
 	}
 	g_hash_table_unref(seen);
 }
@@ -228,8 +228,8 @@
 
 			if (g_strcmp0(entry->key, told->key) == 0 &&
 			    g_strcmp0(entry->value, told->written) == 0)
-				world_violate(world, "%s was said not to have run, but did",
-					      told->name);
+				world_add_violation(world, "%s was said not to have run, but did",
+						    told->name);
 		}
 	}
 }
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -112,8 +112,8 @@
 	for (size_t i = 0; i < action->commit.entry_count; i++)
 		store_put(world, action->commit.entries[i].key, action->commit.entries[i].value);
 	for (int i = 0; i < world->config.proxies; i++)
-		world_plan(world, world->now + STORE_LATENCY, i, on_watch_event,
-			   GINT_TO_POINTER(i));
+		world_schedule(world, world->now + STORE_LATENCY, i, on_watch_event,
+			       GINT_TO_POINTER(i));
 }
 
 static void store_arrive(world_t *world, void *data)
@@ -134,23 +134,23 @@
 	}
 	if (lost)
 		call->status = STORE_FAILED;
-	world_plan(world,
-		   world->now +
-			   (call->status == STORE_FAILED ? 500 * USEC_PER_MSEC : STORE_LATENCY),
-		   call->proxy, store_answer, call);
+	world_schedule(world,
+		       world->now +
+			       (call->status == STORE_FAILED ? 500 * USEC_PER_MSEC : STORE_LATENCY),
+		       call->proxy, store_answer, call);
 }
 
-void world_do_store(world_t *world, int proxy, action_t *action)
+void world_start_store_call(world_t *world, int proxy, action_t *action)
 {
 	store_call_t *call = g_new0(store_call_t, 1);
 
 	world->counts.store_calls++;
 	call->proxy = proxy;
 	call->action = action;
-	world_plan(world, world->now + STORE_LATENCY, WORLD_STORE, store_arrive, call);
+	world_schedule(world, world->now + STORE_LATENCY, WORLD_STORE, store_arrive, call);
 }
 
-void world_do_vms(world_t *world, void *data)
+void world_on_list_vms(world_t *world, void *data)
 {
 	int proxy = GPOINTER_TO_INT(data);
 	vm_t vms[WORLD_NODES] = {0};
--- a/tests/world_time.c
+++ b/tests/world_time.c
@@ -4,8 +4,8 @@
 
 static gint compare_planned(gconstpointer a, gconstpointer b, gpointer data)
 {
-	const planned_t *x = a;
-	const planned_t *y = b;
+	const scheduled_t *x = a;
+	const scheduled_t *y = b;
 
 	(void)data;
 	if (x->at != y->at)
@@ -13,16 +13,16 @@
 	return x->seq < y->seq ? -1 : 1;
 }
 
-void world_plan(world_t *world, usec_t at, int node, callback_t run, void *data)
+void world_schedule(world_t *world, usec_t at, int node, callback_t run, void *data)
 {
-	planned_t *planned = g_new0(planned_t, 1);
-
-	planned->at = at;
-	planned->seq = ++world->seq;
-	planned->node = node;
-	planned->callback = run;
-	planned->data = data;
-	g_sequence_insert_sorted(world->events, planned, compare_planned, NULL);
+	scheduled_t *entry = g_new0(scheduled_t, 1);
+
+	entry->at = at;
+	entry->seq = ++world->seq;
+	entry->node = node;
+	entry->callback = run;
+	entry->data = data;
+	g_sequence_insert_sorted(world->events, entry, compare_planned, NULL);
 }
 
 bool world_is_down(const world_t *world, int node)
@@ -34,20 +34,20 @@
 {
 	while (!g_sequence_is_empty(world->events)) {
 		GSequenceIter *first = g_sequence_get_begin_iter(world->events);
-		planned_t *planned = g_sequence_get(first);
+		scheduled_t *entry = g_sequence_get(first);
 
-		if (planned->at > until)
+		if (entry->at > until)
 			break;
 		g_sequence_remove(first);
-		world->now = planned->at;
+		world->now = entry->at;
 		/* What reaches a stopped process waits in its buffers. */
-		if (planned->node >= 0 && world->frozen[planned->node] > world->now) {
-			planned->at = world->frozen[planned->node];
-			g_sequence_insert_sorted(world->events, planned, compare_planned, NULL);
+		if (entry->node >= 0 && world->frozen[entry->node] > world->now) {
+			entry->at = world->frozen[entry->node];
+			g_sequence_insert_sorted(world->events, entry, compare_planned, NULL);
 			continue;
 		}
-		planned->callback(world, planned->data);
-		g_free(planned);
+		entry->callback(world, entry->data);
+		g_free(entry);
 	}
 	world->now = until;
 }
@@ -91,7 +91,7 @@
 	return world->cut[a][b];
 }
 
-void world_say(world_t *world, const char *fmt, ...)
+void world_trace(world_t *world, const char *fmt, ...)
 {
 	va_list ap;
 
