--- a/core/exec.c
+++ b/core/exec.c
@@ -217,7 +217,7 @@
 	request->prefers_replica = (int64_t)core_random(core, PERCENT) < row->replica_share;
 	/* A session that lost its token may have written anything, so only the primary is safe. */
 	request->linearizable =
-		row->kind == ROW_READ && (row->max_age == 0 || request->query->continued);
+		row->kind == ROW_READ && (row->max_age == 0 || request->query->token_lost);
 	/* A transaction may write even if its row is for reads, so it needs the primary. */
 	if (request->query->verb == VERB_BEGIN)
 		request->kind = ROW_WRITE;
--- a/core/router.c
+++ b/core/router.c
@@ -168,7 +168,7 @@
 	request->group_name = talloc_strdup(request, row->group);
 	request->kind = query->verb == VERB_BEGIN ? ROW_WRITE : row->kind;
 	query->min_position = session_min_position(request->session, row->group);
-	query->continued |= session_is_partial(request->session, row->group);
+	query->token_lost |= session_is_partial(request->session, row->group);
 	limit_deadline(request, row->timeout);
 	return true;
 }
--- a/core/types.h
+++ b/core/types.h
@@ -64,7 +64,7 @@
 	char *tx;	  /* handle of an open transaction */
 	bool repeatable;  /* running the statement twice does no harm */
 	bool resend;	  /* the caller has sent it before and has not received the outcome */
-	bool continued;	  /* the caller has a session but has lost its token */
+	bool token_lost;  /* the caller has a session but has lost its token */
 	position_t min_position; /* a read must include the group's log up to here */
 	usec_t time_left; /* time until the deadline, as of when the query was received or sent */
 } query_t;
--- a/links/callers.c
+++ b/links/callers.c
@@ -67,7 +67,7 @@
 	{"repeatable", BODY_BOOL, offsetof(query_t, repeatable)},
 	{"resend", BODY_BOOL, offsetof(query_t, resend)},
 	{"deadline_ms", BODY_DEADLINE, offsetof(query_t, time_left)},
-	{"session", BODY_SESSION, offsetof(query_t, continued)},
+	{"session", BODY_SESSION, offsetof(query_t, token_lost)},
 };
 
 _Static_assert(RUN_PARAMS_MAX == 64, "as the error for params says");
--- a/links/wire.c
+++ b/links/wire.c
@@ -44,7 +44,7 @@
 	FIELD("tx", WIRE_TEXT, query_t, tx),
 	FIELD("rep", WIRE_FLAG, query_t, repeatable),
 	FIELD("resend", WIRE_FLAG, query_t, resend),
-	FIELD("cont", WIRE_FLAG, query_t, continued),
+	FIELD("cont", WIRE_FLAG, query_t, token_lost),
 	FIELD("term", WIRE_NUMBER, query_t, min_position.term),
 	FIELD("lsn", WIRE_NUMBER, query_t, min_position.lsn),
 	FIELD("left", WIRE_NUMBER, query_t, time_left),
--- a/measure/paused.c
+++ b/measure/paused.c
@@ -183,8 +183,9 @@
 		const result_t *told = world_result(world, name);
 
 		if (told != NULL && told->answered && told->outcome == OUTCOME_DONE &&
-		    told->asked >= fault_at && (first_done == 0 || told->at < first_done))
-			first_done = told->at;
+		    told->requested_at >= fault_at &&
+		    (first_done == 0 || told->answered_at < first_done))
+			first_done = told->answered_at;
 		g_free(name);
 	}
 	marks = world_marks(world);
@@ -293,12 +294,12 @@
 	for (int i = 1; i <= number; i++) {
 		char *name = g_strdup_printf("r%06d", i);
 		const result_t *told = world_result(world, name);
-		usec_t took = told->at - told->asked;
+		usec_t took = told->answered_at - told->requested_at;
 
 		mix->asked++;
 		if (told->answered && told->outcome == OUTCOME_DONE) {
 			mix->done++;
-			if (told->written == NULL)
+			if (told->written_value == NULL)
 				g_array_append_val(mix->read_times, took);
 		}
 		g_free(name);
@@ -383,14 +384,15 @@
 		char *name = g_strdup_printf("r%06d", i);
 		const result_t *told = world_result(world, name);
 		bool in_time = told->answered && told->outcome == OUTCOME_DONE &&
-			       told->at - told->asked <= LOAD_DEADLINE;
+			       told->answered_at - told->requested_at <= LOAD_DEADLINE;
 
 		result->asked++;
 		result->in_time += in_time;
-		result->late += !told->answered || told->at - told->asked > LOAD_DEADLINE;
+		result->late +=
+			!told->answered || told->answered_at - told->requested_at > LOAD_DEADLINE;
 		result->refused += told->answered && told->outcome == OUTCOME_NOT_RUN;
 		result->unknown += told->answered && told->outcome == OUTCOME_UNKNOWN;
-		if (told->written != NULL) {
+		if (told->written_value != NULL) {
 			result->writes++;
 			result->writes_in_time += in_time;
 		}
--- a/tests/faults.c
+++ b/tests/faults.c
@@ -47,17 +47,17 @@
 /* Take up what the client's last request brought. */
 static void learn(play_t *play, client_t *client)
 {
-	const result_t *told =
+	const result_t *answer =
 		client->last != NULL ? world_result(play->world, client->last) : NULL;
 	const char *value;
 	char **seen;
 
-	if (told == NULL || !told->answered || told->outcome != OUTCOME_DONE)
+	if (answer == NULL || !answer->answered || answer->outcome != OUTCOME_DONE)
 		return;
 	g_free(client->token);
-	client->token = g_strdup(told->token);
-	value = told->written != NULL ? told->written : told->value;
-	seen = &client->seen[key_index(told->key)];
+	client->token = g_strdup(answer->token);
+	value = answer->written_value != NULL ? answer->written_value : answer->value;
+	seen = &client->seen[key_index(answer->key)];
 	if (value != NULL) {
 		g_free(*seen);
 		*seen = g_strdup(value);
@@ -168,7 +168,8 @@
 			ask(play, client);
 		else if (world_result(play->world, client->last)->answered ||
 			 world_now(play->world) >
-				 world_result(play->world, client->last)->asked + 2 * DEADLINE)
+				 world_result(play->world, client->last)->requested_at +
+					 2 * DEADLINE)
 			g_clear_pointer(&client->last, g_free);
 	}
 	if (number % FAULT_EVERY == FAULT_EVERY - 1)
@@ -181,15 +182,15 @@
 static void count(play_t *play, faults_result_t *result)
 {
 	for (guint i = 0; i < play->names->len; i++) {
-		const result_t *told = world_result(play->world, play->names->pdata[i]);
+		const result_t *answer = world_result(play->world, play->names->pdata[i]);
 
-		result->asked++;
-		if (!told->answered)
+		result->requests++;
+		if (!answer->answered)
 			continue;
 		result->answered++;
-		result->done += told->outcome == OUTCOME_DONE;
-		result->not_run += told->outcome == OUTCOME_NOT_RUN;
-		result->unknown += told->outcome == OUTCOME_UNKNOWN;
+		result->done += answer->outcome == OUTCOME_DONE;
+		result->not_run += answer->outcome == OUTCOME_NOT_RUN;
+		result->unknown += answer->outcome == OUTCOME_UNKNOWN;
 	}
 }
 
--- a/tests/faults.h
+++ b/tests/faults.h
@@ -5,7 +5,7 @@
 
 typedef struct faults_result {
 	char *violations; /* "" if all that must hold did */
-	int asked;
+	int requests;
 	int answered;
 	int done;
 	int not_run;
--- a/tests/session.c
+++ b/tests/session.c
@@ -34,7 +34,7 @@
 	return g_strv_contains((const gchar *const *)words, name);
 }
 
-static const result_t *told(const play_t *play, const char *name)
+static const result_t *find_result(const play_t *play, const char *name)
 {
 	const result_t *found = name != NULL ? world_result(play->world, name) : NULL;
 
@@ -52,8 +52,8 @@
 /* words: VERB NAME PROXY [CLASS] [KEY] [VALUE] options; what stands where depends on the verb. */
 static void ask(play_t *play, verb_t verb, char **words, int class_at, int key_at, int value_at)
 {
-	const result_t *session = told(play, option(words, "session"));
-	const result_t *tx = told(play, option(words, "tx"));
+	const result_t *session = find_result(play, option(words, "session"));
+	const result_t *tx = find_result(play, option(words, "tx"));
 	const char *deadline = option(words, "deadline");
 	const char *forged = option(words, "token");
 	world_request_t request = {
@@ -68,7 +68,7 @@
 		.tx = tx != NULL ? handle_of(tx) : NULL,
 		.repeatable = flag(words, "repeatable"),
 		.resend = flag(words, "resend"),
-		.continued = flag(words, "continued"),
+		.token_lost = flag(words, "continued"),
 		.deadline = deadline != NULL ? msec(deadline) : 0,
 	};
 
@@ -180,7 +180,7 @@
 /* expect NAME OUTCOME [value=V] [member=M] [not-member=M] [refusal=R] [within=MS] [repeated] */
 static void do_expect(play_t *play, char **words)
 {
-	const result_t *got = told(play, words[1]);
+	const result_t *got = find_result(play, words[1]);
 	const char *value = option(words, "value");
 	const char *member = option(words, "member");
 	const char *spared = option(words, "not-member");
@@ -202,9 +202,9 @@
 	if (refusal != NULL && strcmp(refusal_name(got->refusal), refusal) != 0)
 		g_error("%s:%d: %s refused for %s", play->path, play->line, words[1],
 			refusal_name(got->refusal));
-	if (within != NULL && got->at - got->asked > msec(within))
+	if (within != NULL && got->answered_at - got->requested_at > msec(within))
 		g_error("%s:%d: %s took %.1f ms", play->path, play->line, words[1],
-			(double)(got->at - got->asked) / 1000.0);
+			(double)(got->answered_at - got->requested_at) / 1000.0);
 	if (flag(words, "repeated") && !got->repeated)
 		g_error("%s:%d: %s is not the answer of an earlier attempt", play->path, play->line,
 			words[1]);
--- a/tests/test_ages.c
+++ b/tests/test_ages.c
@@ -22,7 +22,7 @@
 	core_t *core;
 	usec_t now;
 	uint64_t lsn[MEMBERS];
-	bool answers[MEMBERS];
+	bool responds[MEMBERS];
 	char *ran_on; /* the first member that a read was started on */
 } scene_t;
 
@@ -36,7 +36,7 @@
 		.id = action->id,
 		.order = {.group = GROUP,
 			  .member = action->order.member,
-			  .status = scene->answers[m] ? ORDER_OK : ORDER_TIMED_OUT,
+			  .status = scene->responds[m] ? ORDER_OK : ORDER_TIMED_OUT,
 			  .report = {.sealed = TERM,
 				     .log = {.term = TERM, .lsn = scene->lsn[m]},
 				     .primary = m == 0}},
@@ -110,7 +110,7 @@
 	scene->core = core_create(NULL, &config);
 	scene->now = USEC_PER_SEC;
 	for (int i = 0; i < MEMBERS; i++) {
-		scene->answers[i] = true;
+		scene->responds[i] = true;
 		scene->lsn[i] = 10;
 	}
 	give(scene, &loaded);
@@ -159,7 +159,7 @@
 	scene_t *scene = make();
 
 	for (int i = 2; i < MEMBERS; i++)
-		scene->answers[i] = false;
+		scene->responds[i] = false;
 	run(scene, USEC_PER_SEC / 2);
 	g_assert_cmpstr(read_goes_to(scene), !=, "m1");
 	free_scene(scene);
--- a/tests/test_faults.c
+++ b/tests/test_faults.c
@@ -28,7 +28,7 @@
 		g_printerr("%s", timeline);
 	g_assert_cmpstr(result.violations, ==, "");
 	/* Faults may refuse much, but not everything. */
-	g_assert_cmpint(result.done, >, result.asked / 4);
+	g_assert_cmpint(result.done, >, result.requests / 4);
 	g_free(result.violations);
 	g_free(timeline);
 }
--- a/tests/world.c
+++ b/tests/world.c
@@ -75,8 +75,8 @@
 	member->claims = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	member->by_key = g_hash_table_new(g_str_hash, g_str_equal);
 	member->by_id = g_hash_table_new(g_str_hash, g_str_equal);
-	member->free_at = g_array_new(FALSE, TRUE, sizeof(usec_t));
-	g_array_set_size(member->free_at, (guint)world->config.slots);
+	member->slot_free_at = g_array_new(FALSE, TRUE, sizeof(usec_t));
+	g_array_set_size(member->slot_free_at, (guint)world->config.slots);
 	g_ptr_array_add(member->log, log_entry_new(1, NULL, NULL, NULL));
 	world_schedule(world, 50 * USEC_PER_MSEC, -1, fake_member_on_catch_up, GINT_TO_POINTER(i));
 }
@@ -129,11 +129,11 @@
 	world->rng = config->seed;
 	world->events = g_sequence_new(NULL);
 	world->conns = g_hash_table_new(g_str_hash, g_str_equal);
-	world->told = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, told_free);
-	world->callers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	world->edits = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	world->edit_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	world->acked = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	world->results = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, result_free);
+	world->caller_names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	world->edit_outcomes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	world->edit_names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	world->acknowledged = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	world->floors = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	world->store = g_tree_new_full(store_compare_keys, NULL, g_free, store_item_free);
 	world->store_edits = g_ptr_array_new_with_free_func(g_free);
@@ -152,7 +152,7 @@
 {
 	world->ending = true;
 	world->config.quiet = true;
-	memset(world->frozen, 0, sizeof(world->frozen));
+	memset(world->frozen_until, 0, sizeof(world->frozen_until));
 	memset(world->vanished, true, sizeof(world->vanished));
 	for (int i = 0; i < world->config.proxies; i++)
 		world_for_each_conn(world, i, fake_conn_abandon);
@@ -178,15 +178,15 @@
 	for (int i = 0; i < world->config.members; i++) {
 		g_ptr_array_unref(world->members[i].log);
 		g_hash_table_unref(world->members[i].claims);
-		g_array_unref(world->members[i].free_at);
+		g_array_unref(world->members[i].slot_free_at);
 		g_hash_table_unref(world->members[i].by_key);
 		g_hash_table_unref(world->members[i].by_id);
 	}
-	g_hash_table_unref(world->told);
-	g_hash_table_unref(world->callers);
-	g_hash_table_unref(world->edits);
-	g_hash_table_unref(world->edit_ids);
-	g_hash_table_unref(world->acked);
+	g_hash_table_unref(world->results);
+	g_hash_table_unref(world->caller_names);
+	g_hash_table_unref(world->edit_outcomes);
+	g_hash_table_unref(world->edit_names);
+	g_hash_table_unref(world->acknowledged);
 	g_hash_table_unref(world->floors);
 	g_tree_unref(world->store);
 	g_ptr_array_unref(world->store_edits);
--- a/tests/world.h
+++ b/tests/world.h
@@ -39,16 +39,16 @@
 } world_config_t;
 
 /* What a caller was told; the last answer of each request. */
-typedef struct told {
+typedef struct result {
 	char *name;
 	char *key;
-	char *written; /* value of a write outside a transaction */
+	char *written_value; /* value of a write outside a transaction */
 	bool in_tx;
 	bool answered;
 	outcome_t outcome;
 	refusal_t refusal;
-	usec_t asked;
-	usec_t at;
+	usec_t requested_at;
+	usec_t answered_at;
 	usec_t retry_after;
 	usec_t age;
 	char *value;
@@ -98,7 +98,7 @@
 	const char *tx;
 	bool repeatable;
 	bool resend;
-	bool continued;
+	bool token_lost;
 	usec_t deadline;
 	const char *floor; /* the answer must not be older than this value; NULL: no check */
 } world_request_t;
--- a/tests/world_conns.c
+++ b/tests/world_conns.c
@@ -136,7 +136,7 @@
 	int node = world_member_node(conn->member);
 
 	if (!world_is_down(world, node) && !world_is_cut(world, conn->proxy, node) &&
-	    !conn->dropped) {
+	    !conn->session_ended) {
 		if (member->primary) {
 			for (guint i = 0; i < conn->tx->len; i++) {
 				log_entry_t *e = conn->tx->pdata[i];
@@ -217,7 +217,7 @@
 {
 	fake_conn_t *conn = data;
 
-	if (conn->open && conn->running && !conn->dropped &&
+	if (conn->open && conn->running && !conn->session_ended &&
 	    !world_is_down(world, world_member_node(conn->member))) {
 		/* Whoever inserted the id first has it; the other waits, as on a unique index. */
 		if (id_is_locked(world, conn, conn->query->request_id)) {
@@ -233,7 +233,7 @@
 /* The member runs so many statements at once; the others wait. Returns when this one starts. */
 static usec_t take_slot(world_t *world, int m)
 {
-	GArray *free_at = world->members[m].free_at;
+	GArray *free_at = world->members[m].slot_free_at;
 	guint best = 0;
 	usec_t start;
 
@@ -252,7 +252,7 @@
 	int node = world_member_node(conn->member);
 
 	if (world_is_down(world, node) || world_is_cut(world, conn->proxy, node) || !conn->open ||
-	    conn->dropped) {
+	    conn->session_ended) {
 		fake_conn_unref(conn);
 		return;
 	}
@@ -293,7 +293,7 @@
 {
 	conn_free_claim(world, conn);
 	g_ptr_array_set_size(conn->tx, 0);
-	conn->dropped = true;
+	conn->session_ended = true;
 }
 
 void fake_conn_send_reset(world_t *world, fake_conn_t *conn)
--- a/tests/world_cores.c
+++ b/tests/world_cores.c
@@ -36,32 +36,34 @@
 	event_t unsent = {.kind = EVENT_UNSENT, .id = action->id};
 
 	world->counts.messages++;
-	if ((world->dead[to] && !world->vanished[to]) || world->unlinked[proxy][to] > world->now) {
+	if ((world->dead[to] && !world->vanished[to]) ||
+	    world->disconnected_until[proxy][to] > world->now) {
 		g_free(mail);
 		if (action->send.message->kind == MESSAGE_EXECUTE)
 			world_deliver(world, proxy, &unsent);
 		return;
 	}
 	*mail = (mail_t){proxy, to, message_copy(NULL, action->send.message)};
-	world_schedule(world,
-		       MAX(world->now + world_latency(world, proxy, to), world->stalled[proxy][to]),
-		       to, mail_arrive, mail);
+	world_schedule(
+		world,
+		MAX(world->now + world_latency(world, proxy, to), world->delayed_until[proxy][to]),
+		to, mail_arrive, mail);
 }
 
 /* --- what callers and operators are told --- */
 
-void told_free(gpointer ptr)
+void result_free(gpointer ptr)
 {
-	result_t *told = ptr;
-
-	g_free(told->name);
-	g_free(told->key);
-	g_free(told->written);
-	g_free(told->value);
-	g_free(told->member);
-	g_free(told->token);
-	g_free(told->tx);
-	g_free(told);
+	result_t *result = ptr;
+
+	g_free(result->name);
+	g_free(result->key);
+	g_free(result->written_value);
+	g_free(result->value);
+	g_free(result->member);
+	g_free(result->token);
+	g_free(result->tx);
+	g_free(result);
 }
 
 static char *value_in(const char *rows)
@@ -85,17 +87,19 @@
 	g_string_append_c(world->violations, '\n');
 }
 
-static void note_acknowledged(world_t *world, const result_t *told)
+static void note_acknowledged(world_t *world, const result_t *result)
 {
-	g_hash_table_replace(world->acked, g_strdup(told->key), g_strdup(told->written));
+	g_hash_table_replace(world->acknowledged, g_strdup(result->key),
+			     g_strdup(result->written_value));
 }
 
 /* The member's share of reads, for what was served by whom. */
-static void count_read(world_t *world, const result_t *told)
+static void count_read(world_t *world, const result_t *result)
 {
-	if (told->outcome != OUTCOME_DONE || told->written != NULL || told->member == NULL)
+	if (result->outcome != OUTCOME_DONE || result->written_value != NULL ||
+	    result->member == NULL)
 		return;
-	if (fake_member_at(told->member) == world_primary(world))
+	if (fake_member_at(result->member) == world_primary(world))
 		world->counts.reads_primary++;
 	else
 		world->counts.reads_replica++;
@@ -104,45 +108,47 @@
 static void do_answer(world_t *world, int proxy, action_t *action)
 {
 	char *key = world_conn_key(proxy, action->id);
-	const char *name = g_hash_table_lookup(world->callers, key);
-	result_t *told = g_hash_table_lookup(world->told, name);
+	const char *name = g_hash_table_lookup(world->caller_names, key);
+	result_t *result = g_hash_table_lookup(world->results, name);
 	const answer_t *answer = action->answer.answer;
 
 	g_free(key);
-	if (told->answered)
+	if (result->answered)
 		world_add_violation(world, "%s was answered twice", name);
-	told->answered = true;
-	told->outcome = answer->outcome;
-	told->refusal = answer->refusal;
-	told->at = world->now;
-	told->age = answer->age;
-	told->retry_after = answer->retry_after;
-	told->repeated = answer->repeated;
-	told->value = value_in(answer->rows);
-	told->member = g_strdup(answer->member);
-	told->token = g_strdup(action->answer.token);
-	told->tx = g_strdup(answer->tx);
+	result->answered = true;
+	result->outcome = answer->outcome;
+	result->refusal = answer->refusal;
+	result->answered_at = world->now;
+	result->age = answer->age;
+	result->retry_after = answer->retry_after;
+	result->repeated = answer->repeated;
+	result->value = value_in(answer->rows);
+	result->member = g_strdup(answer->member);
+	result->token = g_strdup(action->answer.token);
+	result->tx = g_strdup(answer->tx);
 	world_trace(world, "p%d answer %s %s%s%s%s%s%s%s", proxy, name,
 		    outcome_name(answer->outcome), answer->refusal != REFUSAL_NONE ? " " : "",
 		    answer->refusal != REFUSAL_NONE ? refusal_name(answer->refusal) : "",
-		    told->value != NULL ? " value=" : "", told->value != NULL ? told->value : "",
-		    told->member != NULL ? " member=" : "",
-		    told->member != NULL ? told->member : "");
-	count_read(world, told);
-	if (told->outcome == OUTCOME_DONE && told->written != NULL)
-		note_acknowledged(world, told);
+		    result->value != NULL ? " value=" : "",
+		    result->value != NULL ? result->value : "",
+		    result->member != NULL ? " member=" : "",
+		    result->member != NULL ? result->member : "");
+	count_read(world, result);
+	if (result->outcome == OUTCOME_DONE && result->written_value != NULL)
+		note_acknowledged(world, result);
 }
 
 static void do_edit_done(world_t *world, int proxy, action_t *action)
 {
 	static const char *const names[] = {"accepted", "refused", "unknown"};
 	char *key = world_conn_key(proxy, action->id);
-	const char *name = g_hash_table_lookup(world->edit_ids, key);
+	const char *name = g_hash_table_lookup(world->edit_names, key);
 
 	world_trace(world, "p%d edit %s %s version=%llu: %s", proxy, name,
 		    names[action->edit.status], (unsigned long long)action->edit.table_version,
 		    action->edit.text);
-	g_hash_table_replace(world->edits, g_strdup(name), g_strdup(names[action->edit.status]));
+	g_hash_table_replace(world->edit_outcomes, g_strdup(name),
+			     g_strdup(names[action->edit.status]));
 	g_free(key);
 }
 
--- a/tests/world_faults.c
+++ b/tests/world_faults.c
@@ -40,7 +40,7 @@
 {
 	int proxy = GPOINTER_TO_INT(data);
 
-	if (!world->ending && (world->vanished[proxy] || world->frozen[proxy] > world->now))
+	if (!world->ending && (world->vanished[proxy] || world->frozen_until[proxy] > world->now))
 		world_for_each_conn(world, proxy, fake_conn_end_session);
 }
 
@@ -80,7 +80,7 @@
 void world_freeze(world_t *world, int node, usec_t for_how_long)
 {
 	world_trace(world, "-- froze node %d for %.0f ms", node, (double)for_how_long / 1000.0);
-	world->frozen[node] = world->now + for_how_long;
+	world->frozen_until[node] = world->now + for_how_long;
 	plan_idle_sessions(world, node);
 }
 
@@ -94,19 +94,19 @@
 void world_delay_messages(world_t *world, int a, int b, usec_t for_how_long)
 {
 	world_trace(world, "-- stalled %d to %d for %.0f ms", a, b, (double)for_how_long / 1000.0);
-	world->stalled[a][b] = world->now + for_how_long;
+	world->delayed_until[a][b] = world->now + for_how_long;
 }
 
 void world_disconnect(world_t *world, int a, int b, usec_t for_how_long)
 {
 	world_trace(world, "-- unlinked %d from %d for %.0f ms", a, b,
 		    (double)for_how_long / 1000.0);
-	world->unlinked[a][b] = world->now + for_how_long;
+	world->disconnected_until[a][b] = world->now + for_how_long;
 }
 
 void world_lose_answers(world_t *world, int count)
 {
-	world->lose_answers = count;
+	world->answers_to_lose = count;
 }
 
 void world_set_lag(world_t *world, usec_t lag)
@@ -132,8 +132,8 @@
 	for (int i = 0; i < WORLD_NODES; i++) {
 		bool is_proxy = i < WORLD_MAX_PROXIES;
 
-		if (world->frozen[i] > world->now)
-			world->frozen[i] = world->now;
+		if (world->frozen_until[i] > world->now)
+			world->frozen_until[i] = world->now;
 		/* A proxy that died keeps nothing; a member's log is on its disk. */
 		if (!is_proxy) {
 			world->vanished[i] = false;
--- a/tests/world_parts.h
+++ b/tests/world_parts.h
@@ -21,9 +21,9 @@
 	GHashTable *by_key; /* the last entry of a key, the entry of a request id; see reindex() */
 	GHashTable *by_id;
 	guint indexed;
-	int conns;	    /* open or being opened, with a slot or not yet */
-	GHashTable *claims; /* "row/slot" */
-	GArray *free_at;    /* of usec_t: when each slot is free again */
+	int conns;	      /* open or being opened, with a slot or not yet */
+	GHashTable *claims;   /* "row/slot" */
+	GArray *slot_free_at; /* of usec_t: when each slot is free again */
 } fake_member_t;
 
 typedef struct fake_proxy {
@@ -38,8 +38,8 @@
 	uint64_t id;
 	int member;
 	char *claim;
-	bool counted; /* in the member's conns */
-	bool dropped; /* the member has ended the session; what still arrives finds nobody */
+	bool counted;	    /* in the member's conns */
+	bool session_ended; /* the member has ended the session; what still arrives finds nobody */
 	bool open;
 	bool running;
 	bool commit_sent;
@@ -67,22 +67,22 @@
 	bool dead[WORLD_NODES];	    /* process gone */
 	bool vanished[WORLD_NODES]; /* VM gone */
 	bool leaving[WORLD_NODES];
-	usec_t frozen[WORLD_NODES]; /* until */
+	usec_t frozen_until[WORLD_NODES]; /* until */
 	bool cut[WORLD_NODES][WORLD_NODES];
-	usec_t stalled[WORLD_NODES][WORLD_NODES]; /* messages sent meanwhile arrive then */
-	usec_t unlinked[WORLD_NODES][WORLD_NODES];
+	usec_t delayed_until[WORLD_NODES][WORLD_NODES]; /* messages sent meanwhile arrive then */
+	usec_t disconnected_until[WORLD_NODES][WORLD_NODES];
 	GHashTable *conns; /* "proxy:id" */
-	GHashTable *told;
-	GHashTable *callers; /* "proxy:caller" to name */
-	GHashTable *edits;
-	GHashTable *edit_ids;
-	GHashTable *acked;  /* key to the newest acknowledged value */
-	GHashTable *floors; /* request name to the value it must not be older than */
+	GHashTable *results;
+	GHashTable *caller_names; /* "proxy:caller" to name */
+	GHashTable *edit_outcomes;
+	GHashTable *edit_names;
+	GHashTable *acknowledged; /* key to the newest acknowledged value */
+	GHashTable *floors;	  /* request name to the value it must not be older than */
 	uint64_t next_caller;
 	uint64_t store_version;
 	GTree *store;
 	GPtrArray *store_edits;
-	int lose_answers;
+	int answers_to_lose;
 	GString *timeline;
 	GString *violations;
 	world_counts_t counts;
@@ -146,7 +146,7 @@
 
 /* --- proxies: what goes into their cores and comes out --- */
 
-void told_free(gpointer ptr);
+void result_free(gpointer ptr);
 void world_add_violation(world_t *world, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 void world_on_tick(world_t *world, void *data);
--- a/tests/world_requests.c
+++ b/tests/world_requests.c
@@ -3,7 +3,7 @@
 void world_request(world_t *world, const world_request_t *request)
 {
 	uint64_t caller = ++world->next_caller;
-	result_t *told = g_new0(result_t, 1);
+	result_t *result = g_new0(result_t, 1);
 	query_t query = {
 		.verb = request->verb,
 		.service = request->tx == NULL ? "dispatch" : NULL,
@@ -14,7 +14,7 @@
 		.tx = (char *)request->tx,
 		.repeatable = request->repeatable,
 		.resend = request->resend,
-		.continued = request->continued,
+		.token_lost = request->token_lost,
 		.time_left = request->deadline != 0 ? request->deadline : 2 * USEC_PER_SEC,
 	};
 	event_t event = {
@@ -22,16 +22,17 @@
 		.id = caller,
 		.query = {.query = &query, .token = request->token},
 	};
-	const char *acked =
-		request->key != NULL ? g_hash_table_lookup(world->acked, request->key) : NULL;
-
-	told->name = g_strdup(request->name);
-	told->key = g_strdup(request->key);
-	told->in_tx = request->tx != NULL;
-	told->written = g_strdup(request->tx == NULL ? request->value : NULL);
-	told->asked = world->now;
-	g_hash_table_replace(world->told, g_strdup(request->name), told);
-	g_hash_table_replace(world->callers, world_conn_key(request->proxy, caller),
+	const char *acked = request->key != NULL
+				    ? g_hash_table_lookup(world->acknowledged, request->key)
+				    : NULL;
+
+	result->name = g_strdup(request->name);
+	result->key = g_strdup(request->key);
+	result->in_tx = request->tx != NULL;
+	result->written_value = g_strdup(request->tx == NULL ? request->value : NULL);
+	result->requested_at = world->now;
+	g_hash_table_replace(world->results, g_strdup(request->name), result);
+	g_hash_table_replace(world->caller_names, world_conn_key(request->proxy, caller),
 			     g_strdup(request->name));
 	if (g_strcmp0(request->class_name, "assignment") == 0 && acked != NULL)
 		g_hash_table_replace(world->floors, g_strdup(request->name), g_strdup(acked));
@@ -47,7 +48,7 @@
 
 const result_t *world_result(const world_t *world, const char *name)
 {
-	return g_hash_table_lookup(world->told, name);
+	return g_hash_table_lookup(world->results, name);
 }
 
 void world_edit(world_t *world, int proxy, const char *name, const char *key, const char *value,
@@ -64,13 +65,13 @@
 			 .entry_count = 1},
 	};
 
-	g_hash_table_replace(world->edit_ids, world_conn_key(proxy, event.id), g_strdup(name));
+	g_hash_table_replace(world->edit_names, world_conn_key(proxy, event.id), g_strdup(name));
 	world_deliver(world, proxy, &event);
 }
 
 const char *world_edit_outcome(const world_t *world, const char *name)
 {
-	return g_hash_table_lookup(world->edits, name);
+	return g_hash_table_lookup(world->edit_outcomes, name);
 }
 
 uint64_t world_table_version(const world_t *world, int proxy)
@@ -155,28 +156,29 @@
 }
 
 /* An acknowledged write must be there for good. */
-static void check_acknowledged(world_t *world, const result_t *told)
+static void check_acknowledged(world_t *world, const result_t *result)
 {
-	if (told->written != NULL && history_index(world, told->key, told->written) < 0)
-		world_add_violation(world, "%s was acknowledged, but %s=%s is missing", told->name,
-				    told->key, told->written);
+	if (result->written_value != NULL &&
+	    history_index(world, result->key, result->written_value) < 0)
+		world_add_violation(world, "%s was acknowledged, but %s=%s is missing",
+				    result->name, result->key, result->written_value);
 }
 
 /* What was read must be there for good too, and not before what the reader had to see. */
-static void check_read(world_t *world, const result_t *told)
+static void check_read(world_t *world, const result_t *result)
 {
-	const char *floor = g_hash_table_lookup(world->floors, told->name);
-	int floor_index = floor != NULL ? history_index(world, told->key, floor) : -1;
-	int index = told->value != NULL ? history_index(world, told->key, told->value) : -1;
+	const char *floor = g_hash_table_lookup(world->floors, result->name);
+	int floor_index = floor != NULL ? history_index(world, result->key, floor) : -1;
+	int index = result->value != NULL ? history_index(world, result->key, result->value) : -1;
 
-	if (told->written != NULL || told->key == NULL)
+	if (result->written_value != NULL || result->key == NULL)
 		return;
-	if (told->value != NULL && index < 0)
-		world_add_violation(world, "%s read %s=%s, which does not survive", told->name,
-				    told->key, told->value);
+	if (result->value != NULL && index < 0)
+		world_add_violation(world, "%s read %s=%s, which does not survive", result->name,
+				    result->key, result->value);
 	if (index < floor_index)
-		world_add_violation(world, "%s read %s, older than %s", told->name,
-				    told->value != NULL ? told->value : "nothing", floor);
+		world_add_violation(world, "%s read %s, older than %s", result->name,
+				    result->value != NULL ? result->value : "nothing", floor);
 }
 
 static void check_done(world_t *world)
@@ -184,14 +186,14 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, world->told);
+	g_hash_table_iter_init(&iter, world->results);
 	while (world_primary(world) >= 0 && g_hash_table_iter_next(&iter, NULL, &value)) {
-		const result_t *told = value;
+		const result_t *result = value;
 
-		if (!told->answered || told->outcome != OUTCOME_DONE || told->in_tx)
+		if (!result->answered || result->outcome != OUTCOME_DONE || result->in_tx)
 			continue;
-		check_acknowledged(world, told);
-		check_read(world, told);
+		check_acknowledged(world, result);
+		check_read(world, result);
 	}
 }
 
@@ -216,20 +218,21 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, world->told);
+	g_hash_table_iter_init(&iter, world->results);
 	while (world_primary(world) >= 0 && g_hash_table_iter_next(&iter, NULL, &value)) {
-		const result_t *told = value;
+		const result_t *result = value;
 		const GPtrArray *log = world->members[world_primary(world)].log;
 
-		if (!told->answered || told->outcome != OUTCOME_NOT_RUN || told->written == NULL)
+		if (!result->answered || result->outcome != OUTCOME_NOT_RUN ||
+		    result->written_value == NULL)
 			continue;
 		for (guint i = 0; i < log->len; i++) {
 			const log_entry_t *entry = log->pdata[i];
 
-			if (g_strcmp0(entry->key, told->key) == 0 &&
-			    g_strcmp0(entry->value, told->written) == 0)
+			if (g_strcmp0(entry->key, result->key) == 0 &&
+			    g_strcmp0(entry->value, result->written_value) == 0)
 				world_add_violation(world, "%s was said not to have run, but did",
-						    told->name);
+						    result->name);
 		}
 	}
 }
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -129,8 +129,8 @@
 			store_commit(world, action);
 		else
 			call->status = STORE_CONFLICT;
-		lost = world->lose_answers > 0;
-		world->lose_answers -= lost;
+		lost = world->answers_to_lose > 0;
+		world->answers_to_lose -= lost;
 	}
 	if (lost)
 		call->status = STORE_FAILED;
--- a/tests/world_time.c
+++ b/tests/world_time.c
@@ -41,8 +41,8 @@
 		g_sequence_remove(first);
 		world->now = entry->at;
 		/* What reaches a stopped process waits in its buffers. */
-		if (entry->node >= 0 && world->frozen[entry->node] > world->now) {
-			entry->at = world->frozen[entry->node];
+		if (entry->node >= 0 && world->frozen_until[entry->node] > world->now) {
+			entry->at = world->frozen_until[entry->node];
 			g_sequence_insert_sorted(world->events, entry, compare_planned, NULL);
 			continue;
 		}
