--- a/tests/faults.c
+++ b/tests/faults.c
@@ -14,23 +14,23 @@
 #define START	    USEC_PER_SEC
 
 typedef struct client {
-	char *last; /* name of its last request */
+	char *last; /* name of the request in flight, NULL if none */
 	char *token;
-	char *seen[KEYS]; /* last value it has written or read, by key */
+	char *seen[KEYS]; /* last value that it has written or read, by key */
 } client_t;
 
-typedef struct play {
+typedef struct run {
 	world_t *world;
 	GRand *rand;
 	client_t clients[SESSIONS];
 	GPtrArray *names;
 	int next_value;
 	bool alive[PROXIES];
-} play_t;
+} faults_run_t;
 
-static int below(play_t *play, int limit)
+static int random_below(faults_run_t *run, int limit)
 {
-	return g_rand_int_range(play->rand, 0, limit);
+	return g_rand_int_range(run->rand, 0, limit);
 }
 
 static const char *const keys[KEYS] = {"job-1", "job-2", "job-3"};
@@ -44,11 +44,11 @@
 	return 0;
 }
 
-/* Take up what the client's last request brought. */
-static void learn(play_t *play, client_t *client)
+/* Update the client by the answer to its last request. */
+static void apply_result(faults_run_t *run, client_t *client)
 {
 	const result_t *answer =
-		client->last != NULL ? world_result(play->world, client->last) : NULL;
+		client->last != NULL ? world_result(run->world, client->last) : NULL;
 	const char *value;
 	char **seen;
 
@@ -65,66 +65,66 @@
 	g_clear_pointer(&client->last, g_free);
 }
 
-static int living_proxy(play_t *play)
+static int random_live_proxy(faults_run_t *run)
 {
-	int proxy = below(play, PROXIES);
+	int proxy = random_below(run, PROXIES);
 
-	while (!play->alive[proxy])
+	while (!run->alive[proxy])
 		proxy = (proxy + 1) % PROXIES;
 	return proxy;
 }
 
-static void ask(play_t *play, client_t *client)
+static void send_random_request(faults_run_t *run, client_t *client)
 {
 	static const char *const classes[] = {"assign", "assignment", "status"};
-	const char *class_name = classes[below(play, 3)];
+	const char *class_name = classes[random_below(run, 3)];
 	bool is_write = class_name == classes[0];
-	int key = below(play, KEYS);
-	int number = ++play->next_value;
+	int key = random_below(run, KEYS);
+	int number = ++run->next_value;
 	char *name = g_strdup_printf("r%05d", number);
 	char *value = g_strdup_printf("v%05d", number);
 	world_request_t request = {
 		.name = name,
-		.proxy = living_proxy(play),
+		.proxy = random_live_proxy(run),
 		.class_name = class_name,
 		.key = keys[key],
 		.value = is_write ? value : NULL,
-		/* Some writes have no id and must not be repeated by anybody. */
-		.request_id = is_write && below(play, 4) != 0 ? name : NULL,
+		/* Some writes have no request id: no proxy may run them twice. */
+		.request_id = is_write && random_below(run, 4) != 0 ? name : NULL,
 		.token = client->token,
 		.deadline = DEADLINE,
 		.floor = is_write ? NULL : client->seen[key],
 	};
 
-	world_request(play->world, &request);
+	world_request(run->world, &request);
 	client->last = name;
-	g_ptr_array_add(play->names, g_strdup(name));
+	g_ptr_array_add(run->names, g_strdup(name));
 	g_free(value);
 }
 
-static void lose_proxy(play_t *play)
+static void stop_one_proxy(faults_run_t *run)
 {
-	int proxy = living_proxy(play);
+	int proxy = random_live_proxy(run);
 	int left = 0;
 
 	for (int i = 0; i < PROXIES; i++)
-		left += play->alive[i];
+		left += run->alive[i];
 	if (left < PROXIES)
-		return; /* one at most: the callers need somebody to ask */
-	play->alive[proxy] = false;
-	if (below(play, 2) == 0)
-		world_kill(play->world, proxy);
+		return; /* at most one, so that callers still have proxies to send requests to */
+	run->alive[proxy] = false;
+	if (random_below(run, 2) == 0)
+		world_kill(run->world, proxy);
 	else
-		world_vanish(play->world, proxy);
+		world_vanish(run->world, proxy);
 }
 
-static void inject(play_t *play)
+static void inject_random_fault(faults_run_t *run)
 {
-	int member = world_node("m0") + below(play, MEMBERS);
-	int proxy = below(play, PROXIES);
-	world_t *world = play->world;
+	int member = world_node("m0") + random_below(run, MEMBERS);
+	int proxy = random_below(run, PROXIES);
+	world_t *world = run->world;
 
-	switch (below(play, 10)) {
+	switch (random_below(run, 10)) {
 	case 0:
 		world_kill(world, member);
 		break;
@@ -132,57 +132,58 @@
 		world_vanish(world, member);
 		break;
 	case 2:
-		world_freeze(world, member, (usec_t)(200 + below(play, 3000)) * USEC_PER_MSEC);
+		world_freeze(world, member,
+			     (usec_t)(200 + random_below(run, 3000)) * USEC_PER_MSEC);
 		break;
 	case 3:
-		world_freeze(world, proxy, (usec_t)(200 + below(play, 4000)) * USEC_PER_MSEC);
+		world_freeze(world, proxy, (usec_t)(200 + random_below(run, 4000)) * USEC_PER_MSEC);
 		break;
 	case 4:
-		world_cut(world, member, world_node("m0") + below(play, MEMBERS), true);
+		world_cut(world, member, world_node("m0") + random_below(run, MEMBERS), true);
 		break;
 	case 5:
 		world_cut(world, proxy, member, true);
 		break;
 	case 6:
-		world_cut(world, proxy, below(play, PROXIES), true);
+		world_cut(world, proxy, random_below(run, PROXIES), true);
 		break;
 	case 7:
 		world_vanish(world, WORLD_STORE);
 		break;
 	case 8:
-		world_set_lag(world, (usec_t)below(play, 800) * USEC_PER_MSEC);
+		world_set_lag(world, (usec_t)random_below(run, 800) * USEC_PER_MSEC);
 		break;
 	default:
-		lose_proxy(play);
+		stop_one_proxy(run);
 		break;
 	}
 }
 
-static void step(play_t *play, int number)
+static void run_step(faults_run_t *run, int number)
 {
 	for (int i = 0; i < SESSIONS; i++) {
-		client_t *client = &play->clients[i];
+		client_t *client = &run->clients[i];
 
-		learn(play, client);
+		apply_result(run, client);
 		if (client->last == NULL)
-			ask(play, client);
-		else if (world_result(play->world, client->last)->answered ||
-			 world_now(play->world) >
-				 world_result(play->world, client->last)->requested_at +
+			send_random_request(run, client);
+		else if (world_result(run->world, client->last)->answered ||
+			 world_now(run->world) >
+				 world_result(run->world, client->last)->requested_at +
 					 2 * DEADLINE)
 			g_clear_pointer(&client->last, g_free);
 	}
 	if (number % FAULT_EVERY == FAULT_EVERY - 1)
-		inject(play);
-	else if (number % FAULT_EVERY == FAULT_EVERY / 2 && below(play, 2) == 0)
-		world_heal(play->world);
-	world_run(play->world, world_now(play->world) + STEP_TIME);
+		inject_random_fault(run);
+	else if (number % FAULT_EVERY == FAULT_EVERY / 2 && random_below(run, 2) == 0)
+		world_heal(run->world);
+	world_run(run->world, world_now(run->world) + STEP_TIME);
 }
 
-static void count(play_t *play, faults_result_t *result)
+static void count_results(faults_run_t *run, faults_result_t *result)
 {
-	for (guint i = 0; i < play->names->len; i++) {
-		const result_t *answer = world_result(play->world, play->names->pdata[i]);
+	for (guint i = 0; i < run->names->len; i++) {
+		const result_t *answer = world_result(run->world, run->names->pdata[i]);
 
 		result->requests++;
 		if (!answer->answered)
@@ -194,41 +195,41 @@
 	}
 }
 
-static void free_play(play_t *play)
+static void free_faults_run(faults_run_t *run)
 {
 	for (int i = 0; i < SESSIONS; i++) {
-		g_free(play->clients[i].last);
-		g_free(play->clients[i].token);
+		g_free(run->clients[i].last);
+		g_free(run->clients[i].token);
 		for (int k = 0; k < KEYS; k++)
-			g_free(play->clients[i].seen[k]);
+			g_free(run->clients[i].seen[k]);
 	}
-	g_ptr_array_unref(play->names);
-	g_rand_free(play->rand);
-	world_destroy(play->world);
+	g_ptr_array_unref(run->names);
+	g_rand_free(run->rand);
+	world_destroy(run->world);
 }
 
 faults_result_t faults_play(uint64_t seed, char **timeline)
 {
 	world_config_t config = world_config_default();
 	faults_result_t result = {0};
-	play_t play = {.rand = g_rand_new_with_seed((guint32)seed)};
+	faults_run_t run = {.rand = g_rand_new_with_seed((guint32)seed)};
 
 	config.proxies = PROXIES;
 	config.seed = seed;
 	config.quiet = timeline == NULL;
-	play.world = world_create(&config);
-	play.names = g_ptr_array_new_with_free_func(g_free);
+	run.world = world_create(&config);
+	run.names = g_ptr_array_new_with_free_func(g_free);
 	for (int i = 0; i < PROXIES; i++)
-		play.alive[i] = true;
-	world_run(play.world, START);
+		run.alive[i] = true;
+	world_run(run.world, START);
 	for (int i = 0; i < STEPS; i++)
-		step(&play, i);
-	world_heal(play.world);
-	world_run(play.world, world_now(play.world) + SETTLE_TIME);
-	count(&play, &result);
-	result.violations = g_strdup(world_violations(play.world));
+		run_step(&run, i);
+	world_heal(run.world);
+	world_run(run.world, world_now(run.world) + SETTLE_TIME);
+	count_results(&run, &result);
+	result.violations = g_strdup(world_violations(run.world));
 	if (timeline != NULL)
-		*timeline = g_strdup(world_timeline(play.world));
-	free_play(&play);
+		*timeline = g_strdup(world_timeline(run.world));
+	free_faults_run(&run);
 	return result;
 }
--- a/tests/faults.h
+++ b/tests/faults.h
@@ -1,10 +1,10 @@
-/* A workload of writes and reads under random faults, from a seed. */
+/* A workload of writes and reads under random faults, determined by a seed. */
 #pragma once
 
 #include "world.h"
 
 typedef struct faults_result {
-	char *violations; /* "" if all that must hold did */
+	char *violations; /* "" if all invariants held */
 	int requests;
 	int answered;
 	int done;
@@ -12,5 +12,5 @@
 	int unknown;
 } faults_result_t;
 
-/* Play the seed; the timeline goes to *timeline unless that is NULL. */
+/* Run the seed. Stores the timeline in *timeline unless timeline is NULL. */
 faults_result_t faults_play(uint64_t seed, char **timeline);
--- a/tests/session.h
+++ b/tests/session.h
@@ -1,10 +1,14 @@
 /*
- * Session files: timed requests, faults and edits played in a world, a line
- * each. README in tests/golden/ gives the words.
+ * Session files: timed requests, faults, edits and expectations, one a line, run in
+ * a simulated environment (world.h). The README in tests/golden/ describes the
+ * syntax.
  */
 #pragma once
 
 #include "world.h"
 
-/* Play the file; returns the world at its end. Fails the test on a broken line or expectation. */
+/*
+ * Run the file and return the world at its end. An invalid line or a failed
+ * expectation fails the test.
+ */
 world_t *session_play(const char *path);
--- a/tests/test_ages.c
+++ b/tests/test_ages.c
@@ -1,7 +1,7 @@
 /*
- * The age of replica reads, by hand-made reports to one core. The group has five
- * members: enough that a superseded primary can keep a replica of its own, whose
- * data then looks as fresh as that primary for ever.
+ * The age of replica reads, tested with reports that the test makes up for one core.
+ * The group has five members: enough that a superseded primary can keep a replica,
+ * whose data then always looks as fresh as that primary's.
  */
 #include <string.h>
 
@@ -23,10 +23,10 @@
 	usec_t now;
 	uint64_t lsn[MEMBERS];
 	bool responds[MEMBERS];
-	char *ran_on; /* the first member that a read was started on */
+	char *ran_on; /* the first member on which the last read was started */
 } scene_t;
 
-static void give(scene_t *scene, const event_t *event);
+static void deliver_event(scene_t *scene, const event_t *event);
 
 static void answer_order(scene_t *scene, const action_t *action)
 {
@@ -43,17 +43,17 @@
 	};
 
 	scene->now += ANSWER_AFTER;
-	give(scene, &event);
+	deliver_event(scene, &event);
 }
 
 static void open_connection(scene_t *scene, const action_t *action)
 {
 	event_t event = {.kind = EVENT_CONN_UP, .id = action->id};
 
-	give(scene, &event);
+	deliver_event(scene, &event);
 }
 
-static void give(scene_t *scene, const event_t *event)
+static void deliver_event(scene_t *scene, const event_t *event)
 {
 	action_t *action;
 
@@ -69,15 +69,15 @@
 	}
 }
 
-static void run(scene_t *scene, usec_t for_how_long)
+static void run_for(scene_t *scene, usec_t duration)
 {
 	event_t tick = {.kind = EVENT_TICK};
 
-	for (usec_t end = scene->now + for_how_long; scene->now < end; scene->now += STEP)
-		give(scene, &tick);
+	for (usec_t end = scene->now + duration; scene->now < end; scene->now += STEP)
+		deliver_event(scene, &tick);
 }
 
-static char *group_text(void)
+static char *group_json(void)
 {
 	GString *text = g_string_new("{\"members\": [");
 
@@ -89,7 +89,7 @@
 	return g_string_free(text, FALSE);
 }
 
-static scene_t *make(void)
+static scene_t *create_scene(void)
 {
 	scene_t *scene = g_new0(scene_t, 1);
 	core_config_t config = {.name = "p0",
@@ -98,7 +98,7 @@
 				.incarnation = 1,
 				.seed = 1,
 				.timings = core_timings_default()};
-	char *group = group_text();
+	char *group = group_json();
 	table_entry_t entries[] = {{"group/" GROUP, group, 1}, {"row/s/c", ROW, 1}};
 	event_t loaded = {.kind = EVENT_STORE_LOADED,
 			  .store = {.status = STORE_OK,
@@ -113,13 +113,13 @@
 		scene->responds[i] = true;
 		scene->lsn[i] = 10;
 	}
-	give(scene, &loaded);
-	run(scene, USEC_PER_SEC / 2);
+	deliver_event(scene, &loaded);
+	run_for(scene, USEC_PER_SEC / 2);
 	g_free(group);
 	return scene;
 }
 
-static const char *read_goes_to(scene_t *scene)
+static const char *member_that_runs_read(scene_t *scene)
 {
 	query_t query = {.verb = VERB_STATEMENT,
 			 .service = "s",
@@ -129,7 +129,7 @@
 	event_t event = {.kind = EVENT_QUERY, .id = 1, .query = {.query = &query}};
 
 	g_clear_pointer(&scene->ran_on, g_free);
-	give(scene, &event);
+	deliver_event(scene, &event);
 	return scene->ran_on;
 }
 
@@ -140,41 +140,41 @@
 	g_free(scene);
 }
 
-/* All is well: a replica that is level with the primary serves the read. */
+/* Without faults, a replica that is level with the primary serves the read. */
 static void test_level(void)
 {
-	scene_t *scene = make();
+	scene_t *scene = create_scene();
 
-	g_assert_cmpstr(read_goes_to(scene), !=, "m0");
+	g_assert_cmpstr(member_that_runs_read(scene), !=, "m0");
 	free_scene(scene);
 }
 
 /*
- * Members m2 to m4 stop answering: a later term may have been sealed there. The
- * primary and its replica m1 agree with each other, and only with each other. A
- * read with a bound of 400 ms must not be served by m1 half a second later.
+ * Members m2 to m4 stop answering, so a later term may have been sealed there. The
+ * primary and its replica m1 only agree with each other. A read with max_age 400 ms
+ * must not be served by m1 half a second later.
  */
 static void test_no_majority(void)
 {
-	scene_t *scene = make();
+	scene_t *scene = create_scene();
 
 	for (int i = 2; i < MEMBERS; i++)
 		scene->responds[i] = false;
-	run(scene, USEC_PER_SEC / 2);
-	g_assert_cmpstr(read_goes_to(scene), !=, "m1");
+	run_for(scene, USEC_PER_SEC / 2);
+	g_assert_cmpstr(member_that_runs_read(scene), !=, "m1");
 	free_scene(scene);
 }
 
-/* The replicas lag further than the bound while the primary's log goes on. */
+/* The replicas lag by more than max_age while the primary's log grows. */
 static void test_lagging(void)
 {
-	scene_t *scene = make();
+	scene_t *scene = create_scene();
 
 	for (int i = 0; i < 60; i++) {
 		scene->lsn[0]++;
-		run(scene, STEP);
+		run_for(scene, STEP);
 	}
-	g_assert_cmpstr(read_goes_to(scene), ==, "m0");
+	g_assert_cmpstr(member_that_runs_read(scene), ==, "m0");
 	free_scene(scene);
 }
 
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -1,4 +1,4 @@
-/* Ranks by rendezvous hashing, zones, leaving, suspicion, majorities. */
+/* The fleet: ranks by rendezvous hashing, zones, leaving proxies, suspicion, majorities. */
 #include <glib.h>
 #include <talloc.h>
 
@@ -6,7 +6,7 @@
 
 #define PROXIES 9
 
-static fleet_t *make(void)
+static fleet_t *create_fleet(void)
 {
 	fleet_t *fleet = fleet_create(NULL, "p0", "z0", "h:0");
 
@@ -21,7 +21,7 @@
 	return fleet;
 }
 
-static void rank(const fleet_t *fleet, int group, ranks_t *ranks)
+static void compute_ranks(const fleet_t *fleet, int group, ranks_t *ranks)
 {
 	char *key = g_strdup_printf("group-%d", group);
 
@@ -32,13 +32,13 @@
 
 static void test_zones_differ(void)
 {
-	fleet_t *fleet = make();
+	fleet_t *fleet = create_fleet();
 	int served[PROXIES] = {0};
 
 	for (int group = 0; group < 900; group++) {
 		ranks_t ranks;
 
-		rank(fleet, group, &ranks);
+		compute_ranks(fleet, group, &ranks);
 		g_assert_cmpuint(ranks.len, ==, FLEET_RANKS);
 		g_assert_cmpstr(ranks.proxies[0]->zone, !=, ranks.proxies[1]->zone);
 		g_assert_cmpstr(ranks.proxies[1]->zone, !=, ranks.proxies[2]->zone);
@@ -52,19 +52,19 @@
 	talloc_free(fleet);
 }
 
-/* A leaving proxy loses its own groups and moves no others. */
+/* A leaving proxy loses its own groups; no other group moves. */
 static void test_leaving_moves_little(void)
 {
-	fleet_t *fleet = make();
+	fleet_t *fleet = create_fleet();
 	ranks_t before[300];
 
 	for (int group = 0; group < 300; group++)
-		rank(fleet, group, &before[group]);
+		compute_ranks(fleet, group, &before[group]);
 	fleet_set_leaving(fleet, fleet_find(fleet, "p4"));
 	for (int group = 0; group < 300; group++) {
 		ranks_t after;
 
-		rank(fleet, group, &after);
+		compute_ranks(fleet, group, &after);
 		g_assert_cmpstr(after.proxies[0]->name, !=, "p4");
 		if (g_strcmp0(before[group].proxies[0]->name, "p4") != 0)
 			g_assert_true(after.proxies[0] == before[group].proxies[0]);
@@ -72,12 +72,12 @@
 	talloc_free(fleet);
 }
 
-/* After any change, ranks kept from before equal ranks worked out from nothing. */
+/* After any change, ranks updated incrementally equal ranks computed from scratch. */
 static void test_incremental(void)
 {
 	enum { GROUPS = 200, CHANGES = 300 };
 	static ranks_t kept[GROUPS];
-	fleet_t *fleet = make();
+	fleet_t *fleet = create_fleet();
 	GRand *rand = g_rand_new_with_seed(7);
 
 	for (int i = 0; i < CHANGES; i++) {
@@ -98,7 +98,7 @@
 			char *key = g_strdup_printf("group-%d", group);
 			ranks_t fresh;
 
-			rank(fleet, group, &fresh);
+			compute_ranks(fleet, group, &fresh);
 			fleet_rank(fleet, key, &kept[group]);
 			g_assert_cmpuint(kept[group].len, ==, fresh.len);
 			for (size_t r = 0; r < fresh.len; r++)
@@ -112,7 +112,8 @@
 	talloc_free(fleet);
 }
 
-static void hear(fleet_t *fleet, const char *name, usec_t now, uint64_t incarnation, bool leaving)
+static void receive_heartbeat(fleet_t *fleet, const char *name, usec_t now, uint64_t incarnation,
+			      bool leaving)
 {
 	message_t message = {.kind = MESSAGE_HEARTBEAT,
 			     .incarnation = incarnation,
@@ -125,41 +126,41 @@
 /* Leaving is final for an incarnation; a restarted proxy of the same name is new. */
 static void test_leaving_is_final(void)
 {
-	fleet_t *fleet = make();
+	fleet_t *fleet = create_fleet();
 	const proxy_t *p1 = fleet_find(fleet, "p1");
 
-	hear(fleet, "p1", 10, 1, true);
-	hear(fleet, "p1", 20, 1, false);
+	receive_heartbeat(fleet, "p1", 10, 1, true);
+	receive_heartbeat(fleet, "p1", 20, 1, false);
 	g_assert_true(p1->leaving);
-	hear(fleet, "p1", 30, 2, false);
+	receive_heartbeat(fleet, "p1", 30, 2, false);
 	g_assert_false(p1->leaving);
-	hear(fleet, "p1", 40, 1, true); /* late, from its earlier life */
+	receive_heartbeat(fleet, "p1", 40, 1, true); /* late, of the earlier incarnation */
 	g_assert_false(p1->leaving);
 	talloc_free(fleet);
 }
 
 static void test_suspicion(void)
 {
-	fleet_t *fleet = make();
+	fleet_t *fleet = create_fleet();
 	proxy_t *p1 = fleet_find(fleet, "p1");
 	proxy_t *p2 = fleet_find(fleet, "p2");
 	proxy_t *p3 = fleet_find(fleet, "p3");
 
 	p1->sends_heartbeats = true;
 	p2->sends_heartbeats = true;
-	hear(fleet, "p1", 100, 1, false);
-	hear(fleet, "p3", 100, 1, false);
+	receive_heartbeat(fleet, "p1", 100, 1, false);
+	receive_heartbeat(fleet, "p3", 100, 1, false);
 	fleet_suspect_silent(fleet, 300, 100);
 	g_assert_true(p1->suspect);
-	g_assert_false(p2->suspect); /* never heard */
-	g_assert_false(p3->suspect); /* sends no heartbeats: its silence means nothing */
-	hear(fleet, "p1", 300, 1, false);
+	g_assert_false(p2->suspect); /* no message received yet */
+	g_assert_false(p3->suspect); /* sends no heartbeats: its silence is no evidence */
+	receive_heartbeat(fleet, "p1", 300, 1, false);
 	g_assert_false(p1->suspect);
-	/* After a pause of our own nobody is judged on what we missed. */
+	/* After a pause of this process, missed messages are no evidence. */
 	fleet_reset_health(fleet);
 	fleet_suspect_silent(fleet, 10000, 100);
 	g_assert_false(p1->suspect);
-	/* One that is not expected can't clear itself by a heartbeat: it gets another chance. */
+	/* A peer that sends no heartbeats can't clear its suspicion, so it expires. */
 	fleet_set_suspect(p3, 10000);
 	fleet_suspect_silent(fleet, 10400, 100);
 	g_assert_true(p3->suspect);
@@ -168,8 +169,8 @@
 	talloc_free(fleet);
 }
 
-/* A message that comes at 1000 and was sent when its sender had seen our clock at echo. */
-static void hear_echo(fleet_t *fleet, const char *name, usec_t echo)
+/* A message received at 1000 whose sender had last received this proxy's clock reading echo. */
+static void receive_heartbeat_with_echo(fleet_t *fleet, const char *name, usec_t echo)
 {
 	message_t message = {.kind = MESSAGE_HEARTBEAT, .incarnation = 1, .echo = echo};
 
@@ -178,36 +179,36 @@
 
 static void test_majority(void)
 {
-	fleet_t *fleet = make();
+	fleet_t *fleet = create_fleet();
 
-	hear_echo(fleet, "p1", 100);
-	hear_echo(fleet, "p2", 100);
-	hear_echo(fleet, "p3", 100);
+	receive_heartbeat_with_echo(fleet, "p1", 100);
+	receive_heartbeat_with_echo(fleet, "p2", 100);
+	receive_heartbeat_with_echo(fleet, "p3", 100);
 	g_assert_false(fleet_majority_is_alive(fleet, 100)); /* 4 of 9, self included */
-	hear_echo(fleet, "p4", 100);
+	receive_heartbeat_with_echo(fleet, "p4", 100);
 	g_assert_true(fleet_majority_is_alive(fleet, 100));
 	g_assert_false(fleet_majority_is_alive(fleet, 101));
-	/* Messages that have waited somewhere, and of those that have not heard from us. */
+	/* Messages may be old, or come without an echo: the time of receipt does not count. */
 	for (int i = 1; i < 9; i++) {
 		char name[8];
 
 		g_snprintf(name, sizeof(name), "p%d", i);
-		hear(fleet, name, 900, 1, false);
-		hear_echo(fleet, name, 100);
+		receive_heartbeat(fleet, name, 900, 1, false);
+		receive_heartbeat_with_echo(fleet, name, 100);
 	}
 	g_assert_true(fleet_majority_is_alive(fleet, 100));
 	g_assert_false(fleet_majority_is_alive(fleet, 101));
 	talloc_free(fleet);
 }
 
-/* What the platform no longer lists goes, but not while it is still heard. */
+/* A proxy that is no longer listed is removed, but not while it still sends messages. */
 static void test_list(void)
 {
-	fleet_t *fleet = make();
+	fleet_t *fleet = create_fleet();
 	vm_t vms[] = {{.name = "p0", .zone = "z0", .address = "h:0"},
 		      {.name = "p7", .zone = "z1", .address = "h:7", .leaving = true}};
 
-	hear(fleet, "p1", 5000, 1, false);
+	receive_heartbeat(fleet, "p1", 5000, 1, false);
 	fleet_apply_list(fleet, 5000, vms, 2, 1000);
 	g_assert_nonnull(fleet_find(fleet, "p1"));
 	g_assert_null(fleet_find(fleet, "p2"));
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -1,6 +1,6 @@
 /*
- * Plays every tests/golden/NAME.session in paused time and compares all actions
- * with NAME.golden. GOLDEN_WRITE=1 writes the golden files anew.
+ * Runs every tests/golden/NAME.session in simulated time and compares all actions
+ * with NAME.golden. GOLDEN_WRITE=1 rewrites the golden files.
  */
 #include <string.h>
 
@@ -10,7 +10,7 @@
 
 #define GOLDEN_DIR "tests/golden"
 
-static void play(gconstpointer data)
+static void play_session(gconstpointer data)
 {
 	const char *name = data;
 	char *session = g_strdup_printf(GOLDEN_DIR "/%s.session", name);
@@ -53,7 +53,7 @@
 	for (guint i = 0; i < names->len; i++) {
 		char *path = g_strdup_printf("/golden/%s", (char *)names->pdata[i]);
 
-		g_test_add_data_func(path, names->pdata[i], play);
+		g_test_add_data_func(path, names->pdata[i], play_session);
 		g_free(path);
 	}
 	rc = g_test_run();
--- a/tests/test_session.c
+++ b/tests/test_session.c
@@ -1,4 +1,4 @@
-/* Session tokens: what comes back, and what is refused. */
+/* Session tokens: encoding and decoding, rejection of forged tokens, merging, overflow. */
 #include <string.h>
 
 #include <glib.h>
@@ -9,7 +9,7 @@
 static const unsigned char key[SESSION_KEY_BYTES] = {1, 2, 3};
 static const unsigned char other_key[SESSION_KEY_BYTES] = {9};
 
-static session_t *make(void *parent, int groups)
+static session_t *create_session(void *parent, int groups)
 {
 	session_t *session = talloc_zero(parent, session_t);
 
@@ -22,7 +22,7 @@
 static void test_round_trip(void)
 {
 	void *parent = talloc_new(NULL);
-	char *token = session_encode(parent, key, make(parent, 3));
+	char *token = session_encode(parent, key, create_session(parent, 3));
 	session_t *back = talloc_zero(parent, session_t);
 
 	g_assert_cmpint(session_decode(key, token, back), ==, 0);
@@ -32,11 +32,11 @@
 	talloc_free(parent);
 }
 
-/* Each character changed on its own: none may be accepted. */
+/* A token with any one character changed must be rejected. */
 static void test_forged(void)
 {
 	void *parent = talloc_new(NULL);
-	char *token = session_encode(parent, key, make(parent, 1));
+	char *token = session_encode(parent, key, create_session(parent, 1));
 	session_t *back = talloc_zero(parent, session_t);
 
 	for (size_t i = 0; i < strlen(token); i++) {
@@ -53,7 +53,7 @@
 
 static void test_merge_keeps_maximum(void)
 {
-	session_t *session = make(NULL, 1);
+	session_t *session = create_session(NULL, 1);
 
 	session_merge(session, "g0", (position_t){.term = 3, .lsn = 5});
 	g_assert_cmpuint(session_min_position(session, "g0").term, ==, 3);
@@ -61,11 +61,11 @@
 	talloc_free(session);
 }
 
-/* A group that was dropped for want of room must not look as if it was never seen. */
+/* A group dropped for lack of room must not look like one that was never seen. */
 static void test_overflow(void)
 {
 	void *parent = talloc_new(NULL);
-	session_t *session = make(parent, SESSION_MAX_GROUPS + 1);
+	session_t *session = create_session(parent, SESSION_MAX_GROUPS + 1);
 	session_t *back = talloc_zero(parent, session_t);
 
 	g_assert_true(session_is_partial(session, "g0"));
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -1,4 +1,4 @@
-/* The operators' table: what is accepted, what is refused and how, late and repeated news. */
+/* The operators' table: validation and its errors, late and duplicate updates. */
 #include <string.h>
 
 #include <glib.h>
@@ -12,7 +12,7 @@
 	"{\"name\": \"m2\", \"zone\": \"z2\", \"address\": \"h:3\"}]}"
 #define ROW "{\"group\": \"g\", \"kind\": \"read\", \"max_age_ms\": 500, \"connections\": 4}"
 
-static table_t *make(void)
+static table_t *create_table(void)
 {
 	table_t *table = table_create(NULL);
 	table_entry_t entries[] = {{"group/g", GROUP, 1}, {"row/s/c", ROW, 1}};
@@ -24,7 +24,7 @@
 
 static void test_lookup(void)
 {
-	table_t *table = make();
+	table_t *table = create_table();
 	const row_t *row = table_find_row(table, "s", "c");
 
 	g_assert_nonnull(row);
@@ -35,10 +35,10 @@
 	talloc_free(table);
 }
 
-/* News may come late, twice and out of order: the newest version of an entry stays. */
+/* Updates may arrive late, twice and out of order: the newest version of an entry must stay. */
 static void test_never_reverts(void)
 {
-	table_t *table = make();
+	table_t *table = create_table();
 	table_entry_t newer = {"row/s/c", "{\"group\": \"g\", \"kind\": \"write\"}", 5};
 	table_entry_t older = {"row/s/c", ROW, 3};
 	table_entry_t deleted = {"row/s/c", NULL, 6};
@@ -83,14 +83,14 @@
 {
 	for (gsize i = 0; i < G_N_ELEMENTS(bad_cases); i++) {
 		const bad_case_t *bad = &bad_cases[i];
-		table_t *table = make();
+		table_t *table = create_table();
 		table_entry_t entry = {(char *)bad->key, (char *)bad->value, 0};
 		err_t err = {0};
 
 		g_assert_cmpint(table_check(table, &entry, 1, &err), <, 0);
 		g_assert_cmpstr(err.peer, ==, bad->where);
 		g_assert_nonnull(strstr(err.text, bad->expected));
-		/* Nothing of it went in. */
+		/* The rejected entry has changed nothing. */
 		g_assert_cmpuint(table->version, ==, 1);
 		g_assert_nonnull(table_find_row(table, "s", "c"));
 		talloc_free(table);
@@ -99,7 +99,7 @@
 
 static void test_changes_since(void)
 {
-	table_t *table = make();
+	table_t *table = create_table();
 	table_entry_t entry = {"row/s/d", ROW, 2};
 	size_t count;
 	table_entry_t *changes;
--- a/tests/world.c
+++ b/tests/world.c
@@ -25,8 +25,8 @@
 	};
 }
 
-static void put_row(world_t *world, const char *class_name, const char *kind, int weight,
-		    const char *more)
+static void store_put_row(world_t *world, const char *class_name, const char *kind, int weight,
+			  const char *more)
 {
 	const world_config_t *config = &world->config;
 	char *key = g_strdup_printf("row/dispatch/%s", class_name);
@@ -56,11 +56,11 @@
 	world->store_version = 1;
 	store_put(world, "group/callout-1", members->str);
 	g_string_free(members, TRUE);
-	put_row(world, "assign", "write", 90, "");
-	put_row(world, "assignment", "read", 80, "");
+	store_put_row(world, "assign", "write", 90, "");
+	store_put_row(world, "assignment", "read", 80, "");
 	aged = g_strdup_printf(",\"max_age_ms\":%d,\"replica_lean\":%d",
 			       (int)(config->max_age / USEC_PER_MSEC), config->replica_share);
-	put_row(world, "status", "read", 50, aged);
+	store_put_row(world, "status", "read", 50, aged);
 	g_free(aged);
 }
 
@@ -81,7 +81,7 @@
 	world_schedule(world, 50 * USEC_PER_MSEC, -1, fake_member_on_catch_up, GINT_TO_POINTER(i));
 }
 
-static void on_start(world_t *world, void *data)
+static void on_proxy_start(world_t *world, void *data)
 {
 	world_on_tick(world, data);
 }
@@ -118,7 +118,8 @@
 		snprintf(address, sizeof(address), "p:%d", j);
 		core_add_seed(world->proxies[i].core, &vm);
 	}
-	world_schedule(world, 1000 + world_random(world, 20000), i, on_start, GINT_TO_POINTER(i));
+	world_schedule(world, 1000 + world_random(world, 20000), i, on_proxy_start,
+		       GINT_TO_POINTER(i));
 }
 
 world_t *world_create(const world_config_t *config)
@@ -147,8 +148,8 @@
 	return world;
 }
 
-/* Everybody is gone: what is still planned only lets go of its memory. */
-static void run_out(world_t *world)
+/* With all proxies gone, the scheduled events only free their memory. */
+static void drain_events(world_t *world)
 {
 	world->ending = true;
 	world->config.quiet = true;
@@ -169,7 +170,7 @@
 
 void world_destroy(world_t *world)
 {
-	run_out(world);
+	drain_events(world);
 	free_conns(world);
 	g_hash_table_unref(world->conns);
 	g_sequence_free(world->events);
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,7 +1,8 @@
 /*
- * Small fakes at core's interfaces, in paused time: members of one group with a
- * replicated log, a store, the messages between a few cores. Enough to play a
- * whole session with faults and to check what must always hold.
+ * A simulated environment for cores, in simulated time: the members of one group
+ * with a replicated log, the store, and the messages between a few cores. It runs
+ * whole sessions with faults and checks the invariants, which must hold whatever
+ * happens.
  */
 #pragma once
 
@@ -19,7 +20,7 @@
 	int proxies;
 	int members;
 	int zones;
-	usec_t zone_latency; /* one way between zones; a tenth of it within one */
+	usec_t zone_latency; /* one way between zones; a tenth of it within a zone */
 	usec_t replication_lag;
 	usec_t service_time;
 	usec_t connect_time;
@@ -30,7 +31,7 @@
 	bool fixed_detection;
 	int replica_share;
 	usec_t max_age; /* of the row "status" */
-	bool quiet;	/* no timeline */
+	bool quiet;	/* record no timeline */
 	bool equal_shares;
 	int small_fleet; /* 0: the default */
 	bool ignore_zones;
@@ -38,11 +39,11 @@
 	usec_t row_timeout;
 } world_config_t;
 
-/* What a caller was told; the last answer of each request. */
+/* The last answer to a request, with the data of the request that the checks need. */
 typedef struct result {
 	char *name;
 	char *key;
-	char *written_value; /* value of a write outside a transaction */
+	char *written_value; /* value of a write outside a transaction, else NULL */
 	bool in_tx;
 	bool answered;
 	outcome_t outcome;
@@ -67,29 +68,31 @@
 usec_t world_now(const world_t *world);
 void world_run(world_t *world, usec_t until);
 
-/* Faults. Nodes are "p0".., "m0".., "store". */
+/* Faults. The names of nodes are "p0".., "m0".., "store". */
 int world_node(const char *name);	     /* -1 if there is none of that name */
-void world_kill(world_t *world, int node);   /* the process: connections are reset */
-void world_vanish(world_t *world, int node); /* the VM: silence */
-void world_freeze(world_t *world, int node, usec_t for_how_long);
+void world_kill(world_t *world, int node);   /* end the process: its connections are reset */
+void world_vanish(world_t *world, int node); /* stop the VM: no answers and no resets */
+void world_freeze(world_t *world, int node, usec_t duration);
 void world_cut(world_t *world, int a, int b, bool cut);
-/* What proxy a sends to b waits on the way, as behind a lost packet. */
-void world_delay_messages(world_t *world, int a, int b, usec_t for_how_long);
+/* Messages of proxy a to b arrive only after this time, as behind a lost packet. */
+void world_delay_messages(world_t *world, int a, int b, usec_t duration);
 
-/* a has no connection to b for so long: what it sends is told to be unsent. */
-void world_disconnect(world_t *world, int a, int b, usec_t for_how_long);
-void world_lose_answers(world_t *world, int count); /* of the store's commits */
+/* Proxy a has no connection to b for this time: its requests are reported as unsent. */
+void world_disconnect(world_t *world, int a, int b, usec_t duration);
+/* The answers to the next count commits to the store are lost. */
+void world_lose_answers(world_t *world, int count);
 void world_set_lag(world_t *world, usec_t lag);
 void world_leave(world_t *world, int node);
 void world_drain(world_t *world, int node);
-/* End every cut, thaw what is frozen, bring members' and the store's VMs back. */
+/* Remove all cuts, unfreeze all nodes, and restart members and the store. */
 void world_heal(world_t *world);
 
 /* Requests; name identifies the request in the timeline. */
 typedef struct world_request {
 	const char *name;
 	int proxy;
-	const char *class_name; /* "assign" write, "assignment" strict read, "status" read */
+	/* "assign": write, "assignment": linearizable read, "status": read */
+	const char *class_name;
 	verb_t verb;
 	const char *key;
 	const char *value;
@@ -100,30 +103,30 @@
 	bool resend;
 	bool token_lost;
 	usec_t deadline;
-	const char *floor; /* the answer must not be older than this value; NULL: no check */
+	const char *floor; /* the value read must not be older than this one; NULL: no check */
 } world_request_t;
 
 void world_request(world_t *world, const world_request_t *request);
 const result_t *world_result(const world_t *world, const char *name);
 
-/* An operator's edit through a proxy; the outcome is told under name. */
+/* An operator's edit through a proxy; world_edit_outcome() returns its result by name. */
 void world_edit(world_t *world, int proxy, const char *name, const char *key, const char *value,
 		uint64_t base_version);
 const char *world_edit_outcome(const world_t *world, const char *name);
 uint64_t world_table_version(const world_t *world, int proxy);
 
-/* Every action but reports and heartbeats, with its time. */
+/* All actions but report orders and heartbeats, with their times. */
 const char *world_timeline(const world_t *world);
 
-/* The value that a reader of the current primary's log finds; NULL if none. */
+/* The value of key in the current primary's log, NULL if none. */
 const char *world_value(const world_t *world, const char *key);
 int world_primary(const world_t *world); /* member number, -1 if none */
 int world_count_request_id(const world_t *world, const char *request_id);
 
-/* What went wrong by the rules that must always hold; empty if nothing did. */
+/* The violations of the invariants, a line each; empty if there is none. */
 const char *world_violations(world_t *world);
 
-/* Counts since the start. */
+/* Counters since the start. */
 typedef struct world_counts {
 	uint64_t reads_replica;
 	uint64_t reads_primary;
@@ -133,7 +136,7 @@
 	uint64_t orders;
 } world_counts_t;
 
-/* When the steps of the last takeover happened; 0 for not yet. */
+/* Times of the steps of the last takeover; 0: not yet. */
 typedef struct world_marks {
 	usec_t seal_sent;
 	usec_t promote_sent;
--- a/tests/world_conns.c
+++ b/tests/world_conns.c
@@ -18,7 +18,7 @@
 	g_free(conn);
 }
 
-static fake_conn_t *conn_find(world_t *world, int proxy, uint64_t id)
+static fake_conn_t *find_conn(world_t *world, int proxy, uint64_t id)
 {
 	char *key = world_conn_key(proxy, id);
 	fake_conn_t *conn = g_hash_table_lookup(world->conns, key);
@@ -27,7 +27,7 @@
 	return conn;
 }
 
-static void conn_free_claim(world_t *world, fake_conn_t *conn)
+static void release_claim(world_t *world, fake_conn_t *conn)
 {
 	fake_member_t *member = &world->members[conn->member];
 
@@ -38,8 +38,11 @@
 	conn->counted = false;
 }
 
-/* The proxy's end of the connection is gone: what ran on it is settled as the link would. */
-static void conn_lost(world_t *world, fake_conn_t *conn, const char *why)
+/*
+ * The proxy's end is lost: report the result of the run and the loss, as the
+ * product's adapter does.
+ */
+static void close_conn_as_lost(world_t *world, fake_conn_t *conn, const char *why)
 {
 	event_t done = {.kind = EVENT_RUN_DONE, .id = conn->id};
 	event_t down = {.kind = EVENT_CONN_DOWN, .id = conn->id, .conn_down = {.detail = why}};
@@ -49,7 +52,7 @@
 	if (!g_hash_table_remove(world->conns, conn->key))
 		return;
 	conn->open = false;
-	conn_free_claim(world, conn);
+	release_claim(world, conn);
 	if (conn->running) {
 		conn->running = false;
 		result.status = conn->commit_sent ? RUN_LOST_AT_COMMIT : RUN_LOST_BEFORE_COMMIT;
@@ -65,11 +68,11 @@
 	fake_conn_t *conn = data;
 
 	if (conn->open || conn->claim == NULL)
-		conn_lost(world, conn, "connection reset");
+		close_conn_as_lost(world, conn, "connection reset");
 	fake_conn_unref(conn);
 }
 
-static void run_finish(world_t *world, fake_conn_t *conn, const run_result_t *result)
+static void finish_run(world_t *world, fake_conn_t *conn, const run_result_t *result)
 {
 	event_t event = {.kind = EVENT_RUN_DONE, .id = conn->id, .run = {.result = result}};
 
@@ -77,16 +80,16 @@
 	world_deliver(world, conn->proxy, &event);
 }
 
-/* A message from a member to the proxy about a run. */
+/* A message from a member to the proxy with the result of a run. */
 typedef struct reply {
 	fake_conn_t *conn;
 	run_result_t result;
-	bool commit_next; /* the statement succeeded: the link sends the commit now */
+	bool commit_next; /* the statement succeeded: the proxy's end sends the commit now */
 } reply_t;
 
-static void run_commit_arrive(world_t *world, void *data);
+static void on_commit_arrive(world_t *world, void *data);
 
-static void run_reply(world_t *world, void *data)
+static void on_reply_arrive(world_t *world, void *data)
 {
 	reply_t *reply = data;
 	fake_conn_t *conn = reply->conn;
@@ -97,9 +100,9 @@
 			conn->commit_sent = true;
 			conn->refs++;
 			world_schedule(world, world->now + world_latency(world, conn->proxy, node),
-				       node, run_commit_arrive, conn);
+				       node, on_commit_arrive, conn);
 		} else {
-			run_finish(world, conn, &reply->result);
+			finish_run(world, conn, &reply->result);
 		}
 	}
 	g_free(reply->result.rows);
@@ -119,16 +122,16 @@
 	reply->commit_next = commit_next;
 	conn->refs++;
 	world_schedule(world, world->now + world_latency(world, node, conn->proxy), conn->proxy,
-		       run_reply, reply);
+		       on_reply_arrive, reply);
 }
 
-static char *rows_of(const char *value)
+static char *rows_json(const char *value)
 {
 	return value != NULL ? g_strdup_printf("{\"rows\":[[\"%s\"]]}", value)
 			     : g_strdup("{\"rows\":[]}");
 }
 
-static void run_commit_arrive(world_t *world, void *data)
+static void on_commit_arrive(world_t *world, void *data)
 {
 	fake_conn_t *conn = data;
 	fake_member_t *member = &world->members[conn->member];
@@ -145,7 +148,7 @@
 						   log_entry_new(member->sealed, e->key, e->value,
 								 e->request_id));
 			}
-			result.rows = rows_of(NULL);
+			result.rows = rows_json(NULL);
 		} else {
 			result.status = RUN_NOT_PRIMARY;
 			result.detail = g_strdup("read only");
@@ -173,7 +176,7 @@
 	return false;
 }
 
-static void run_serve(world_t *world, fake_conn_t *conn)
+static void execute_run(world_t *world, fake_conn_t *conn)
 {
 	fake_member_t *member = &world->members[conn->member];
 	const query_t *query = conn->query;
@@ -188,7 +191,7 @@
 		result.detail = g_strdup("read only");
 	} else if (earlier != NULL && (conn->kind == RUN_WRITE || conn->kind == RUN_COMMIT)) {
 		result.repeated = true;
-		result.rows = rows_of(NULL);
+		result.rows = rows_json(NULL);
 		g_ptr_array_set_size(conn->tx, 0);
 	} else if (writes) {
 		g_ptr_array_add(conn->tx,
@@ -202,36 +205,42 @@
 	} else if (query->text != NULL) {
 		const char *own = log_find_value(conn->tx, query->text);
 
-		result.rows = rows_of(own != NULL ? own : fake_member_value(member, query->text));
+		result.rows = rows_json(own != NULL ? own : fake_member_value(member, query->text));
 	}
 	if (conn->kind == RUN_COMMIT && !result.repeated) {
 		conn->refs++;
-		run_commit_arrive(world, conn);
+		on_commit_arrive(world, conn);
 		return;
 	}
 	send_reply(world, conn, &result,
 		   conn->kind == RUN_WRITE && result.status == RUN_OK && !result.repeated);
 }
 
-static void run_end(world_t *world, void *data)
+static void on_run_end(world_t *world, void *data)
 {
 	fake_conn_t *conn = data;
 
 	if (conn->open && conn->running && !conn->session_ended &&
 	    !world_is_down(world, world_member_node(conn->member))) {
-		/* Whoever inserted the id first has it; the other waits, as on a unique index. */
+		/*
+		 * The first transaction to insert the id holds it; the others wait, as on a
+		 * unique index.
+		 */
 		if (id_is_locked(world, conn, conn->query->request_id)) {
 			world_schedule(world, world->now + USEC_PER_MSEC,
-				       world_member_node(conn->member), run_end, conn);
+				       world_member_node(conn->member), on_run_end, conn);
 			return;
 		}
-		run_serve(world, conn);
+		execute_run(world, conn);
 	}
 	fake_conn_unref(conn);
 }
 
-/* The member runs so many statements at once; the others wait. Returns when this one starts. */
-static usec_t take_slot(world_t *world, int m)
+/*
+ * A member runs one statement per slot at a time. Reserves a slot and returns when
+ * the run starts.
+ */
+static usec_t reserve_slot(world_t *world, int m)
 {
 	GArray *free_at = world->members[m].slot_free_at;
 	guint best = 0;
@@ -246,7 +255,7 @@
 	return start;
 }
 
-static void run_arrive(world_t *world, void *data)
+static void on_run_arrive(world_t *world, void *data)
 {
 	fake_conn_t *conn = data;
 	int node = world_member_node(conn->member);
@@ -256,19 +265,19 @@
 		fake_conn_unref(conn);
 		return;
 	}
-	/* As a database does with a unique key that another open transaction holds. */
+	/* A database blocks on a unique key that another open transaction has inserted. */
 	if (id_is_locked(world, conn, conn->query->request_id)) {
-		world_schedule(world, world->now + USEC_PER_MSEC, node, run_arrive, conn);
+		world_schedule(world, world->now + USEC_PER_MSEC, node, on_run_arrive, conn);
 		return;
 	}
 	conn->before = fake_member_report(&world->members[conn->member]);
-	world_schedule(world, take_slot(world, conn->member) + world->config.service_time, node,
-		       run_end, conn);
+	world_schedule(world, reserve_slot(world, conn->member) + world->config.service_time, node,
+		       on_run_end, conn);
 }
 
 void world_start_run(world_t *world, int proxy, action_t *action)
 {
-	fake_conn_t *conn = conn_find(world, proxy, action->id);
+	fake_conn_t *conn = find_conn(world, proxy, action->id);
 	event_t event = {.kind = EVENT_RUN_DONE, .id = action->id};
 	run_result_t result = {.status = RUN_LOST_BEFORE_COMMIT, .detail = "no connection"};
 
@@ -285,13 +294,13 @@
 	conn->refs++;
 	world_schedule(world,
 		       world->now + world_latency(world, proxy, world_member_node(conn->member)),
-		       world_member_node(conn->member), run_arrive, conn);
+		       world_member_node(conn->member), on_run_arrive, conn);
 }
 
-/* The member drops a connection of a proxy: its transaction is rolled back, its slot free. */
+/* The member ends the session of a connection: rolls back its transaction and frees its slot. */
 void fake_conn_drop(world_t *world, fake_conn_t *conn)
 {
-	conn_free_claim(world, conn);
+	release_claim(world, conn);
 	g_ptr_array_set_size(conn->tx, 0);
 	conn->session_ended = true;
 }
@@ -365,10 +374,10 @@
 	int slot;
 
 	if (world_is_down(world, node) || world_is_cut(world, conn->proxy, node)) {
-		conn_lost(world, conn, "connect failed");
+		close_conn_as_lost(world, conn, "connect failed");
 	} else if (!claim_slot(world, step, &slot) &&
 		   !(step->evict && (evict(world, step), claim_slot(world, step, &slot)))) {
-		conn_lost(world, conn, "no free slot");
+		close_conn_as_lost(world, conn, "no free slot");
 	} else {
 		conn->open = true;
 		up.conn_up.slot = slot;
@@ -407,8 +416,8 @@
 
 void world_close_conn(world_t *world, int proxy, action_t *action)
 {
-	fake_conn_t *conn = conn_find(world, proxy, action->id);
+	fake_conn_t *conn = find_conn(world, proxy, action->id);
 
 	if (conn != NULL)
-		conn_lost(world, conn, "closed by this proxy");
+		close_conn_as_lost(world, conn, "closed by this proxy");
 }
--- a/tests/world_cores.c
+++ b/tests/world_cores.c
@@ -9,48 +9,49 @@
 
 /* --- messages between proxies --- */
 
-typedef struct mail {
+typedef struct delivery {
 	int from;
 	int to;
 	message_t *message;
-} mail_t;
+} delivery_t;
 
-static void mail_arrive(world_t *world, void *data)
+static void on_message_arrive(world_t *world, void *data)
 {
-	mail_t *mail = data;
+	delivery_t *delivery = data;
 	char name[24];
 	event_t event = {.kind = EVENT_MESSAGE,
-			 .message = {.peer = name, .message = mail->message}};
-
-	snprintf(name, sizeof(name), "p%d", mail->from);
-	if (!world_is_down(world, mail->to) && !world_is_cut(world, mail->from, mail->to))
-		world_deliver(world, mail->to, &event);
-	talloc_free(mail->message);
-	g_free(mail);
+			 .message = {.peer = name, .message = delivery->message}};
+
+	snprintf(name, sizeof(name), "p%d", delivery->from);
+	if (!world_is_down(world, delivery->to) &&
+	    !world_is_cut(world, delivery->from, delivery->to))
+		world_deliver(world, delivery->to, &event);
+	talloc_free(delivery->message);
+	g_free(delivery);
 }
 
-static void do_send(world_t *world, int proxy, action_t *action)
+static void start_send(world_t *world, int proxy, action_t *action)
 {
-	mail_t *mail = g_new0(mail_t, 1);
+	delivery_t *delivery = g_new0(delivery_t, 1);
 	int to = atoi(action->send.peer + 1);
 	event_t unsent = {.kind = EVENT_UNSENT, .id = action->id};
 
 	world->counts.messages++;
 	if ((world->dead[to] && !world->vanished[to]) ||
 	    world->disconnected_until[proxy][to] > world->now) {
-		g_free(mail);
+		g_free(delivery);
 		if (action->send.message->kind == MESSAGE_EXECUTE)
 			world_deliver(world, proxy, &unsent);
 		return;
 	}
-	*mail = (mail_t){proxy, to, message_copy(NULL, action->send.message)};
+	*delivery = (delivery_t){proxy, to, message_copy(NULL, action->send.message)};
 	world_schedule(
 		world,
 		MAX(world->now + world_latency(world, proxy, to), world->delayed_until[proxy][to]),
-		to, mail_arrive, mail);
+		to, on_message_arrive, delivery);
 }
 
-/* --- what callers and operators are told --- */
+/* --- results for callers and operators --- */
 
 void result_free(gpointer ptr)
 {
@@ -66,7 +67,7 @@
 	g_free(result);
 }
 
-static char *value_in(const char *rows)
+static char *first_value(const char *rows)
 {
 	json_t *whole = rows != NULL ? json_loads(rows, 0, NULL) : NULL;
 	const json_t *row = json_array_get(json_object_get(whole, "rows"), 0);
@@ -87,13 +88,13 @@
 	g_string_append_c(world->violations, '\n');
 }
 
-static void note_acknowledged(world_t *world, const result_t *result)
+static void record_acknowledged(world_t *world, const result_t *result)
 {
 	g_hash_table_replace(world->acknowledged, g_strdup(result->key),
 			     g_strdup(result->written_value));
 }
 
-/* The member's share of reads, for what was served by whom. */
+/* Counts reads by the kind of member that served them. */
 static void count_read(world_t *world, const result_t *result)
 {
 	if (result->outcome != OUTCOME_DONE || result->written_value != NULL ||
@@ -105,7 +106,7 @@
 		world->counts.reads_replica++;
 }
 
-static void do_answer(world_t *world, int proxy, action_t *action)
+static void record_answer(world_t *world, int proxy, action_t *action)
 {
 	char *key = world_conn_key(proxy, action->id);
 	const char *name = g_hash_table_lookup(world->caller_names, key);
@@ -122,7 +123,7 @@
 	result->age = answer->age;
 	result->retry_after = answer->retry_after;
 	result->repeated = answer->repeated;
-	result->value = value_in(answer->rows);
+	result->value = first_value(answer->rows);
 	result->member = g_strdup(answer->member);
 	result->token = g_strdup(action->answer.token);
 	result->tx = g_strdup(answer->tx);
@@ -135,10 +136,10 @@
 		    result->member != NULL ? result->member : "");
 	count_read(world, result);
 	if (result->outcome == OUTCOME_DONE && result->written_value != NULL)
-		note_acknowledged(world, result);
+		record_acknowledged(world, result);
 }
 
-static void do_edit_done(world_t *world, int proxy, action_t *action)
+static void record_edit_outcome(world_t *world, int proxy, action_t *action)
 {
 	static const char *const names[] = {"accepted", "refused", "unknown"};
 	char *key = world_conn_key(proxy, action->id);
@@ -154,7 +155,7 @@
 
 /* --- cores --- */
 
-static void describe_order(world_t *world, int proxy, const order_action_t *order)
+static void trace_order(world_t *world, int proxy, const order_action_t *order)
 {
 	if (order->kind == ORDER_REPORT)
 		return;
@@ -163,7 +164,7 @@
 		    order->target ? order->target : "");
 }
 
-static void describe_run(world_t *world, int proxy, const run_action_t *run)
+static void trace_run(world_t *world, int proxy, const run_action_t *run)
 {
 	const char *text = run->query->text;
 
@@ -171,17 +172,17 @@
 		    text ? " " : "", text ? text : "");
 }
 
-static void describe(world_t *world, int proxy, const action_t *action)
+static void trace_action(world_t *world, int proxy, const action_t *action)
 {
 	switch (action->kind) {
 	case ACTION_LOG:
 		world_trace(world, "p%d note %s", proxy, action->log.text);
 		break;
 	case ACTION_ORDER:
-		describe_order(world, proxy, &action->order);
+		trace_order(world, proxy, &action->order);
 		break;
 	case ACTION_RUN:
-		describe_run(world, proxy, &action->run);
+		trace_run(world, proxy, &action->run);
 		break;
 	case ACTION_SEND:
 		if (action->send.message->kind != MESSAGE_HEARTBEAT)
@@ -204,22 +205,22 @@
 	}
 }
 
-/* A process that says it has drained exits soon after. */
-static void on_exit_due(world_t *world, void *data)
+/* A process that has drained exits soon after. */
+static void on_process_exit(world_t *world, void *data)
 {
 	if (!world->ending)
 		world_kill(world, GPOINTER_TO_INT(data));
 }
 
-/* Returns true when the action has been kept. */
-static bool carry_out(world_t *world, int proxy, action_t *action)
+/* Returns true if the callee has taken ownership of the action. */
+static bool execute_action(world_t *world, int proxy, action_t *action)
 {
 	switch (action->kind) {
 	case ACTION_ANSWER:
-		do_answer(world, proxy, action);
+		record_answer(world, proxy, action);
 		return false;
 	case ACTION_SEND:
-		do_send(world, proxy, action);
+		start_send(world, proxy, action);
 		return false;
 	case ACTION_CONNECT:
 		world_start_connect(world, proxy, action);
@@ -243,10 +244,10 @@
 			       GINT_TO_POINTER(proxy));
 		return false;
 	case ACTION_EDIT_DONE:
-		do_edit_done(world, proxy, action);
+		record_edit_outcome(world, proxy, action);
 		return false;
 	case ACTION_DRAINED:
-		world_schedule(world, world->now + EXIT_TIME, -1, on_exit_due,
+		world_schedule(world, world->now + EXIT_TIME, -1, on_process_exit,
 			       GINT_TO_POINTER(proxy));
 		return false;
 	default:
@@ -263,7 +264,7 @@
 	world_deliver(world, proxy, &event);
 }
 
-static void plan_tick(world_t *world, int proxy)
+static void schedule_tick(world_t *world, int proxy)
 {
 	fake_proxy_t *p = &world->proxies[proxy];
 	usec_t wake = core_next_tick(p->core);
@@ -283,9 +284,9 @@
 		return;
 	core_handle(core, world->now, event);
 	while ((action = core_pop_action(core)) != NULL) {
-		describe(world, proxy, action);
-		if (!carry_out(world, proxy, action))
+		trace_action(world, proxy, action);
+		if (!execute_action(world, proxy, action))
 			talloc_free(action);
 	}
-	plan_tick(world, proxy);
+	schedule_tick(world, proxy);
 }
--- a/tests/world_faults.c
+++ b/tests/world_faults.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* After this the server ends the sessions of a proxy that is silent. */
+/* Time-out after which a server ends the sessions of a silent proxy. */
 #define IDLE_SESSION_TIME (3 * USEC_PER_SEC)
 
 int world_node(const char *name)
@@ -28,14 +28,14 @@
 	g_list_free(all);
 }
 
-/* The proxy's process is gone: the kernel resets its connections at once. */
+/* The proxy's process has ended: the kernel resets its connections at once. */
 void fake_conn_abandon(world_t *world, fake_conn_t *conn)
 {
 	conn->open = false;
 	fake_conn_drop(world, conn);
 }
 
-/* The proxy has been silent for so long that the servers end its idle sessions. */
+/* The proxy was silent for IDLE_SESSION_TIME: the servers end its sessions. */
 static void on_idle_sessions(world_t *world, void *data)
 {
 	int proxy = GPOINTER_TO_INT(data);
@@ -44,7 +44,7 @@
 		world_for_each_conn(world, proxy, fake_conn_end_session);
 }
 
-static void plan_idle_sessions(world_t *world, int node)
+static void schedule_idle_sessions(world_t *world, int node)
 {
 	if (node < WORLD_MAX_PROXIES)
 		world_schedule(world, world->now + IDLE_SESSION_TIME, -1, on_idle_sessions,
@@ -74,14 +74,14 @@
 	world_trace(world, "-- vanished %s%d", node < WORLD_MAX_PROXIES ? "p" : "m",
 		    node < WORLD_MAX_PROXIES ? node : node - WORLD_MAX_PROXIES);
 	world->vanished[node] = true;
-	plan_idle_sessions(world, node);
+	schedule_idle_sessions(world, node);
 }
 
-void world_freeze(world_t *world, int node, usec_t for_how_long)
+void world_freeze(world_t *world, int node, usec_t duration)
 {
-	world_trace(world, "-- froze node %d for %.0f ms", node, (double)for_how_long / 1000.0);
-	world->frozen_until[node] = world->now + for_how_long;
-	plan_idle_sessions(world, node);
+	world_trace(world, "-- froze node %d for %.0f ms", node, (double)duration / 1000.0);
+	world->frozen_until[node] = world->now + duration;
+	schedule_idle_sessions(world, node);
 }
 
 void world_cut(world_t *world, int a, int b, bool cut)
@@ -91,17 +91,16 @@
 	world->cut[b][a] = cut;
 }
 
-void world_delay_messages(world_t *world, int a, int b, usec_t for_how_long)
+void world_delay_messages(world_t *world, int a, int b, usec_t duration)
 {
-	world_trace(world, "-- stalled %d to %d for %.0f ms", a, b, (double)for_how_long / 1000.0);
-	world->delayed_until[a][b] = world->now + for_how_long;
+	world_trace(world, "-- stalled %d to %d for %.0f ms", a, b, (double)duration / 1000.0);
+	world->delayed_until[a][b] = world->now + duration;
 }
 
-void world_disconnect(world_t *world, int a, int b, usec_t for_how_long)
+void world_disconnect(world_t *world, int a, int b, usec_t duration)
 {
-	world_trace(world, "-- unlinked %d from %d for %.0f ms", a, b,
-		    (double)for_how_long / 1000.0);
-	world->disconnected_until[a][b] = world->now + for_how_long;
+	world_trace(world, "-- unlinked %d from %d for %.0f ms", a, b, (double)duration / 1000.0);
+	world->disconnected_until[a][b] = world->now + duration;
 }
 
 void world_lose_answers(world_t *world, int count)
@@ -134,7 +133,7 @@
 
 		if (world->frozen_until[i] > world->now)
 			world->frozen_until[i] = world->now;
-		/* A proxy that died keeps nothing; a member's log is on its disk. */
+		/* A proxy that ended is not restarted; a member keeps its log on disk. */
 		if (!is_proxy) {
 			world->vanished[i] = false;
 			world->dead[i] = false;
--- a/tests/world_members.c
+++ b/tests/world_members.c
@@ -50,7 +50,7 @@
 	return NULL;
 }
 
-/* Bring the member's indexes up to its log. */
+/* Update the member's indexes to its log. */
 static void reindex(fake_member_t *member)
 {
 	if (member->indexed > member->log->len) {
@@ -77,7 +77,7 @@
 	return entry != NULL ? entry->value : NULL;
 }
 
-/* Entries after the cut go, and with them the indexes that point at them. */
+/* Drop the entries from len on, and the indexes, which point to them. */
 static void truncate_log(fake_member_t *member, guint len)
 {
 	g_hash_table_remove_all(member->by_key);
@@ -110,8 +110,8 @@
 	guint len;
 } replicate_t;
 
-/* The replica's log becomes the primary's as of then, if it still follows it in that term. */
-static void do_replicate(world_t *world, void *data)
+/* Make the replica's log equal to the primary's as sent, if it still follows it in that term. */
+static void on_replicate_arrive(world_t *world, void *data)
 {
 	replicate_t *r = data;
 	fake_member_t *from = &world->members[r->from];
@@ -121,7 +121,7 @@
 	if (!world_is_down(world, world_member_node(r->to)) && to->upstream == r->from &&
 	    to->sealed == r->term && from->sealed == r->term &&
 	    !world_is_cut(world, world_member_node(r->from), world_member_node(r->to))) {
-		/* Equal terms at one place mean equal logs up to it. */
+		/* Equal terms at a position mean equal logs up to it. */
 		common = MIN(to->log->len, r->len);
 		while (common > 0 && ((log_entry_t *)to->log->pdata[common - 1])->term !=
 					     ((log_entry_t *)from->log->pdata[common - 1])->term)
@@ -141,7 +141,7 @@
 	g_free(r);
 }
 
-static void replicate_to(world_t *world, int from, int to)
+static void start_replication(world_t *world, int from, int to)
 {
 	replicate_t *r = g_new0(replicate_t, 1);
 
@@ -155,7 +155,7 @@
 		world,
 		world->now + world_latency(world, world_member_node(from), world_member_node(to)) +
 			world->config.replication_lag,
-		world_member_node(to), do_replicate, r);
+		world_member_node(to), on_replicate_arrive, r);
 }
 
 void fake_member_append(world_t *world, int m, log_entry_t *entry)
@@ -163,11 +163,11 @@
 	g_ptr_array_add(world->members[m].log, entry);
 	for (int i = 0; i < world->config.members; i++) {
 		if (i != m)
-			replicate_to(world, m, i);
+			start_replication(world, m, i);
 	}
 }
 
-/* A replica asks its upstream now and then, as after a reconnect. */
+/* A replica fetches the log of its upstream every 50 ms, as after a reconnect. */
 void fake_member_on_catch_up(world_t *world, void *data)
 {
 	int m = GPOINTER_TO_INT(data);
@@ -175,7 +175,7 @@
 
 	if (!world_is_down(world, world_member_node(m)) && member->upstream >= 0 &&
 	    world->members[member->upstream].primary)
-		replicate_to(world, member->upstream, m);
+		start_replication(world, member->upstream, m);
 	if (!world->ending)
 		world_schedule(world, world->now + 50 * USEC_PER_MSEC, -1, fake_member_on_catch_up,
 			       data);
@@ -194,7 +194,7 @@
 	return address[strlen(address) - 1] - '0';
 }
 
-static bool obey(world_t *world, int m, const action_t *action)
+static bool apply_order(world_t *world, int m, const action_t *action)
 {
 	fake_member_t *member = &world->members[m];
 
@@ -245,7 +245,7 @@
 	g_free(order);
 }
 
-static void order_answer(world_t *world, void *data)
+static void on_order_answer(world_t *world, void *data)
 {
 	order_t *order = data;
 	event_t event = {
@@ -266,16 +266,16 @@
 	order_unref(order);
 }
 
-static void order_timeout(world_t *world, void *data)
+static void on_order_timeout(world_t *world, void *data)
 {
 	order_t *order = data;
 
 	if (!order->done)
 		order->status = ORDER_TIMED_OUT;
-	order_answer(world, order);
+	on_order_answer(world, order);
 }
 
-static void order_arrive(world_t *world, void *data)
+static void on_order_arrive(world_t *world, void *data)
 {
 	order_t *order = data;
 	int node = world_member_node(order->member);
@@ -288,10 +288,10 @@
 		order->status = ORDER_UNREACHABLE;
 	else
 		order->status =
-			obey(world, order->member, order->action) ? ORDER_OK : ORDER_REFUSED;
+			apply_order(world, order->member, order->action) ? ORDER_OK : ORDER_REFUSED;
 	order->report = fake_member_report(&world->members[order->member]);
 	world_schedule(world, world->now + world_latency(world, node, order->proxy), order->proxy,
-		       order_answer, order);
+		       on_order_answer, order);
 }
 
 void world_start_order(world_t *world, int proxy, action_t *action)
@@ -309,6 +309,6 @@
 	order->refs = 2;
 	world_schedule(world,
 		       world->now + world_latency(world, proxy, world_member_node(order->member)),
-		       world_member_node(order->member), order_arrive, order);
-	world_schedule(world, world->now + action->order.timeout, proxy, order_timeout, order);
+		       world_member_node(order->member), on_order_arrive, order);
+	world_schedule(world, world->now + action->order.timeout, proxy, on_order_timeout, order);
 }
--- a/tests/world_parts.h
+++ b/tests/world_parts.h
@@ -1,9 +1,9 @@
-/* What the parts of the world share; for its modules only. */
+/* Shared by the modules of the simulated environment (world.h); private to them. */
 #pragma once
 
 #include "world.h"
 
-/* One way to the store. */
+/* Latency to the store, one way. */
 #define STORE_LATENCY (2 * USEC_PER_MSEC)
 
 typedef struct log_entry {
@@ -16,12 +16,12 @@
 typedef struct fake_member {
 	uint64_t sealed;
 	bool primary;
-	int upstream; /* member number, -1 none */
+	int upstream; /* number of the member it replicates from, -1 none */
 	GPtrArray *log;
-	GHashTable *by_key; /* the last entry of a key, the entry of a request id; see reindex() */
+	GHashTable *by_key; /* indexes of the log: the last entry of a key */
 	GHashTable *by_id;
 	guint indexed;
-	int conns;	      /* open or being opened, with a slot or not yet */
+	int conns;	      /* open or being opened, with a claimed slot or not */
 	GHashTable *claims;   /* "row/slot" */
 	GArray *slot_free_at; /* of usec_t: when each slot is free again */
 } fake_member_t;
@@ -29,17 +29,17 @@
 typedef struct fake_proxy {
 	core_t *core;
 	bool started;
-	usec_t next_tick; /* when the next tick is planned */
+	usec_t next_tick; /* time of the next scheduled tick, USEC_NEVER if none */
 } fake_proxy_t;
 
-/* A pooled connection, seen from both ends. */
+/* A pooled connection, with the state of both ends. */
 typedef struct fake_conn {
 	int proxy;
 	uint64_t id;
 	int member;
 	char *claim;
-	bool counted;	    /* in the member's conns */
-	bool session_ended; /* the member has ended the session; what still arrives finds nobody */
+	bool counted;	    /* included in the member's conns */
+	bool session_ended; /* at the member: what still arrives there is ignored */
 	bool open;
 	bool running;
 	bool commit_sent;
@@ -67,9 +67,10 @@
 	bool dead[WORLD_NODES];	    /* process gone */
 	bool vanished[WORLD_NODES]; /* VM gone */
 	bool leaving[WORLD_NODES];
-	usec_t frozen_until[WORLD_NODES]; /* until */
+	usec_t frozen_until[WORLD_NODES];
 	bool cut[WORLD_NODES][WORLD_NODES];
-	usec_t delayed_until[WORLD_NODES][WORLD_NODES]; /* messages sent meanwhile arrive then */
+	usec_t delayed_until[WORLD_NODES]
+			    [WORLD_NODES]; /* messages sent before this time arrive then */
 	usec_t disconnected_until[WORLD_NODES][WORLD_NODES];
 	GHashTable *conns; /* "proxy:id" */
 	GHashTable *results;
@@ -77,7 +78,7 @@
 	GHashTable *edit_outcomes;
 	GHashTable *edit_names;
 	GHashTable *acknowledged; /* key to the newest acknowledged value */
-	GHashTable *floors;	  /* request name to the value it must not be older than */
+	GHashTable *floors; /* request name to the value that its answer must not be older than */
 	uint64_t next_caller;
 	uint64_t store_version;
 	GTree *store;
@@ -95,7 +96,7 @@
 typedef struct scheduled {
 	usec_t at;
 	uint64_t seq;
-	int node; /* where it happens; -1 nowhere in particular */
+	int node; /* that it concerns: a frozen node delays it; -1: none */
 	callback_t callback;
 	void *data;
 } scheduled_t;
@@ -111,7 +112,7 @@
 bool world_is_cut(const world_t *world, int a, int b);
 void world_trace(world_t *world, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 
-/* --- members of the group and their orders --- */
+/* --- members of the group, and orders to them --- */
 
 void log_entry_free(void *ptr);
 log_entry_t *log_entry_new(uint64_t term, const char *key, const char *value, const char *id);
@@ -125,7 +126,7 @@
 int fake_member_at(const char *address);
 void world_start_order(world_t *world, int proxy, action_t *action);
 
-/* --- pooled connections, from both ends --- */
+/* --- pooled connections, both ends --- */
 
 char *world_conn_key(int proxy, uint64_t id);
 void fake_conn_unref(fake_conn_t *conn);
@@ -144,7 +145,7 @@
 void world_start_store_call(world_t *world, int proxy, action_t *action);
 void world_on_list_vms(world_t *world, void *data);
 
-/* --- proxies: what goes into their cores and comes out --- */
+/* --- proxies: events and actions of their cores --- */
 
 void result_free(gpointer ptr);
 void world_add_violation(world_t *world, const char *fmt, ...)
--- a/tests/world_requests.c
+++ b/tests/world_requests.c
@@ -141,7 +141,7 @@
 	return world->counts;
 }
 
-/* Where a value stands in the history that survives; -1 if it does not. */
+/* Index of a value in the primary's log, which is the surviving history; -1 if it is not there. */
 static int history_index(const world_t *world, const char *key, const char *value)
 {
 	const GPtrArray *log = world->members[world_primary(world)].log;
@@ -155,7 +155,7 @@
 	return -1;
 }
 
-/* An acknowledged write must be there for good. */
+/* An acknowledged write must be in the surviving history. */
 static void check_acknowledged(world_t *world, const result_t *result)
 {
 	if (result->written_value != NULL &&
@@ -164,7 +164,7 @@
 				    result->name, result->key, result->written_value);
 }
 
-/* What was read must be there for good too, and not before what the reader had to see. */
+/* A value read must be in the surviving history, and not older than required for the request. */
 static void check_read(world_t *world, const result_t *result)
 {
 	const char *floor = g_hash_table_lookup(world->floors, result->name);
@@ -197,7 +197,7 @@
 	}
 }
 
-/* A request id stands at most once in the history that survives. */
+/* A request id must be in the surviving history at most once. */
 static void check_request_ids(world_t *world)
 {
 	int primary = world_primary(world);
@@ -212,7 +212,7 @@
 	g_hash_table_unref(seen);
 }
 
-/* What was said not to have run must not be found. */
+/* A write answered with "not run" must not be in the surviving history. */
 static void check_not_run(world_t *world)
 {
 	GHashTableIter iter;
@@ -231,7 +231,8 @@
 
 			if (g_strcmp0(entry->key, result->key) == 0 &&
 			    g_strcmp0(entry->value, result->written_value) == 0)
-				world_add_violation(world, "%s was said not to have run, but did",
+				world_add_violation(world,
+						    "%s was answered with \"not run\", but did run",
 						    result->name);
 		}
 	}
--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -32,7 +32,7 @@
 	return FALSE;
 }
 
-static bool edit_was_taken(const world_t *world, const char *edit_id)
+static bool edit_is_committed(const world_t *world, const char *edit_id)
 {
 	for (guint i = 0; i < world->store_edits->len; i++) {
 		if (g_strcmp0(world->store_edits->pdata[i], edit_id) == 0)
@@ -41,7 +41,7 @@
 	return false;
 }
 
-static void tell_table(world_t *world, int proxy, event_t *event, uint64_t since)
+static void send_table(world_t *world, int proxy, event_t *event, uint64_t since)
 {
 	gather_t gather = {g_array_new(FALSE, FALSE, sizeof(table_entry_t)), since};
 
@@ -54,12 +54,12 @@
 	g_array_free(gather.out, TRUE);
 }
 
-static bool store_reachable(const world_t *world, int proxy)
+static bool is_store_reachable(const world_t *world, int proxy)
 {
 	return !world_is_down(world, WORLD_STORE) && !world_is_cut(world, proxy, WORLD_STORE);
 }
 
-static void store_answer(world_t *world, void *data)
+static void on_store_answer(world_t *world, void *data)
 {
 	store_call_t *call = data;
 	const action_t *action = call->action;
@@ -72,9 +72,9 @@
 	} else {
 		event.kind = EVENT_STORE_DONE;
 		since = action->commit.table_version - 1;
-		event.store.edit_found = edit_was_taken(world, action->commit.edit_id);
+		event.store.edit_found = edit_is_committed(world, action->commit.edit_id);
 	}
-	tell_table(world, call->proxy, &event, since);
+	send_table(world, call->proxy, &event, since);
 	talloc_free(call->action);
 	g_free(call);
 }
@@ -101,8 +101,8 @@
 	int proxy = GPOINTER_TO_INT(data);
 	event_t event = {.kind = EVENT_STORE_LOADED, .store = {.status = STORE_OK}};
 
-	if (store_reachable(world, proxy))
-		tell_table(world, proxy, &event, world->store_version - 1);
+	if (is_store_reachable(world, proxy))
+		send_table(world, proxy, &event, world->store_version - 1);
 }
 
 static void store_commit(world_t *world, const action_t *action)
@@ -116,13 +116,13 @@
 			       GINT_TO_POINTER(i));
 }
 
-static void store_arrive(world_t *world, void *data)
+static void on_store_arrive(world_t *world, void *data)
 {
 	store_call_t *call = data;
 	const action_t *action = call->action;
 	bool lost = false;
 
-	if (!store_reachable(world, call->proxy)) {
+	if (!is_store_reachable(world, call->proxy)) {
 		call->status = STORE_FAILED;
 	} else if (action->kind == ACTION_STORE_COMMIT) {
 		if (action->commit.head_revision == (int64_t)world->store_version)
@@ -137,7 +137,7 @@
 	world_schedule(world,
 		       world->now +
 			       (call->status == STORE_FAILED ? 500 * USEC_PER_MSEC : STORE_LATENCY),
-		       call->proxy, store_answer, call);
+		       call->proxy, on_store_answer, call);
 }
 
 void world_start_store_call(world_t *world, int proxy, action_t *action)
@@ -147,7 +147,7 @@
 	world->counts.store_calls++;
 	call->proxy = proxy;
 	call->action = action;
-	world_schedule(world, world->now + STORE_LATENCY, WORLD_STORE, store_arrive, call);
+	world_schedule(world, world->now + STORE_LATENCY, WORLD_STORE, on_store_arrive, call);
 }
 
 void world_on_list_vms(world_t *world, void *data)
@@ -157,7 +157,7 @@
 	event_t event = {.kind = EVENT_VMS, .vms = {.status = STORE_OK, .vms = vms}};
 	char *scratch = talloc_strdup(NULL, "");
 
-	if (!store_reachable(world, proxy))
+	if (!is_store_reachable(world, proxy))
 		event.vms.status = STORE_FAILED;
 	for (int i = 0; i < WORLD_STORE; i++) {
 		bool backend = i >= WORLD_MAX_PROXIES;
--- a/tests/world_time.c
+++ b/tests/world_time.c
@@ -2,7 +2,7 @@
 
 #include <stdarg.h>
 
-static gint compare_planned(gconstpointer a, gconstpointer b, gpointer data)
+static gint compare_scheduled(gconstpointer a, gconstpointer b, gpointer data)
 {
 	const scheduled_t *x = a;
 	const scheduled_t *y = b;
@@ -22,7 +22,7 @@
 	entry->node = node;
 	entry->callback = run;
 	entry->data = data;
-	g_sequence_insert_sorted(world->events, entry, compare_planned, NULL);
+	g_sequence_insert_sorted(world->events, entry, compare_scheduled, NULL);
 }
 
 bool world_is_down(const world_t *world, int node)
@@ -40,10 +40,10 @@
 			break;
 		g_sequence_remove(first);
 		world->now = entry->at;
-		/* What reaches a stopped process waits in its buffers. */
+		/* Input of a frozen process waits in its buffers until it continues. */
 		if (entry->node >= 0 && world->frozen_until[entry->node] > world->now) {
 			entry->at = world->frozen_until[entry->node];
-			g_sequence_insert_sorted(world->events, entry, compare_planned, NULL);
+			g_sequence_insert_sorted(world->events, entry, compare_scheduled, NULL);
 			continue;
 		}
 		entry->callback(world, entry->data);
