--- a/core/core.c
+++ b/core/core.c
@@ -114,7 +114,7 @@
 	return core;
 }
 
-void core_add_seed(core_t *core, const vm_t *vm)
+void core_add_configured_proxy(core_t *core, const vm_t *vm)
 {
 	fleet_add(core->fleet, core->now, vm->name, vm->zone, vm->address, true);
 }
--- a/core/core.h
+++ b/core/core.h
@@ -65,7 +65,7 @@
 core_t *core_create(void *parent, const core_config_t *config);
 
 /* Add a proxy listed in the settings, so that a start during an outage finds peers. */
-void core_add_seed(core_t *core, const vm_t *vm);
+void core_add_configured_proxy(core_t *core, const vm_t *vm);
 
 /* Handle one event. now must not be earlier than in the previous call. */
 void core_handle(core_t *core, usec_t now, const event_t *event);
--- a/core/exec.c
+++ b/core/exec.c
@@ -29,7 +29,7 @@
 
 static bool has_free_slot(const member_t *member, int64_t kept_free)
 {
-	return member->running + kept_free < member_limit(member);
+	return member->running + kept_free < member_run_limit(member);
 }
 
 static bool replica_is_eligible(const request_t *request, const member_t *member)
--- a/core/group.c
+++ b/core/group.c
@@ -15,7 +15,7 @@
 #define RTTVAR_SHIFT 2
 /* A member is responsive if it answered within this many poll intervals. */
 #define RESPONSIVE_POLLS 3
-/* Lower bound for the time that a slot works on a run, in member_limit(). */
+/* Lower bound for the time that a slot works on a run, in member_run_limit(). */
 #define MIN_BUSY_TIME USEC_PER_MSEC
 /* After a refused connection: two in a row prove that the process is gone. */
 #define UNREACHABLE_RECHECK (10 * USEC_PER_MSEC)
@@ -31,7 +31,7 @@
 	return group;
 }
 
-member_t *group_member(const group_t *group, const char *name)
+member_t *group_find_member(const group_t *group, const char *name)
 {
 	for (size_t i = 0; i < group->member_count; i++) {
 		if (strcmp(group->members[i].spec.name, name) == 0)
@@ -78,7 +78,7 @@
 	       member->report.log.term == member->group->term && is_responsive(member);
 }
 
-int64_t member_limit(const member_t *member)
+int64_t member_run_limit(const member_t *member)
 {
 	const group_t *group = member->group;
 	usec_t rtt = member->srtt;
@@ -301,7 +301,7 @@
 void group_order_done(core_t *core, uint64_t id, const order_event_t *event)
 {
 	group_t *group = group_find(core, event->group);
-	member_t *member = group != NULL ? group_member(group, event->member) : NULL;
+	member_t *member = group != NULL ? group_find_member(group, event->member) : NULL;
 
 	if (member == NULL)
 		return;
@@ -316,7 +316,7 @@
 void group_control_down(core_t *core, const control_event_t *event)
 {
 	group_t *group = group_find(core, event->group);
-	member_t *member = group != NULL ? group_member(group, event->member) : NULL;
+	member_t *member = group != NULL ? group_find_member(group, event->member) : NULL;
 
 	if (member == NULL)
 		return;
--- a/core/group.h
+++ b/core/group.h
@@ -7,7 +7,7 @@
 #include "state.h"
 
 group_t *group_find(const core_t *core, const char *name);
-member_t *group_member(const group_t *group, const char *name);
+member_t *group_find_member(const group_t *group, const char *name);
 
 /* The least number of members that is more than half. */
 size_t group_majority(const group_t *group);
@@ -50,4 +50,4 @@
  * The maximum of concurrent runs on a member: its slots, plus the runs that are in
  * flight on the network while the slots work, so that no slot is left idle.
  */
-int64_t member_limit(const member_t *member);
+int64_t member_run_limit(const member_t *member);
--- a/core/queue.c
+++ b/core/queue.c
@@ -23,7 +23,7 @@
 		bool is_replica = member != group->primary;
 
 		if (is_replica == on_replicas && (!is_replica || member->data_as_of != 0))
-			runs += member_limit(member);
+			runs += member_run_limit(member);
 	}
 	return runs > 0 ? (usec_t)runs : 1;
 }
--- a/links/adapter.c
+++ b/links/adapter.c
@@ -117,7 +117,7 @@
 	if (sscanf(text, "%63[^,],%63[^,],%63[^,]", name, zone, address) != 3)
 		return err_set(err, -EINVAL, "read settings", text,
 			       "peers.seeds: expected NAME,ZONE,IP:PORT");
-	core_add_seed(core, &vm);
+	core_add_configured_proxy(core, &vm);
 	return 0;
 }
 
--- a/tests/world.c
+++ b/tests/world.c
@@ -116,7 +116,7 @@
 		snprintf(name, sizeof(name), "p%d", j);
 		snprintf(zone, sizeof(zone), "z%d", j % world->config.zones);
 		snprintf(address, sizeof(address), "p:%d", j);
-		core_add_seed(world->proxies[i].core, &vm);
+		core_add_configured_proxy(world->proxies[i].core, &vm);
 	}
 	world_schedule(world, 1000 + world_random(world, 20000), i, on_proxy_start,
 		       GINT_TO_POINTER(i));
