--- a/core/confirm.c
+++ b/core/confirm.c
@@ -4,7 +4,7 @@
 #include "group.h"
 
 /* Weight of a new value in the moving average, as a shift. */
-#define SMOOTH_SHIFT 3
+#define AVERAGE_SHIFT 3
 /* Part of the peak that decays with each confirmation, as a shift. */
 #define PEAK_DECAY_SHIFT 6
 
@@ -55,7 +55,7 @@
 
 static void update_average(usec_t *mean, usec_t value)
 {
-	*mean += (value >> SMOOTH_SHIFT) - (*mean >> SMOOTH_SHIFT);
+	*mean += (value >> AVERAGE_SHIFT) - (*mean >> AVERAGE_SHIFT);
 }
 
 /* Recent maximum of confirmation times: a delay that is usual for lagging replicas is no stall. */
@@ -83,18 +83,18 @@
 	group_t *group = request->group;
 
 	request->state = REQUEST_CONFIRMING;
-	list_add_tail(&group->confirms, &request->node);
+	list_add_tail(&group->confirming, &request->node);
 	if (is_confirmed(request))
 		finish_confirmed(request);
 	else if (group->core->now >= request->deadline)
-		exec_deadline(request); /* its timer has fired already, during the run */
+		exec_deadline(request); /* the timer of the deadline fired during the run */
 	else
 		group_request_reports(group);
 }
 
 void confirm_answer_ready(group_t *group)
 {
-	list_for_each_safe (it, &group->confirms) {
+	list_for_each_safe (it, &group->confirming) {
 		request_t *request = list_entry(it, request_t, node);
 
 		if (is_confirmed(request))
@@ -104,7 +104,7 @@
 
 void confirm_term_changed(group_t *group)
 {
-	list_for_each_safe (it, &group->confirms) {
+	list_for_each_safe (it, &group->confirming) {
 		request_t *request = list_entry(it, request_t, node);
 
 		if (request->position.term >= group->term)
@@ -118,8 +118,8 @@
 {
 	const request_t *first;
 
-	if (list_empty(&group->confirms))
+	if (list_empty(&group->confirming))
 		return 0;
-	first = list_entry(group->confirms.next, request_t, node);
+	first = list_entry(group->confirming.next, request_t, node);
 	return group->core->now - first->ran_at;
 }
--- a/core/dump.c
+++ b/core/dump.c
@@ -49,7 +49,7 @@
 			 group->takeover.reason, "takeovers", (json_int_t)group->takeover.count,
 			 "takeover_state", (int)group->takeover.state, "queued",
 			 (int)list_length(&group->queue), "confirming",
-			 (int)list_length(&group->confirms), "read_time_us",
+			 (int)list_length(&group->confirming), "read_time_us",
 			 (json_int_t)group->service_time[ROW_READ], "write_time_us",
 			 (json_int_t)group->service_time[ROW_WRITE], "confirm_time_us",
 			 (json_int_t)group->confirm_time, "retry_tokens", group->retry_tokens,
--- a/core/edit.c
+++ b/core/edit.c
@@ -68,7 +68,7 @@
 
 	edit->commit_sent = true;
 	action->id = edit->id;
-	action->commit.head_revision = edit->sent_head;
+	action->commit.head_revision = edit->expected_head;
 	action->commit.table_version = edit->sent_version;
 	action->commit.edit_id = talloc_strdup(action, edit->edit_id);
 	action->commit.author = talloc_strdup(action, edit->author);
@@ -100,7 +100,7 @@
 		finish_edit(edit, EDIT_REFUSED, "%s: %s", err.peer, err.text);
 		return;
 	}
-	edit->sent_head = core->head_revision;
+	edit->expected_head = core->head_revision;
 	edit->sent_version = core->table->version + 1;
 	send_commit(edit);
 }
--- a/core/exec.c
+++ b/core/exec.c
@@ -14,9 +14,9 @@
 #include "takeover.h"
 #include "tx.h"
 
-#define MAX_ATTEMPTS 5
-#define SMOOTH_SHIFT 3
-#define PERCENT	     100
+#define MAX_ATTEMPTS  5
+#define AVERAGE_SHIFT 3
+#define PERCENT	      100
 /* The least retry_after of refusals while a group has no primary. */
 #define FAILOVER_RETRY_AFTER (300 * USEC_PER_MSEC)
 
@@ -381,7 +381,7 @@
 {
 	usec_t *mean = &group->service_time[kind];
 
-	*mean += (took >> SMOOTH_SHIFT) - (*mean >> SMOOTH_SHIFT);
+	*mean += (took >> AVERAGE_SHIFT) - (*mean >> AVERAGE_SHIFT);
 }
 
 static void copy_result(request_t *request, const run_result_t *result)
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -194,20 +194,20 @@
 typedef struct scored {
 	proxy_t *proxy;
 	uint64_t score;
-} scored_t;
+} scored_proxy_t;
 
 #define MAX_ZONES 16
 
 /* The best proxy of each zone, and the best of all, found in one pass over the fleet. */
 typedef struct best {
-	scored_t by_zone[MAX_ZONES];
+	scored_proxy_t by_zone[MAX_ZONES];
 	size_t zones;
-	scored_t overall[FLEET_RANKS];
+	scored_proxy_t overall[FLEET_RANKS];
 	size_t count;
 } best_t;
 
 /* Keep list sorted by falling score, with at most max entries. */
-static void insert_scored(scored_t *list, size_t *len, size_t max, scored_t entry)
+static void insert_scored(scored_proxy_t *list, size_t *len, size_t max, scored_proxy_t entry)
 {
 	size_t i = *len;
 
@@ -227,7 +227,7 @@
 	return a->zone != NULL && b->zone != NULL && strcmp(a->zone, b->zone) == 0;
 }
 
-static void update_zone_best(best_t *best, scored_t entry)
+static void update_zone_best(best_t *best, scored_proxy_t entry)
 {
 	for (size_t i = 0; i < best->zones; i++) {
 		if (!is_same_zone(best->by_zone[i].proxy, entry.proxy))
@@ -248,7 +248,7 @@
 	best->zones = 0;
 	best->count = 0;
 	HASH_ITER (hh, fleet->proxies, proxy, next) {
-		scored_t entry = {proxy, hash_score(proxy, key)};
+		scored_proxy_t entry = {proxy, hash_score(proxy, key)};
 
 		if (proxy->leaving)
 			continue;
@@ -330,7 +330,7 @@
 /* Ranks the best proxies of different zones first, then the best of the others. */
 void fleet_rank(const fleet_t *fleet, const char *key, ranks_t *ranks)
 {
-	scored_t zone_winners[FLEET_RANKS];
+	scored_proxy_t zone_winners[FLEET_RANKS];
 	size_t winners = 0;
 	best_t best;
 
@@ -352,10 +352,10 @@
 	}
 	ranks->lowest_score = UINT64_MAX;
 	for (size_t i = 0; i < ranks->len; i++) {
-		uint64_t mine = hash_score(ranks->proxies[i], key);
+		uint64_t proxy_score = hash_score(ranks->proxies[i], key);
 
-		if (mine < ranks->lowest_score)
-			ranks->lowest_score = mine;
+		if (proxy_score < ranks->lowest_score)
+			ranks->lowest_score = proxy_score;
 	}
 	ranks->epoch = fleet->epoch;
 }
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -57,7 +57,7 @@
 typedef struct ranks {
 	proxy_t *proxies[FLEET_RANKS];
 	size_t len;
-	uint64_t lowest_score; /* score of the last rank: a lower one changes nothing */
+	uint64_t lowest_score; /* of the ranked proxies; below it a new proxy gets no rank */
 	uint64_t epoch;	       /* the fleet's epoch for which the ranks were computed */
 } ranks_t;
 
--- a/core/group.c
+++ b/core/group.c
@@ -133,7 +133,7 @@
 	/* A report of the primary is not needed: it holds all that it ran. */
 	if (member == group->primary)
 		return;
-	if (!list_empty(&group->confirms) && member->next_report > soon)
+	if (!list_empty(&group->confirming) && member->next_report > soon)
 		member->next_report = soon;
 }
 
--- a/core/message.h
+++ b/core/message.h
@@ -36,19 +36,22 @@
 	usec_t echo;
 	uint64_t incarnation; /* grows with each start of the sender */
 
-	/* heartbeat */
+	/* MESSAGE_HEARTBEAT */
 	char *zone;
 	char *address;
 	bool leaving;
 	uint64_t table_version;
 	usec_t store_age; /* time since the sender's table was confirmed to be the store's */
 
-	/* execute, accepted, answer */
+	/* MESSAGE_EXECUTE, MESSAGE_ACCEPTED, MESSAGE_ANSWER */
 	uint64_t request;
 	query_t *query;
 	answer_t *answer;
 
-	/* table pull (since) and push (entries changed after since, up to table_version) */
+	/*
+	 * MESSAGE_TABLE_PULL (since); MESSAGE_TABLE_PUSH (entries changed after since, up to
+	 * table_version)
+	 */
 	uint64_t since;
 	table_entry_t *entries;
 	size_t entry_count;
--- a/core/peers.c
+++ b/core/peers.c
@@ -14,7 +14,7 @@
  * Prefix of the key for which extra neighbours are selected by hash in a large fleet.
  * They connect parts of the fleet that have no group in common.
  */
-#define HASH_NEIGHBOURS "neighbours/"
+#define NEIGHBOURS_KEY_PREFIX "neighbours/"
 
 void peers_send(core_t *core, const char *peer, const message_t *message)
 {
@@ -81,8 +81,8 @@
 static size_t large_fleet_neighbours(core_t *core, proxy_t **out, size_t max)
 {
 	size_t len = 0;
-	char *key = talloc_asprintf(core, HASH_NEIGHBOURS "%s", core->name);
-	ranks_t picks = {0};
+	char *key = talloc_asprintf(core, NEIGHBOURS_KEY_PREFIX "%s", core->name);
+	ranks_t hash_ranks = {0};
 	group_t *group;
 	group_t *next;
 
@@ -90,10 +90,9 @@
 		if (group->rank >= 0)
 			add_ranked_neighbours(out, &len, max, &group->ranks);
 	}
-	set_heartbeat_senders(core, out,
-			      len); /* sharing a group is mutual, being picked by hash is not */
-	fleet_rank(core->fleet, key, &picks);
-	add_ranked_neighbours(out, &len, max, &picks);
+	set_heartbeat_senders(core, out, len); /* proxies selected by hash need not send any */
+	fleet_rank(core->fleet, key, &hash_ranks);
+	add_ranked_neighbours(out, &len, max, &hash_ranks);
 	talloc_free(key);
 	return len;
 }
@@ -148,7 +147,7 @@
 
 static void receive_heartbeat(core_t *core, proxy_t *from, const message_t *message)
 {
-	bool news = message->leaving && !core->draining;
+	bool should_log = message->leaving && !core->draining;
 
 	fleet_add(core->fleet, core->now, from->name, message->zone, message->address, false);
 	from->table_version = message->table_version;
@@ -159,7 +158,7 @@
 	 */
 	if (message->echo == 0)
 		send_heartbeat(core, from);
-	if (news)
+	if (should_log)
 		core_log(core, false, "peer leaving peer=%s", from->name);
 }
 
--- a/core/placement.c
+++ b/core/placement.c
@@ -17,7 +17,7 @@
 	return limit;
 }
 
-static int rank_everybody(const core_t *core, const ranks_t *ranks)
+static int rank_all_first(const core_t *core, const ranks_t *ranks)
 {
 	(void)core;
 	(void)ranks;
@@ -40,7 +40,7 @@
 
 const placement_ops_t placement_equal_shares = {
 	.name = "equal shares",
-	.rank = rank_everybody,
+	.rank = rank_all_first,
 	.runs_all = true,
 	.share = equal_share,
 };
--- a/core/pool.c
+++ b/core/pool.c
@@ -76,7 +76,7 @@
 		pool->wanted = 0;
 	}
 	pool->wanted++;
-	if ((int64_t)pool->total >= core->placement->share(core, row->connections) ||
+	if ((int64_t)pool->conn_count >= core->placement->share(core, row->connections) ||
 	    core->now < pool->connect_after || pool->connecting >= pool->wanted)
 		return;
 	conn = talloc_zero(core, conn_t);
@@ -85,7 +85,7 @@
 	conn->state = CONN_CONNECTING;
 	HASH_ADD(hh, core->conns, id, sizeof(conn->id), conn);
 	list_add_tail(&pool->conns, &conn->node);
-	pool->total++;
+	pool->conn_count++;
 	pool->connecting++;
 	action = core_add_action(core, ACTION_CONNECT);
 	action->id = conn->id;
@@ -110,7 +110,7 @@
 {
 	pool_t *pool = conn->pool;
 
-	pool->total--;
+	pool->conn_count--;
 	if (conn->state == CONN_CONNECTING)
 		pool->connecting--;
 	list_del(&conn->node);
--- a/core/queue.c
+++ b/core/queue.c
@@ -56,15 +56,16 @@
 	const group_t *group = request->group;
 	usec_t wait = queue_wait(group, request);
 	usec_t left = request->deadline - request->core->now;
-	usec_t back = wait > RETRY_AFTER_MIN ? wait : RETRY_AFTER_MIN;
+	usec_t retry_after = wait > RETRY_AFTER_MIN ? wait : RETRY_AFTER_MIN;
 
 	if (count_queued_of_row(group, request->row) >= row->queue) {
-		request_refuse(request, REFUSAL_OVERLOAD, back, "%lld requests of %s wait already",
-			       (long long)row->queue, request->row);
+		request_refuse(request, REFUSAL_OVERLOAD, retry_after,
+			       "%lld requests of %s wait already", (long long)row->queue,
+			       request->row);
 		return false;
 	}
 	if (wait + group->service_time[request->kind] > left) {
-		request_refuse(request, REFUSAL_OVERLOAD, back,
+		request_refuse(request, REFUSAL_OVERLOAD, retry_after,
 			       "the wait would be %llu ms, the deadline is in %llu ms",
 			       (unsigned long long)(wait / USEC_PER_MSEC),
 			       (unsigned long long)(left / USEC_PER_MSEC));
--- a/core/router.c
+++ b/core/router.c
@@ -142,12 +142,12 @@
 	return true;
 }
 
-static void limit_deadline(request_t *request, usec_t longest)
+static void limit_deadline(request_t *request, usec_t max_time)
 {
-	if (request->query->time_left <= longest)
+	if (request->query->time_left <= max_time)
 		return;
-	request->query->time_left = longest;
-	request->deadline = request->arrived + longest;
+	request->query->time_left = max_time;
+	request->deadline = request->arrived + max_time;
 	timers_arm(&request->core->timers, &request->timer, request->deadline, request->timer.cb);
 }
 
--- a/core/state.h
+++ b/core/state.h
@@ -27,7 +27,7 @@
 	char *row;
 	struct member *member;
 	list_t conns;
-	size_t total;
+	size_t conn_count;
 	size_t connecting;
 	usec_t connect_after;	/* backoff after a refused or failed connect */
 	uint64_t dispatch_pass; /* the group's pass in which wanted was counted */
@@ -131,7 +131,7 @@
 	sample_t *samples;	/* a ring of GROUP_SAMPLES; NULL unless watched */
 	size_t sample_next;
 	list_t queue;		/* request_t, by weight and deadline */
-	list_t confirms;	/* request_t that wait for a majority, see confirm.h */
+	list_t confirming;	/* request_t that wait for a majority, see confirm.h */
 	usec_t confirm_time;	/* moving average of the time that a confirmation takes */
 	usec_t confirm_peak;	/* slowly decaying maximum of that time */
 	usec_t service_time[2]; /* moving average of the time that a run takes, by row_kind_t */
@@ -168,7 +168,7 @@
 	usec_t deadline;
 	run_timer_t timer;
 
-	/* in state REQUEST_FORWARDED */
+	/* Valid in state REQUEST_FORWARDED. */
 	char *home;
 	char *tried_homes[REQUEST_MAX_TRIES];
 	size_t tried_count;
@@ -178,9 +178,9 @@
 	 */
 	run_timer_t ack_timer;
 
-	/* in the other states, at the proxy that runs the request */
+	/* Valid in the other states, at the proxy that runs the request. */
 	group_t *group;
-	list_t node; /* in group_t.queue or group_t.confirms */
+	list_t node; /* in group_t.queue or group_t.confirming */
 	row_kind_t kind;
 	usec_t max_age;
 	int64_t weight;
@@ -208,7 +208,7 @@
 	size_t entry_count;
 	uint64_t base_version;
 	bool commit_sent;
-	int64_t sent_head; /* the head revision that the last compare-and-swap expected */
+	int64_t expected_head; /* the head revision that the last compare-and-swap expected */
 	uint64_t sent_version;
 	run_timer_t timer;
 	run_timer_t retry_timer;
--- a/core/table.c
+++ b/core/table.c
@@ -353,9 +353,9 @@
 	return out;
 }
 
-/* The table as it would be after an edit: the entries of edit override those of held. */
+/* The table as it would be after an edit: the entries of edit override those of current. */
 typedef struct view {
-	const table_t *held;
+	const table_t *current;
 	const table_t *edit;
 } view_t;
 
@@ -367,7 +367,7 @@
 	snprintf(key, sizeof(key), "group/%s", name);
 	item = find_item(view->edit, key);
 	if (item == NULL)
-		item = find_item(view->held, key);
+		item = find_item(view->current, key);
 	return item != NULL ? item->group : NULL;
 }
 
@@ -377,7 +377,7 @@
 static int for_each_view_row(const view_t *view, const char *group, view_row_t call, void *data,
 			     err_t *err)
 {
-	const table_t *tables[] = {view->edit, view->held};
+	const table_t *tables[] = {view->edit, view->current};
 	table_item_t *item;
 	table_item_t *next;
 	int rc = 0;
@@ -444,7 +444,7 @@
 int table_check(const table_t *table, const table_entry_t *entries, size_t count, err_t *err)
 {
 	void *scratch = talloc_new(NULL);
-	view_t view = {.held = table, .edit = table_create(scratch)};
+	view_t view = {.current = table, .edit = table_create(scratch)};
 	int rc = table_merge((table_t *)view.edit, entries, count, table->version + 1, err);
 	table_item_t *item;
 	table_item_t *next;
--- a/core/tablesync.c
+++ b/core/tablesync.c
@@ -77,11 +77,11 @@
 	core_t *core = list_entry(timer, core_t, store_timer);
 	const core_timings_t *timings = &core->config.timings;
 	usec_t stale = timings->table_max_age / 2;
-	bool lonely = core->table->version == 0 || now - core->table_current_at > stale;
+	bool is_unconfirmed = core->table->version == 0 || now - core->table_current_at > stale;
 
 	timers_arm(&core->timers, timer, now + add_jitter(core, timings->store_check_interval),
 		   on_store_timer);
-	if (is_store_watcher(core) || lonely)
+	if (is_store_watcher(core) || is_unconfirmed)
 		load_table(core);
 }
 
@@ -190,15 +190,15 @@
 
 void tablesync_on_load(core_t *core, uint64_t id, const store_event_t *event)
 {
-	bool ours = id == core->load_id;
-	usec_t asked = ours ? core->load_sent : core->now;
+	bool is_own_load = id == core->load_id;
+	usec_t requested_at = is_own_load ? core->load_sent : core->now;
 
-	if (ours)
+	if (is_own_load)
 		core->load_id = 0;
 	if (event->status != STORE_OK)
 		return;
 	/* A watch delivers single edits: after a gap, load the table to get those in between. */
-	if (!ours && event->table_version > core->table->version + 1) {
+	if (!is_own_load && event->table_version > core->table->version + 1) {
 		load_table(core);
 		return;
 	}
@@ -209,7 +209,7 @@
 		core->head_revision = event->head_revision;
 	/* A store restored from a backup may be older; accepted edits stay in force here. */
 	if (event->table_version == core->table->version)
-		tablesync_set_current_at(core, asked);
+		tablesync_set_current_at(core, requested_at);
 	watch_store(core);
 }
 
--- a/core/watch.c
+++ b/core/watch.c
@@ -72,14 +72,14 @@
 	group->confirm_time = INITIAL_CONFIRM_TIME;
 	retry_budget_init(group);
 	list_init(&group->queue);
-	list_init(&group->confirms);
+	list_init(&group->confirming);
 	HASH_ADD_KEYPTR(hh, core->groups, group->name, strlen(group->name), group);
 	return group;
 }
 
 static bool has_runs(const group_t *group)
 {
-	if (!list_empty(&group->confirms))
+	if (!list_empty(&group->confirming))
 		return true;
 	for (size_t i = 0; i < group->member_count; i++) {
 		if (member_has_busy_conn(&group->members[i]))
