--- a/access/proof.c
+++ b/access/cache_validity.c
@@ -1,4 +1,4 @@
-#include "proof.h"
+#include "cache_validity.h"
 
 /* Clocks of two VMs don't run at quite the same speed. */
 #define HOLDS_PERCENT 97
--- a/access/share.c
+++ b/access/shard_limit.c
@@ -1,4 +1,4 @@
-#include "share.h"
+#include "shard_limit.h"
 
 /*
  * Part of the slack that is used: what is counted when a statement is let through reaches the
--- a/access/keepers.c
+++ b/access/shard_owners.c
@@ -1,4 +1,4 @@
-#include "keepers.h"
+#include "shard_owners.h"
 
 #include <stdbool.h>
 #include <stdlib.h>
--- a/pooler/pooler.h
+++ b/pooler/pooler.h
@@ -10,7 +10,7 @@
 
 #include "env.h"
 #include "routes.h"
-#include "share.h"
+#include "shard_limit.h"
 #include "timer.h"
 
 struct caller;
--- a/tests/test_access.c
+++ b/tests/test_access.c
@@ -6,9 +6,9 @@
 
 #include "bucket.h"
 #include "customers.h"
-#include "keepers.h"
-#include "proof.h"
-#include "share.h"
+#include "shard_owners.h"
+#include "cache_validity.h"
+#include "shard_limit.h"
 
 #define SEC USEC_PER_SEC
 
