--- a/access/bucket.c
+++ b/access/bucket.c
@@ -24,7 +24,7 @@
 	};
 }
 
-void bucket_set(bucket_t *bucket, double rate, double burst, usec_t now)
+void bucket_set_limit(bucket_t *bucket, double rate, double burst, usec_t now)
 {
 	fill(bucket, now);
 	bucket->rate = rate;
@@ -42,7 +42,7 @@
 	return taken;
 }
 
-usec_t bucket_wait(bucket_t *bucket, usec_t now)
+usec_t bucket_wait_time(bucket_t *bucket, usec_t now)
 {
 	fill(bucket, now);
 	if (bucket->level >= 1)
--- a/access/cache_validity.h
+++ b/access/cache_validity.h
@@ -14,19 +14,19 @@
 typedef struct proof {
 	usec_t lifetime;  /* of what is proved; 0: it counts for ever */
 	usec_t proved_at; /* 0: never */
-} proof_t;
+} cache_validity_t;
 
 /* Nothing newer was in force at that moment. Older moments than known ones change nothing. */
-void proof_extend(proof_t *proof, usec_t at);
+void cache_validity_confirm(cache_validity_t *proof, usec_t at);
 
 /* USEC_NEVER: nothing is proved yet. */
-usec_t proof_age(const proof_t *proof, usec_t now);
+usec_t cache_validity_age(const cache_validity_t *proof, usec_t now);
 
 /* True while statements may be served by it; at the time at which a statement was read or later. */
-bool proof_holds(const proof_t *proof, usec_t now);
+bool cache_is_valid(const cache_validity_t *proof, usec_t now);
 
 /* True if it has used so much of its lifetime that callers do better elsewhere. */
-bool proof_is_old(const proof_t *proof, usec_t now);
+bool cache_is_near_expiry(const cache_validity_t *proof, usec_t now);
 
 /* True if it is time to look for a newer one, whoever usually tells it. */
-bool proof_wants_news(const proof_t *proof, usec_t now);
+bool cache_needs_refresh(const cache_validity_t *proof, usec_t now);
--- a/access/customers.c
+++ b/access/customers.c
@@ -40,7 +40,7 @@
 	return customers;
 }
 
-const customer_t *customers_by_name(const customers_t *customers, const char *name)
+const customer_t *customers_find_by_name(const customers_t *customers, const char *name)
 {
 	const entry_t *entry;
 
@@ -53,7 +53,7 @@
 	entry_t *entry;
 	char *copy;
 
-	if (customers_by_name(customers, name) != NULL)
+	if (customers_find_by_name(customers, name) != NULL)
 		return NULL;
 	entry = talloc_zero(customers, entry_t);
 	copy = talloc_strdup(entry, name);
@@ -88,7 +88,7 @@
 	return true;
 }
 
-const customer_t *customers_by_key(const customers_t *customers, const key_digest_t *digest)
+const customer_t *customers_find_by_key(const customers_t *customers, const key_digest_t *digest)
 {
 	const holder_t *holder = find_holder(customers, digest);
 
--- a/access/customers.h
+++ b/access/customers.h
@@ -25,7 +25,7 @@
 		       const key_digest_t *digest);
 
 /* Who holds the key, or NULL. */
-const customer_t *customers_by_key(const customers_t *customers, const key_digest_t *digest);
-const customer_t *customers_by_name(const customers_t *customers, const char *name);
+const customer_t *customers_find_by_key(const customers_t *customers, const key_digest_t *digest);
+const customer_t *customers_find_by_name(const customers_t *customers, const char *name);
 
 size_t customers_count(const customers_t *customers);
--- a/access/key.c
+++ b/access/key.c
@@ -6,7 +6,7 @@
 
 #define VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
-_Static_assert(KEY_DIGEST_TEXT == sodium_base64_ENCODED_LEN(KEY_DIGEST_SIZE, VARIANT),
+_Static_assert(KEY_DIGEST_TEXT_SIZE == sodium_base64_ENCODED_LEN(KEY_DIGEST_SIZE, VARIANT),
 	       "room for the text");
 
 key_digest_t key_digest(const char *key, size_t len)
@@ -18,9 +18,10 @@
 	return digest;
 }
 
-void key_digest_text(const key_digest_t *digest, char text[KEY_DIGEST_TEXT])
+void key_digest_format(const key_digest_t *digest, char text[KEY_DIGEST_TEXT_SIZE])
 {
-	sodium_bin2base64(text, KEY_DIGEST_TEXT, digest->bytes, sizeof(digest->bytes), VARIANT);
+	sodium_bin2base64(text, KEY_DIGEST_TEXT_SIZE, digest->bytes, sizeof(digest->bytes),
+			  VARIANT);
 }
 
 bool key_digest_parse(const char *text, key_digest_t *digest)
@@ -32,11 +33,11 @@
 	       len == sizeof(digest->bytes);
 }
 
-void key_label(const key_digest_t *digest, char text[KEY_LABEL_TEXT])
+void key_label(const key_digest_t *digest, char text[KEY_LABEL_TEXT_SIZE])
 {
-	char whole[KEY_DIGEST_TEXT];
+	char whole[KEY_DIGEST_TEXT_SIZE];
 
-	key_digest_text(digest, whole);
-	memcpy(text, whole, KEY_LABEL_TEXT - 1);
-	text[KEY_LABEL_TEXT - 1] = '\0';
+	key_digest_format(digest, whole);
+	memcpy(text, whole, KEY_LABEL_TEXT_SIZE - 1);
+	text[KEY_LABEL_TEXT_SIZE - 1] = '\0';
 }
--- a/access/shard_limit.c
+++ b/access/shard_limit.c
@@ -12,14 +12,14 @@
  */
 #define AT_START 0.4
 
-limit_share_t limit_share(const customer_t *customer, const limit_slack_t *slack)
+shard_limit_t shard_limit_compute(const customer_t *customer, const limit_slack_t *slack)
 {
 	double more = 1 + slack->part * SLACK_USED;
 	double at_once = customer->burst * more + slack->operations * SLACK_USED;
 
-	return (limit_share_t){
-		.rate = customer->rate * more / LIMIT_SEATS,
-		.burst = at_once * (1 - AT_START) / LIMIT_SEATS,
-		.initial = at_once * AT_START / LIMIT_SEATS,
+	return (shard_limit_t){
+		.rate = customer->rate * more / LIMIT_SHARDS,
+		.burst = at_once * (1 - AT_START) / LIMIT_SHARDS,
+		.initial = at_once * AT_START / LIMIT_SHARDS,
 	};
 }
--- a/access/shard_limit.h
+++ b/access/shard_limit.h
@@ -1,6 +1,6 @@
 /*
  * How a customer's limit is divided among those who count. One process that counts everything would
- * be missed by all whenever it is gone; so there are LIMIT_SEATS of them, each with an equal share
+ * be missed by all whenever it is gone; so there are LIMIT_SHARDS of them, each with an equal share
  * that no other one may use. A caller who finds one share used up, or nobody there, asks the next.
  */
 #pragma once
@@ -10,7 +10,7 @@
 #include "customers.h"
 
 /* Shares of each limit: two thirds of it are left while one of those who count is gone. */
-#define LIMIT_SEATS 3
+#define LIMIT_SHARDS 3
 
 /* How far the operators let a limit be exceeded, since nobody can count exactly at once. */
 typedef struct limit_slack {
@@ -19,10 +19,10 @@
 } limit_slack_t;
 
 /* What one seat may let through, as a token bucket. */
-typedef struct limit_share {
+typedef struct shard_limit {
 	double rate;
 	double burst;
 	double initial; /* of a process that does not know what was let through before it started */
-} limit_share_t;
+} shard_limit_t;
 
-limit_share_t limit_share(const customer_t *customer, const limit_slack_t *slack);
+shard_limit_t shard_limit_compute(const customer_t *customer, const limit_slack_t *slack);
--- a/access/shard_owners.c
+++ b/access/shard_owners.c
@@ -30,7 +30,7 @@
 } zone_t;
 
 typedef struct fleet {
-	list_t node; /* in keepers_t.fleets */
+	list_t node; /* in shard_owners_t.fleets */
 	usec_t since;
 	zone_t *zones;
 	size_t zone_count;
@@ -46,9 +46,9 @@
 	return XXH64(text, strlen(text), seed);
 }
 
-keepers_t *keepers_create(void *parent)
+shard_owners_t *shard_owners_create(void *parent)
 {
-	keepers_t *keepers = talloc_zero(parent, keepers_t);
+	shard_owners_t *keepers = talloc_zero(parent, shard_owners_t);
 
 	list_init(&keepers->fleets);
 	keepers->complete = true;
@@ -88,7 +88,7 @@
 	return strcmp(((const zone_t *)a)->name, ((const zone_t *)b)->name);
 }
 
-static fleet_t *make_fleet(keepers_t *keepers, const fleet_member_t *members, size_t count)
+static fleet_t *make_fleet(shard_owners_t *keepers, const fleet_proxy_t *members, size_t count)
 {
 	fleet_t *fleet = talloc_zero(keepers, fleet_t);
 
@@ -135,14 +135,14 @@
 	return true;
 }
 
-static const fleet_t *newest(const keepers_t *keepers)
+static const fleet_t *newest(const shard_owners_t *keepers)
 {
 	if (list_empty(&keepers->fleets))
 		return NULL;
 	return list_entry(keepers->fleets.prev, fleet_t, node);
 }
 
-static void forget_oldest(keepers_t *keepers)
+static void forget_oldest(shard_owners_t *keepers)
 {
 	fleet_t *fleet = list_entry(keepers->fleets.next, fleet_t, node);
 
@@ -151,7 +151,8 @@
 	keepers->complete = false;
 }
 
-void keepers_set_fleet(keepers_t *keepers, const fleet_member_t *members, size_t count, usec_t now)
+void shard_owners_set_fleet(shard_owners_t *keepers, const fleet_proxy_t *members, size_t count,
+			    usec_t now)
 {
 	fleet_t *fleet = make_fleet(keepers, members, count);
 
@@ -236,14 +237,14 @@
 	return choose_place(zone, hash_text(customer, 2), seat / fleet->zone_count);
 }
 
-const char *keepers_find(const keepers_t *keepers, const char *customer, unsigned seat)
+const char *shard_owners_find(const shard_owners_t *keepers, const char *customer, unsigned seat)
 {
 	const fleet_t *fleet = newest(keepers);
 
 	return fleet != NULL ? keeper_in(fleet, customer, seat) : NULL;
 }
 
-const char *keepers_zone(const keepers_t *keepers, const char *customer, unsigned seat)
+const char *shard_owners_zone(const shard_owners_t *keepers, const char *customer, unsigned seat)
 {
 	const fleet_t *fleet = newest(keepers);
 	const zone_t *zone = fleet != NULL ? zone_of_seat(fleet, customer, seat) : NULL;
@@ -251,8 +252,8 @@
 	return zone != NULL ? zone->name : NULL;
 }
 
-usec_t keepers_since(const keepers_t *keepers, const char *self, const char *customer,
-		     unsigned seat)
+usec_t shard_owners_owned_since(const shard_owners_t *keepers, const char *self,
+				const char *customer, unsigned seat)
 {
 	usec_t since = USEC_NEVER;
 
@@ -267,8 +268,8 @@
 	return keepers->complete && since != USEC_NEVER ? 0 : since;
 }
 
-const char *keepers_before(const keepers_t *keepers, const char *self, const char *customer,
-			   unsigned seat)
+const char *shard_owners_predecessor(const shard_owners_t *keepers, const char *self,
+				     const char *customer, unsigned seat)
 {
 	for (const list_t *it = keepers->fleets.prev; it != &keepers->fleets; it = it->prev) {
 		const char *keeper = keeper_in(list_entry(it, fleet_t, node), customer, seat);
--- a/core/core.c
+++ b/core/core.c
@@ -132,7 +132,7 @@
 
 usec_t core_next_wake(const core_t *core)
 {
-	return timers_next(&core->timers);
+	return timers_next_due(&core->timers);
 }
 
 /*
--- a/kernel/clock.c
+++ b/kernel/clock.c
@@ -14,7 +14,7 @@
 
 static usec_t paused_now(const run_clock_t *clock)
 {
-	return ((const paused_clock_t *)clock)->now;
+	return ((const manual_clock_t *)clock)->now;
 }
 
 static const clock_ops_t system_ops = {.now = system_now};
@@ -26,13 +26,13 @@
 	return &system_clock;
 }
 
-void paused_clock_init(paused_clock_t *clock, usec_t now)
+void manual_clock_init(manual_clock_t *clock, usec_t now)
 {
 	clock->base.ops = &paused_ops;
 	clock->now = now;
 }
 
-void paused_clock_advance(paused_clock_t *clock, usec_t by)
+void manual_clock_advance(manual_clock_t *clock, usec_t by)
 {
 	clock->now += by;
 }
--- a/kernel/clock.h
+++ b/kernel/clock.h
@@ -23,10 +23,10 @@
 } run_clock_t;
 
 /* A clock that stands still until it is advanced. */
-typedef struct paused_clock {
+typedef struct manual_clock {
 	run_clock_t base;
 	usec_t now;
-} paused_clock_t;
+} manual_clock_t;
 
 static inline usec_t clock_now(const run_clock_t *clock)
 {
@@ -49,5 +49,5 @@
 /* The VM's clock. It counts suspended time too (CLOCK_BOOTTIME). */
 const run_clock_t *clock_system(void);
 
-void paused_clock_init(paused_clock_t *clock, usec_t now);
-void paused_clock_advance(paused_clock_t *clock, usec_t by);
+void manual_clock_init(manual_clock_t *clock, usec_t now);
+void manual_clock_advance(manual_clock_t *clock, usec_t by);
--- a/kernel/counter.h
+++ b/kernel/counter.h
@@ -79,7 +79,7 @@
 
 void counter_grid_register(counter_grid_t *grid);
 
-static inline void counter_grid_add(counter_grid_t *grid, size_t row, size_t column)
+static inline void counter_grid_increment(counter_grid_t *grid, size_t row, size_t column)
 {
 	grid->values[row * grid->column_count + column]++;
 }
--- a/kernel/log.c
+++ b/kernel/log.c
@@ -258,7 +258,7 @@
 		*left_out = site->left_out;
 		site->left_out = 0;
 	}
-	if (site->written < LOG_BURST) {
+	if (site->written < LOG_SITE_LINES_PER_SEC) {
 		site->written++;
 		return true;
 	}
--- a/kernel/log.h
+++ b/kernel/log.h
@@ -3,7 +3,7 @@
  * JSON objects or as key=value text. Secrets are never passed to it.
  *
  * A module that logs defines LOG_MODULE before it includes this header. The
- * volume is bounded: each place in the code may write LOG_BURST lines a second;
+ * volume is bounded: each place in the code may write LOG_SITE_LINES_PER_SEC lines a second;
  * what is left out is counted and told with the next line from there. Writing
  * never blocks: lines that the reader of the output does not take are dropped
  * and counted.
@@ -15,7 +15,7 @@
 #include <stdint.h>
 
 /* Lines a second and place; at that rate a line of 400 bytes is 8 KB/s. */
-#define LOG_BURST 20
+#define LOG_SITE_LINES_PER_SEC 20
 
 typedef enum { LOG_ERR, LOG_WARN, LOG_INFO, LOG_DBG } log_level_t;
 
--- a/kernel/loop.c
+++ b/kernel/loop.c
@@ -58,7 +58,7 @@
 
 static int32_t wait_msec(const loop_t *loop)
 {
-	usec_t next = timers_next(&loop->timers);
+	usec_t next = timers_next_due(&loop->timers);
 	usec_t now = clock_now(loop->clock);
 	usec_t msec;
 
@@ -85,7 +85,7 @@
 /* The same for timers that are late since the turn itself took long. */
 static bool is_late(const loop_t *loop)
 {
-	usec_t next = timers_next(&loop->timers);
+	usec_t next = timers_next_due(&loop->timers);
 
 	return next != USEC_NEVER && clock_now(loop->clock) > next + LATE_TIMER;
 }
@@ -139,7 +139,7 @@
 	return 0;
 }
 
-void loop_watch_writable(loop_watch_t *watch, loop_watch_cb_t cb)
+void loop_watch_writable_once(loop_watch_t *watch, loop_watch_cb_t cb)
 {
 	watch->on_writable = cb;
 	if (!h2o_socket_is_writing(watch->sock))
--- a/kernel/loop.h
+++ b/kernel/loop.h
@@ -43,5 +43,5 @@
 
 /* Start to watch fd for input. Returns 0 or a negative errno. */
 int loop_watch_start(loop_t *loop, loop_watch_t *watch, int fd, loop_watch_cb_t on_readable);
-void loop_watch_writable(loop_watch_t *watch, loop_watch_cb_t on_writable);
+void loop_watch_writable_once(loop_watch_t *watch, loop_watch_cb_t on_writable);
 void loop_watch_stop(loop_watch_t *watch);
--- a/kernel/plugin.c
+++ b/kernel/plugin.c
@@ -60,7 +60,7 @@
 	}
 }
 
-bool kernel_settle(kernel_t *kernel)
+bool kernel_close_idle(kernel_t *kernel)
 {
 	bool settled = true;
 
--- a/kernel/plugin.h
+++ b/kernel/plugin.h
@@ -28,7 +28,7 @@
 	int order;	    /* lower starts earlier */
 	int (*start)(struct plugin *plugin, kernel_t *kernel, err_t *err);
 	void (*drain)(struct plugin *plugin); /* may be NULL */
-	/* See kernel_settle(); may be NULL. */
+	/* See kernel_close_idle(); may be NULL. */
 	bool (*settle)(struct plugin *plugin);
 	json_t *(*dump)(const struct plugin *plugin); /* state for operators; may be NULL */
 	void (*destroy)(struct plugin *plugin);
@@ -65,7 +65,7 @@
  * process that ended without asking would reset connections with requests on
  * them that it has not read yet.
  */
-bool kernel_settle(kernel_t *kernel);
+bool kernel_close_idle(kernel_t *kernel);
 
 /* One object, a key a plug-in. The caller owns it. */
 json_t *kernel_dump(const kernel_t *kernel);
--- a/kernel/stream.c
+++ b/kernel/stream.c
@@ -234,7 +234,7 @@
 	go_down(list_entry(timer, stream_t, finish), "finished");
 }
 
-void stream_finish(stream_t *stream)
+void stream_flush_and_close(stream_t *stream)
 {
 	if (stream->sock == NULL || stream->finishing)
 		return;
@@ -245,18 +245,18 @@
 			   on_finish);
 }
 
-stream_leave_t stream_leave(stream_t *stream)
+stream_close_result_t stream_close_if_idle(stream_t *stream)
 {
 	if (stream->sock == NULL)
-		return STREAM_LEFT;
+		return STREAM_CLOSED;
 	if (has_unread(stream))
-		return STREAM_UNREAD;
+		return STREAM_UNREAD_INPUT;
 	if (stream->sock->input->size != 0)
-		return STREAM_UNUSED;
+		return STREAM_UNCONSUMED_INPUT;
 	if (stream->finishing || stream->out != NULL || stream->next_len != 0)
-		return STREAM_UNSENT;
+		return STREAM_UNSENT_OUTPUT;
 	stream_close(stream);
-	return STREAM_LEFT;
+	return STREAM_CLOSED;
 }
 
 /* --- opening --- */
--- a/kernel/stream.h
+++ b/kernel/stream.h
@@ -26,13 +26,13 @@
 	void (*on_down)(struct stream *stream, const char *reason);
 } stream_ops_t;
 
-/* What came of stream_leave(). */
+/* What came of stream_close_if_idle(). */
 typedef enum {
-	STREAM_LEFT,   /* it is closed */
-	STREAM_UNREAD, /* there is input that on_data has not seen */
-	STREAM_UNUSED, /* on_data has seen all input, and left some */
-	STREAM_UNSENT, /* there is output that has not left */
-} stream_leave_t;
+	STREAM_CLOSED,		 /* it is closed */
+	STREAM_UNREAD_INPUT,	 /* there is input that on_data has not seen */
+	STREAM_UNCONSUMED_INPUT, /* on_data has seen all input, and left some */
+	STREAM_UNSENT_OUTPUT,	 /* there is output that has not left */
+} stream_close_result_t;
 
 typedef struct stream {
 	const stream_ops_t *ops;
@@ -40,7 +40,7 @@
 	h2o_socket_t *sock; /* NULL when closed */
 	bool up;
 	bool finishing;
-	size_t dropped; /* bytes of input that came after stream_finish() */
+	size_t dropped; /* bytes of input that came after stream_flush_and_close() */
 	run_timer_t finish;
 	bool *closed; /* set by stream_close() for a callback that is running */
 	char *out;    /* handed to the socket */
@@ -68,16 +68,17 @@
 void stream_close(stream_t *stream);
 
 /* Close when all output has left; input is thrown away, on_down is called in the end. */
-void stream_finish(stream_t *stream);
+void stream_flush_and_close(stream_t *stream);
 
 /*
  * Close the connection unless there is input to handle or output to send. The look and the close
  * are one step: if the close waited for a later turn of the loop, what comes in between would be
  * thrown away, and its sender would get neither an answer nor a refusal. Only what is on its way
  * right now can still cross the close. on_down is not called; if the connection stays open because
- * of STREAM_UNREAD or STREAM_UNSENT, on_data or on_sent follows (after stream_finish() on_down).
+ * of STREAM_UNREAD_INPUT or STREAM_UNSENT_OUTPUT, on_data or on_sent follows (after
+ * stream_flush_and_close() on_down).
  */
-stream_leave_t stream_leave(stream_t *stream);
+stream_close_result_t stream_close_if_idle(stream_t *stream);
 
 /* Open a listening socket on address. Returns its descriptor or a negative errno. */
 int stream_listen(const char *address, err_t *err);
--- a/kernel/timer.c
+++ b/kernel/timer.c
@@ -102,7 +102,7 @@
 	sift_down(set, last->index - 1);
 }
 
-usec_t timers_next(const timer_set_t *set)
+usec_t timers_next_due(const timer_set_t *set)
 {
 	return set->len != 0 ? set->heap[0]->at : USEC_NEVER;
 }
--- a/kernel/timer.h
+++ b/kernel/timer.h
@@ -38,7 +38,7 @@
 }
 
 /* When the first timer is due, USEC_NEVER if none is armed. */
-usec_t timers_next(const timer_set_t *set);
+usec_t timers_next_due(const timer_set_t *set);
 
 /* Run every timer that is due at now. */
 void timers_expire(timer_set_t *set, usec_t now);
--- a/links/httpc.c
+++ b/links/httpc.c
@@ -83,7 +83,7 @@
 		return -1;
 	self->wanted = what;
 	if (what & CURL_POLL_OUT)
-		loop_watch_writable(&self->watch, on_writable);
+		loop_watch_writable_once(&self->watch, on_writable);
 	return 0;
 }
 
--- a/links/pgio.c
+++ b/links/pgio.c
@@ -53,7 +53,7 @@
 	int rc = PQflush(io->pg);
 
 	if (rc > 0)
-		loop_watch_writable(&io->watch, on_writable);
+		loop_watch_writable_once(&io->watch, on_writable);
 	else if (rc < 0)
 		fail_later(io);
 }
@@ -88,7 +88,7 @@
 		if (watch_socket(io) < 0)
 			lose(io, "can't watch the socket");
 		else if (status == PGRES_POLLING_WRITING)
-			loop_watch_writable(&io->watch, on_writable);
+			loop_watch_writable_once(&io->watch, on_writable);
 		break;
 	}
 }
@@ -182,7 +182,7 @@
 	timers_arm(&loop->timers, &io->timer,
 		   now + (usec_t)conf->backend_connect_timeout_ms * USEC_PER_MSEC,
 		   on_connect_timeout);
-	loop_watch_writable(&io->watch, on_writable);
+	loop_watch_writable_once(&io->watch, on_writable);
 }
 
 void pgio_send(pgio_t *io, const char *sql, int count, const char *const *params)
--- a/pooler/admission.c
+++ b/pooler/admission.c
@@ -22,13 +22,13 @@
 
 static const customer_t *customer_of(const pooler_t *pooler, const key_digest_t *key)
 {
-	return customers_by_key(pooler->routes->customers, key);
+	return customers_find_by_key(pooler->routes->customers, key);
 }
 
 static void log_refused(const pooler_t *pooler, const char *database, const key_digest_t *key,
 			reason_t reason)
 {
-	char label[KEY_LABEL_TEXT];
+	char label[KEY_LABEL_TEXT_SIZE];
 
 	key_label(key, label);
 	LOG_EVENT(LOG_WARN, "session refused", LOG_STR("database", database), LOG_STR("key", label),
@@ -36,7 +36,7 @@
 		  LOG_INT("config", pooler->routes->version),
 		  LOG_INT("heard", pooler->config_heard),
 		  LOG_INT("keys_age_ms",
-			  usec_age_ms(proof_age(&pooler->config_proof, now_of(pooler)))));
+			  usec_age_ms(cache_validity_age(&pooler->config_proof, now_of(pooler)))));
 }
 
 /*
@@ -46,7 +46,8 @@
 static bool is_current(const pooler_t *pooler)
 {
 	return pooler->routes->version >= pooler->config_heard &&
-	       proof_age(&pooler->config_proof, now_of(pooler)) < pooler->config.config_bound;
+	       cache_validity_age(&pooler->config_proof, now_of(pooler)) <
+		       pooler->config.config_bound;
 }
 
 code_t admission_unknown(const pooler_t *pooler, reason_t *reason)
@@ -72,7 +73,7 @@
 	if (route->open)
 		return true;
 	/* What is too old does not show that a key is unknown either. */
-	if (!proof_holds(&pooler->config_proof, now_of(pooler)) ||
+	if (!cache_is_valid(&pooler->config_proof, now_of(pooler)) ||
 	    (customer_of(pooler, key) == NULL && !is_current(pooler))) {
 		*code = CODE_BUSY;
 		log_refused(pooler, database, key, REASON_KEYS_TOO_OLD);
@@ -106,7 +107,7 @@
 		admission_set_customer(caller, customer != NULL ? customer->name : NO_CUSTOMER);
 		return true;
 	}
-	if (!proof_holds(&pooler->config_proof, now_of(pooler))) {
+	if (!cache_is_valid(&pooler->config_proof, now_of(pooler))) {
 		*reason = REASON_KEYS_TOO_OLD;
 		return false;
 	}
@@ -132,7 +133,7 @@
 	/* The proxy that it stands for has looked. */
 	if (caller->job != NULL || caller->by_open_route)
 		return true;
-	if (!proof_holds(&caller->pooler->config_proof, now_of(caller->pooler)))
+	if (!cache_is_valid(&caller->pooler->config_proof, now_of(caller->pooler)))
 		*reason = REASON_KEYS_TOO_OLD;
 	else if (!is_same(caller))
 		*reason = REASON_KEY_TAKEN;
@@ -157,7 +158,7 @@
  */
 static void bar(caller_t *caller)
 {
-	char label[KEY_LABEL_TEXT];
+	char label[KEY_LABEL_TEXT_SIZE];
 
 	caller->barred = true;
 	counter_add(&barred_total, 1);
--- a/pooler/hangup.c
+++ b/pooler/hangup.c
@@ -41,7 +41,7 @@
 
 static void report(const caller_t *caller, end_reason_t reason, close_result_t result)
 {
-	counter_grid_add(&ended_total, reason, result);
+	counter_grid_increment(&ended_total, reason, result);
 	/* Behind each answer of a shutdown: it is closed as soon as the answer has left. */
 	if (result == CLOSE_UNSENT)
 		return;
--- a/pooler/pooler.c
+++ b/pooler/pooler.c
@@ -193,7 +193,7 @@
 		pooler->last_permitted = now;
 	if (pooler->last_permitted != 0 && now >= pooler->last_permitted + LET_GO_AFTER)
 		return true;
-	return proof_is_old(&pooler->config_proof, now);
+	return cache_is_near_expiry(&pooler->config_proof, now);
 }
 
 static drain_phase_t drain_phase(const pooler_t *pooler, usec_t now)
@@ -366,7 +366,7 @@
 	list_init(&pooler->forwarded);
 	pooler->relay = relay_create(pooler, env->kv);
 	pooler->config_proof.lifetime = config->revoke_bound;
-	pooler->keepers = keepers_create(pooler);
+	pooler->keepers = shard_owners_create(pooler);
 	pooler->quota = quota_create(pooler);
 	sync_init(pooler);
 	outbox_init(&pooler->outbox, pooler);
@@ -405,7 +405,7 @@
 
 	/* Getting on the roster takes some ms more; statements wait for it. */
 	if (pooler->routes == NULL || pooler->draining || now >= permit_end(pooler) ||
-	    proof_is_old(&pooler->config_proof, now))
+	    cache_is_near_expiry(&pooler->config_proof, now))
 		return false;
 	return knows_primaries(pooler) || now >= pooler->started + LISTED_TIME;
 }
@@ -461,7 +461,7 @@
 		  LOG_INT("before", pooler->routes != NULL ? pooler->routes->version : 0),
 		  LOG_INT("heard", pooler->config_heard),
 		  LOG_INT("proved_age_ms",
-			  usec_age_ms(proof_age(&pooler->config_proof, now_of(pooler)))),
+			  usec_age_ms(cache_validity_age(&pooler->config_proof, now_of(pooler)))),
 		  LOG_INT("routes", (int64_t)list_length(&routes->routes)));
 	talloc_free(pooler->routes);
 	pooler->routes = talloc_steal(pooler, routes);
@@ -481,7 +481,7 @@
 {
 	/* A store that came back from a copy may hold an older one than the fleet knows. */
 	if (pooler->routes != NULL && pooler->routes->version >= pooler->config_heard)
-		proof_extend(&pooler->config_proof, asked_at);
+		cache_validity_confirm(&pooler->config_proof, asked_at);
 }
 
 void pooler_on_member(pooler_t *pooler, const member_entry_t *entry)
@@ -560,8 +560,8 @@
 			 pooler->config.name, "ready", pooler_is_ready(pooler), "config_version",
 			 (json_int_t)(pooler->routes != NULL ? pooler->routes->version : 0),
 			 "config_heard", (json_int_t)pooler->config_heard, "config_age_ms",
-			 (json_int_t)usec_age_ms(proof_age(&pooler->config_proof, now)), "roster",
-			 (json_int_t)sync->roster->revision, "roster_age_ms",
+			 (json_int_t)usec_age_ms(cache_validity_age(&pooler->config_proof, now)),
+			 "roster", (json_int_t)sync->roster->revision, "roster_age_ms",
 			 (json_int_t)(sync->confirmed_at != USEC_NEVER
 					      ? (now - sync->confirmed_at) / USEC_PER_MSEC
 					      : 0),
--- a/pooler/quota.c
+++ b/pooler/quota.c
@@ -47,7 +47,7 @@
 	unsigned seat;	   /* that it went to */
 	unsigned first;	   /* seat to begin with, another one for each proxy */
 	unsigned tried;	   /* seats asked for those that wait now, as bits */
-	usec_t empty_until[LIMIT_SEATS];
+	usec_t empty_until[LIMIT_SHARDS];
 	run_timer_t timer; /* of the question, or until the next round */
 } allowance_t;
 
@@ -105,7 +105,7 @@
 	allowance->quota = quota;
 	allowance->customer = talloc_strdup(allowance, customer);
 	list_init(&allowance->waiting);
-	allowance->first = (unsigned)(hash_self(quota, customer) % LIMIT_SEATS);
+	allowance->first = (unsigned)(hash_self(quota, customer) % LIMIT_SHARDS);
 	talloc_set_destructor(allowance, allowance_destructor);
 	HASH_ADD_KEYPTR(hh, quota->by_customer, allowance->customer, strlen(customer), allowance);
 	return allowance;
@@ -140,7 +140,7 @@
 {
 	usec_t least = USEC_NEVER;
 
-	for (unsigned seat = 0; seat < LIMIT_SEATS; seat++) {
+	for (unsigned seat = 0; seat < LIMIT_SHARDS; seat++) {
 		if (allowance->empty_until[seat] < least)
 			least = allowance->empty_until[seat];
 	}
@@ -150,7 +150,7 @@
 /* True if no keeper that was heard of has a token now. */
 static bool is_used_up(const allowance_t *allowance, usec_t now)
 {
-	for (unsigned seat = 0; seat < LIMIT_SEATS; seat++) {
+	for (unsigned seat = 0; seat < LIMIT_SHARDS; seat++) {
 		if (now < allowance->empty_until[seat])
 			return true;
 	}
@@ -182,7 +182,7 @@
 
 static const char *keeper_of(const allowance_t *allowance, unsigned seat)
 {
-	return keepers_find(allowance->quota->pooler->keepers, allowance->customer, seat);
+	return shard_owners_find(allowance->quota->pooler->keepers, allowance->customer, seat);
 }
 
 static void on_timer(run_timer_t *timer, usec_t now)
@@ -254,7 +254,7 @@
 static bool is_near(const allowance_t *allowance, unsigned seat)
 {
 	const pooler_t *pooler = allowance->quota->pooler;
-	const char *zone = keepers_zone(pooler->keepers, allowance->customer, seat);
+	const char *zone = shard_owners_zone(pooler->keepers, allowance->customer, seat);
 
 	return zone != NULL && strcmp(zone, pooler->config.zone) == 0;
 }
@@ -302,8 +302,8 @@
 /* Ask a keeper of our zone, or of another one; false if there is none to ask. */
 static bool ask_one_of(allowance_t *allowance, bool near, usec_t now)
 {
-	for (unsigned i = 0; i < LIMIT_SEATS; i++) {
-		unsigned seat = (allowance->first + i) % LIMIT_SEATS;
+	for (unsigned i = 0; i < LIMIT_SHARDS; i++) {
+		unsigned seat = (allowance->first + i) % LIMIT_SHARDS;
 
 		if (is_near(allowance, seat) == near && may_ask(allowance, seat, now) &&
 		    ask(allowance, seat, now))
@@ -326,7 +326,8 @@
 bool quota_enter(caller_t *caller)
 {
 	pooler_t *pooler = caller->pooler;
-	const customer_t *customer = customers_by_name(pooler->routes->customers, caller->customer);
+	const customer_t *customer =
+		customers_find_by_name(pooler->routes->customers, caller->customer);
 	usec_t now = now_of(pooler);
 	allowance_t *allowance;
 	bool alone;
@@ -389,16 +390,16 @@
 static void fill_fleet(pooler_t *pooler, usec_t now)
 {
 	const roster_t *roster = pooler->sync.roster;
-	fleet_member_t *members = talloc_array(NULL, fleet_member_t, list_length(&roster->nodes));
+	fleet_proxy_t *members = talloc_array(NULL, fleet_proxy_t, list_length(&roster->nodes));
 	size_t count = 0;
 
 	list_for_each (it, &roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
 
 		if (!node->gone)
-			members[count++] = (fleet_member_t){.name = node->name, .zone = node->zone};
+			members[count++] = (fleet_proxy_t){.name = node->name, .zone = node->zone};
 	}
-	keepers_set_fleet(pooler->keepers, members, count, now);
+	shard_owners_set_fleet(pooler->keepers, members, count, now);
 	talloc_free(members);
 }
 
--- a/pooler/refresh.c
+++ b/pooler/refresh.c
@@ -199,7 +199,7 @@
 	told = is_told(pooler, now);
 	set_fed(pooler, told, now);
 	if (now >= sync->config_due &&
-	    (!told || proof_wants_news(&pooler->config_proof, now + KEYS_AHEAD)))
+	    (!told || cache_needs_refresh(&pooler->config_proof, now + KEYS_AHEAD)))
 		refresh_config(pooler, now);
 	if (told)
 		return;
@@ -315,7 +315,7 @@
 	int64_t members_at = ask != NULL ? ask->members_at : report->members_at;
 
 	message->directory_age = directory_age(pooler, now_of(pooler));
-	message->keys_age = proof_age(&pooler->config_proof, now_of(pooler));
+	message->keys_age = cache_validity_age(&pooler->config_proof, now_of(pooler));
 	/* Who is told without having asked may have no need of all of it. */
 	if (ask != NULL || config_at != 0)
 		describe_config(pooler, report, config_at, message, parent);
@@ -353,7 +353,7 @@
 	if (pooler->routes == NULL || message->echo == 0 || message->keys_age >= message->echo ||
 	    message->config_version > pooler->routes->version)
 		return;
-	proof_extend(&pooler->config_proof, message->echo - message->keys_age);
+	cache_validity_confirm(&pooler->config_proof, message->echo - message->keys_age);
 }
 
 void refresh_on_state(pooler_t *pooler, const peer_message_t *message, usec_t now)
--- a/pooler/report.c
+++ b/pooler/report.c
@@ -58,7 +58,7 @@
 /* -1: nothing has proved them yet. */
 static int64_t keys_age(const caller_t *caller, usec_t now)
 {
-	return usec_age_ms(proof_age(&caller->pooler->config_proof, now));
+	return usec_age_ms(cache_validity_age(&caller->pooler->config_proof, now));
 }
 
 /* -1: the store was never heard. */
@@ -123,7 +123,7 @@
 
 	if (caller->job == NULL) {
 		counter_add(counter_of(code), 1);
-		counter_grid_add(&not_served_total, reason, code);
+		counter_grid_increment(&not_served_total, reason, code);
 		histogram_add(failed_seconds[caller->reads], now - caller->received_at);
 	}
 	LOG_EVENT(LOG_WARN, "statement not served",
--- a/pooler/seat.c
+++ b/pooler/seat.c
@@ -34,7 +34,7 @@
 typedef struct seat {
 	UT_hash_handle hh; /* in seats_t.by_name */
 	char *name;	   /* "NUMBER CUSTOMER" */
-	usec_t since;	   /* keepers_since() when it was last looked at */
+	usec_t since;	   /* shard_owners_owned_since() when it was last looked at */
 	bucket_t bucket;
 	usec_t kept_at;	     /* when it was last seen to be ours */
 	bool in_force;	     /* tokens were given, since then */
@@ -113,13 +113,13 @@
 }
 
 /* Tokens are given from now on: by a share that a process which knows nothing of before may use. */
-static void enter_into_force(const pooler_t *pooler, seat_t *seat, const limit_share_t *share,
+static void enter_into_force(const pooler_t *pooler, seat_t *seat, const shard_limit_t *share,
 			     usec_t now)
 {
 	usec_t from = seat->since == 0 ? pooler->started : seat->since + VACANT_FOR;
 
 	if (seat->in_force) {
-		bucket_set(&seat->bucket, share->rate, share->burst, now);
+		bucket_set_limit(&seat->bucket, share->rate, share->burst, now);
 		return;
 	}
 	seat->in_force = true;
@@ -130,8 +130,8 @@
 static void ask_predecessor(seats_t *seats, seat_t *seat, const quota_request_t *from, usec_t now)
 {
 	pooler_t *pooler = seats->pooler;
-	const char *name =
-		keepers_before(pooler->keepers, pooler->config.name, from->customer, from->seat);
+	const char *name = shard_owners_predecessor(pooler->keepers, pooler->config.name,
+						    from->customer, from->seat);
 	const roster_node_t *node = name != NULL ? roster_node(pooler->sync.roster, name) : NULL;
 	quota_request_t request = {
 		.customer = from->customer,
@@ -197,7 +197,7 @@
 /* When a proxy that found no token is to ask again. */
 static usec_t wait_of(seat_t *seat, usec_t now)
 {
-	usec_t wait = bucket_wait(&seat->bucket, now);
+	usec_t wait = bucket_wait_time(&seat->bucket, now);
 	usec_t spread;
 
 	if (now >= seat->denied_from + USEC_PER_SEC) {
@@ -213,10 +213,10 @@
 /* Since when this proxy keeps the seat that is asked for; USEC_NEVER: it does not. */
 static usec_t kept_since(const pooler_t *pooler, const quota_request_t *request)
 {
-	if (request->seat >= LIMIT_SEATS)
+	if (request->seat >= LIMIT_SHARDS)
 		return USEC_NEVER;
-	return keepers_since(pooler->keepers, pooler->config.name, request->customer,
-			     request->seat);
+	return shard_owners_owned_since(pooler->keepers, pooler->config.name, request->customer,
+					request->seat);
 }
 
 quota_answer_t seats_take(seats_t *seats, const quota_request_t *request, usec_t now)
@@ -224,11 +224,11 @@
 	const pooler_t *pooler = seats->pooler;
 	const customer_t *customer =
 		pooler->routes != NULL
-			? customers_by_name(pooler->routes->customers, request->customer)
+			? customers_find_by_name(pooler->routes->customers, request->customer)
 			: NULL;
 	quota_answer_t answer = {.number = request->number, .customer = request->customer};
 	usec_t since = kept_since(pooler, request);
-	limit_share_t share;
+	shard_limit_t share;
 	seat_t *seat;
 
 	answer.vacant = true;
@@ -242,7 +242,7 @@
 		return answer;
 	}
 	answer.vacant = false;
-	share = limit_share(customer, &pooler->config.slack);
+	share = shard_limit_compute(customer, &pooler->config.slack);
 	enter_into_force(pooler, seat, &share, now);
 	answer.granted = bucket_take(&seat->bucket, request->wanted, now);
 	counter_add(&granted_total, answer.granted);
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -446,10 +446,10 @@
 	list_t forwarded; /* caller_t.forwarded */
 	uint64_t numbers; /* the last of pooler_next_number() */
 	sync_t sync;
-	proof_t config_proof; /* when routes was last known to be the newest; its keys count for a
-				 time */
-	keepers_t *keepers;   /* who counts customers' operations */
-	int64_t keepers_from; /* roster_t.nodes_revision that it follows */
+	cache_validity_t config_proof; /* when routes was last known to be the newest; its keys
+				 count for a time */
+	shard_owners_t *keepers;       /* who counts customers' operations */
+	int64_t keepers_from;	       /* roster_t.nodes_revision that it follows */
 	struct quota *quota;
 	struct relay *relay; /* to the store */
 	outbox_t outbox;
--- a/proxy/serve.c
+++ b/proxy/serve.c
@@ -133,7 +133,7 @@
 {
 	process_t *process = list_entry(timer, process_t, flush_timer);
 
-	if (kernel_settle(&process->kernel))
+	if (kernel_close_idle(&process->kernel))
 		loop_stop(&process->kernel.loop);
 	else
 		timers_arm(&process->kernel.loop.timers, timer, now + SETTLE_INTERVAL, on_flushed);
--- a/soak/fleet.c
+++ b/soak/fleet.c
@@ -496,7 +496,7 @@
 	fleet->block_count = 1 + (fleet->options.proxies + PROXIES_A_BLOCK - 1) / PROXIES_A_BLOCK;
 	fleet->blocks = talloc_zero_array(fleet, ports_t, fleet->block_count);
 	for (unsigned i = 0; i < fleet->block_count; i++)
-		ports_take(&fleet->blocks[i]);
+		ports_reserve(&fleet->blocks[i]);
 	for (unsigned i = 0; i < SERVICES_MAX; i++)
 		fleet->member_trouble[i] = g_array_new(FALSE, FALSE, sizeof(span_t));
 	talloc_set_destructor(fleet, destructor);
--- a/soak/link.c
+++ b/soak/link.c
@@ -98,7 +98,7 @@
 		talloc_free(chunk);
 	}
 	if (!is_held(flow) && flow->ended)
-		stream_finish(flow->to);
+		stream_flush_and_close(flow->to);
 }
 
 static void on_due(run_timer_t *timer, usec_t now)
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -147,7 +147,7 @@
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	h->dir = g_dir_make_tmp("cyclamenspan-XXXXXX", &error);
 	g_assert_no_error(error);
-	ports_take(&h->ports);
+	ports_reserve(&h->ports);
 	h->lag_ms = lag_ms;
 	write_file(h, "token", TOKEN "\n");
 	write_file(h, "session.key", SESSION_KEY "\n");
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -187,13 +187,13 @@
 
 static usec_t next_time(const pool_world_t *world)
 {
-	usec_t next = timers_next(&world->timers);
+	usec_t next = timers_next_due(&world->timers);
 
 	for (size_t i = 0; i < world->node_count; i++) {
 		const world_node_t *node = &world->nodes[i];
 
-		if (!node->frozen && timers_next(&node->timers) < next)
-			next = timers_next(&node->timers);
+		if (!node->frozen && timers_next_due(&node->timers) < next)
+			next = timers_next_due(&node->timers);
 	}
 	return next;
 }
@@ -218,7 +218,7 @@
 		if (next > end)
 			break;
 		if (next > world_now(world))
-			paused_clock_advance(&world->clock, next - world_now(world));
+			manual_clock_advance(&world->clock, next - world_now(world));
 		timers_expire(&world->timers, world_now(world));
 		publish_sometimes(world);
 		for (size_t i = 0; i < world->node_count; i++) {
@@ -226,7 +226,7 @@
 				timers_expire(&world->nodes[i].timers, world_now(world));
 		}
 	}
-	paused_clock_advance(&world->clock, end - world_now(world));
+	manual_clock_advance(&world->clock, end - world_now(world));
 }
 
 size_t world_permitted(pool_world_t *world, const char *member)
@@ -349,7 +349,7 @@
 	};
 	pool_world_t *world = talloc_zero(NULL, pool_world_t);
 
-	paused_clock_init(&world->clock, 100 * USEC_PER_SEC);
+	manual_clock_init(&world->clock, 100 * USEC_PER_SEC);
 	timers_init(&world->timers);
 	world->kv = fake_kv_create(world, &world->clock.base, &world->timers);
 	world->db = fake_db_create(world, config != NULL ? config : &usual, &world->clock.base,
--- a/tests/pool_world.h
+++ b/tests/pool_world.h
@@ -83,7 +83,7 @@
 } promote_call_t;
 
 typedef struct pool_world {
-	paused_clock_t clock;
+	manual_clock_t clock;
 	timer_set_t timers; /* of everything but the proxies */
 	fake_kv_t *kv;
 	fake_db_t *db;
--- a/tests/ports.c
+++ b/tests/ports.c
@@ -57,7 +57,7 @@
 	return -1;
 }
 
-void ports_take(ports_t *ports)
+void ports_reserve(ports_t *ports)
 {
 	/* Runs begin at different blocks, so that most of them get the first one they try. */
 	int begin = (int)(getpid() % BLOCK_COUNT);
--- a/tests/ports.h
+++ b/tests/ports.h
@@ -15,7 +15,7 @@
 } ports_t;
 
 /* Take a block that no other test run on this VM holds; aborts if there is none. */
-void ports_take(ports_t *ports);
+void ports_reserve(ports_t *ports);
 
 /* Give the block back, once every process that was started on it has ended. */
 void ports_release(ports_t *ports);
--- a/tests/site.c
+++ b/tests/site.c
@@ -106,7 +106,7 @@
 	char *argv[3] = {program};
 
 	site->dir = g_dir_make_tmp("cyclamenspan-site-XXXXXX", NULL);
-	ports_take(&site->ports);
+	ports_reserve(&site->ports);
 	port = g_strdup_printf("%d", site->ports.first);
 	argv[1] = port;
 	site->platform = harness_spawn(argv, (const int[]){-1, STDERR_FILENO, -1});
--- a/tests/standin_members.c
+++ b/tests/standin_members.c
@@ -33,7 +33,7 @@
 		return;
 	}
 	link->session = NULL;
-	stream_finish(&link->stream);
+	stream_flush_and_close(&link->stream);
 }
 
 static size_t on_line(stream_t *stream, const char *data, size_t len)
@@ -74,7 +74,7 @@
 		list_add_tail(&listener->site->links, &link->node);
 		stream_accept(&link->stream, &listener->site->loop, accepted, 5000);
 		if (link->session == NULL)
-			stream_finish(&link->stream);
+			stream_flush_and_close(&link->stream);
 	}
 }
 
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -33,7 +33,7 @@
 {
 	key_digest_t digest = key_digest(key, strlen(key));
 
-	return customers_by_key(routes->customers, &digest);
+	return customers_find_by_key(routes->customers, &digest);
 }
 
 /* Proxies tell each other the text, and may write it to a log. */
@@ -52,7 +52,7 @@
 static void test_customers(void)
 {
 	routes_t *routes = read_config(config);
-	const customer_t *ada = customers_by_name(routes->customers, "ada");
+	const customer_t *ada = customers_find_by_name(routes->customers, "ada");
 
 	g_assert_cmpfloat(ada->rate, ==, 185);
 	g_assert_cmpfloat(ada->burst, ==, 90.5);
--- a/tests/test_kernel.c
+++ b/tests/test_kernel.c
@@ -33,10 +33,10 @@
 	static ring_t rings[COUNT];
 	int order[COUNT];
 	int next = 0;
-	paused_clock_t clock;
+	manual_clock_t clock;
 	timer_set_t set;
 
-	paused_clock_init(&clock, 1000);
+	manual_clock_init(&clock, 1000);
 	timers_init(&set);
 	for (int i = 0; i < COUNT; i++) {
 		int due = (i * 37) % COUNT;
@@ -49,12 +49,12 @@
 	timers_cancel(&set, &rings[0].timer); /* the one that is due first */
 	timers_expire(&set, clock_now(&clock.base));
 	g_assert_cmpint(next, ==, 0);
-	paused_clock_advance(&clock, COUNT);
+	manual_clock_advance(&clock, COUNT);
 	timers_expire(&set, clock_now(&clock.base));
 	g_assert_cmpint(next, ==, COUNT - 1);
 	for (int i = 0; i < next; i++)
 		g_assert_cmpint(order[i], ==, i + 1);
-	g_assert_cmpuint(timers_next(&set), ==, USEC_NEVER);
+	g_assert_cmpuint(timers_next_due(&set), ==, USEC_NEVER);
 	timers_destroy(&set);
 }
 
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -557,8 +557,9 @@
 /* A seat of ada's that proxy 0 keeps. */
 static unsigned seat_of_first(const pool_world_t *world)
 {
-	for (unsigned seat = 0; seat < LIMIT_SEATS; seat++) {
-		if (strcmp(keepers_find(world->nodes[0].pooler->keepers, "ada", seat), "p0") == 0)
+	for (unsigned seat = 0; seat < LIMIT_SHARDS; seat++) {
+		if (strcmp(shard_owners_find(world->nodes[0].pooler->keepers, "ada", seat), "p0") ==
+		    0)
 			return seat;
 	}
 	g_assert_not_reached();
--- a/tests/test_pooler_parts.c
+++ b/tests/test_pooler_parts.c
@@ -112,7 +112,7 @@
 
 typedef struct followed {
 	follow_t follow;
-	paused_clock_t clock;
+	manual_clock_t clock;
 	timer_set_t timers;
 	fake_kv_t *store;
 	fake_kv_client_t client;
@@ -141,21 +141,21 @@
 {
 	usec_t end = clock_now(&self->clock.base) + by;
 
-	while (timers_next(&self->timers) <= end) {
+	while (timers_next_due(&self->timers) <= end) {
 		usec_t now = clock_now(&self->clock.base);
 
-		if (timers_next(&self->timers) > now)
-			paused_clock_advance(&self->clock, timers_next(&self->timers) - now);
+		if (timers_next_due(&self->timers) > now)
+			manual_clock_advance(&self->clock, timers_next_due(&self->timers) - now);
 		timers_expire(&self->timers, clock_now(&self->clock.base));
 	}
-	paused_clock_advance(&self->clock, end - clock_now(&self->clock.base));
+	manual_clock_advance(&self->clock, end - clock_now(&self->clock.base));
 }
 
 static followed_t *followed_create(void)
 {
 	followed_t *self = g_new0(followed_t, 1);
 
-	paused_clock_init(&self->clock, 100 * SEC);
+	manual_clock_init(&self->clock, 100 * SEC);
 	timers_init(&self->timers);
 	self->store = fake_kv_create(NULL, &self->clock.base, &self->timers);
 	fake_kv_client_init(&self->client, self->store);
--- a/tests/test_ports.c
+++ b/tests/test_ports.c
@@ -18,8 +18,8 @@
 	ports_t one;
 	ports_t two;
 
-	ports_take(&one);
-	ports_take(&two);
+	ports_reserve(&one);
+	ports_reserve(&two);
 	g_assert_cmpint(one.first, !=, two.first);
 	ports_release(&one);
 	ports_release(&two);
@@ -31,7 +31,7 @@
 	for (int i = 0; i < ROUNDS; i++) {
 		ports_t ports;
 
-		ports_take(&ports);
+		ports_reserve(&ports);
 		ports_release(&ports);
 	}
 }
@@ -46,12 +46,12 @@
 	ports_t two;
 
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &may_follow_closed, sizeof(may_follow_closed));
-	ports_take(&one);
+	ports_reserve(&one);
 	sin.sin_port = htons((uint16_t)(one.first + 5));
 	g_assert_cmpint(bind(fd, (struct sockaddr *)&sin, sizeof(sin)), ==, 0);
 	g_assert_cmpint(listen(fd, 1), ==, 0);
 	ports_release(&one);
-	ports_take(&two);
+	ports_reserve(&two);
 	g_assert_cmpint(two.first, !=, one.first);
 	ports_release(&two);
 	close(fd);
@@ -68,14 +68,14 @@
 	ports_t two;
 	pid_t child;
 
-	ports_take(&one);
+	ports_reserve(&one);
 	child = fork();
 	if (child == 0) {
 		pause();
 		_exit(0);
 	}
 	ports_release(&one);
-	ports_take(&two);
+	ports_reserve(&two);
 	g_assert_cmpint(two.first, !=, one.first);
 	ports_release(&two);
 	kill(child, SIGKILL);
@@ -97,7 +97,7 @@
 			char c;
 
 			close(hold[1]);
-			ports_take(&ports);
+			ports_reserve(&ports);
 			if (write(results[1], &ports.first, sizeof(int)) != sizeof(int))
 				_exit(1);
 			_exit(read(hold[0], &c, 1) == 0 ? 0 : 1);
--- a/tests/test_stream.c
+++ b/tests/test_stream.c
@@ -24,7 +24,7 @@
 	int peer;
 	GString *given; /* input that on_data was given */
 	bool leaves;	/* as soon as all output has left */
-	stream_leave_t left;
+	stream_close_result_t left;
 } fixture_t;
 
 static size_t on_data(stream_t *stream, const char *data, size_t len)
@@ -41,7 +41,7 @@
 
 	/* A request that was handed in is in progress. */
 	if (f->leaves && f->given->len == 0)
-		f->left = stream_leave(stream);
+		f->left = stream_close_if_idle(stream);
 }
 
 static void on_down(stream_t *stream, const char *reason)
@@ -128,7 +128,7 @@
 	fixture_t *f = setup();
 
 	peer_sends(f, "request");
-	g_assert_cmpint(stream_leave(&f->stream), ==, STREAM_UNREAD);
+	g_assert_cmpint(stream_close_if_idle(&f->stream), ==, STREAM_UNREAD_INPUT);
 	turn(TURNS);
 	g_assert_cmpstr(f->given->str, ==, "request");
 	g_assert_false(peer_sees_end(f));
@@ -146,7 +146,7 @@
 {
 	fixture_t *f = setup();
 
-	stream_leave(&f->stream);
+	stream_close_if_idle(&f->stream);
 	if (!peer_sees_end(f)) {
 		peer_sends(f, "request");
 		turn(TURNS);
@@ -166,7 +166,7 @@
 	fixture_t *f = setup();
 
 	g_assert_cmpint(stream_send(&f->stream, "answer", 6), ==, 0);
-	stream_leave(&f->stream);
+	stream_close_if_idle(&f->stream);
 	peer_receives(f, "answer");
 	if (!peer_sees_end(f)) {
 		peer_sends(f, "request");
@@ -183,9 +183,9 @@
 
 	f->leaves = true;
 	g_assert_cmpint(stream_send(&f->stream, "answer", 6), ==, 0);
-	g_assert_cmpint(stream_leave(&f->stream), ==, STREAM_UNSENT);
+	g_assert_cmpint(stream_close_if_idle(&f->stream), ==, STREAM_UNSENT_OUTPUT);
 	turn(TURNS);
-	g_assert_cmpint(f->left, ==, STREAM_LEFT);
+	g_assert_cmpint(f->left, ==, STREAM_CLOSED);
 	peer_receives(f, "answer");
 	g_assert_true(peer_sees_end(f));
 	teardown(f);
--- a/tests/test_zmqlink.c
+++ b/tests/test_zmqlink.c
@@ -86,7 +86,7 @@
 {
 	char *address;
 
-	ports_take(&pair->ports);
+	ports_reserve(&pair->ports);
 	address = g_strdup_printf("127.0.0.1:%d", pair->ports.first + 1);
 	start(&pair->receiver.link, on_frame, pair->ports.first + 1);
 	start(&pair->sender, ignore_frame, pair->ports.first);
@@ -141,12 +141,12 @@
 static void test_unused_link_is_closed(void)
 {
 	const run_clock_t *clock = loop.clock;
-	paused_clock_t later;
+	manual_clock_t later;
 	pair_t pair = {0};
 
 	pair_start(&pair);
 	g_assert_cmpuint(list_length(&pair.sender.peers), ==, 1);
-	paused_clock_init(&later, clock_now(clock) + 60 * USEC_PER_SEC);
+	manual_clock_init(&later, clock_now(clock) + 60 * USEC_PER_SEC);
 	loop.clock = &later.base;
 	zmqlink_send(&pair.sender, "c", "127.0.0.1:9", pair.message, MESSAGE_BYTES);
 	loop.clock = clock;
