--- a/access/bucket.c
+++ b/access/bucket.c
@@ -7,11 +7,11 @@
 
 static void fill(bucket_t *bucket, usec_t now)
 {
-	if (now <= bucket->at)
+	if (now <= bucket->updated_at)
 		return;
-	bucket->level += bucket->rate * (double)(now - bucket->at) / (double)USEC_PER_SEC;
-	bucket->level = least(bucket->level, bucket->burst);
-	bucket->at = now;
+	bucket->tokens += bucket->rate * (double)(now - bucket->updated_at) / (double)USEC_PER_SEC;
+	bucket->tokens = least(bucket->tokens, bucket->burst);
+	bucket->updated_at = now;
 }
 
 void bucket_init(bucket_t *bucket, double rate, double burst, double level, usec_t now)
@@ -19,8 +19,8 @@
 	*bucket = (bucket_t){
 		.rate = rate,
 		.burst = burst,
-		.level = least(level, burst),
-		.at = now,
+		.tokens = least(level, burst),
+		.updated_at = now,
 	};
 }
 
@@ -29,7 +29,7 @@
 	fill(bucket, now);
 	bucket->rate = rate;
 	bucket->burst = burst;
-	bucket->level = least(bucket->level, burst);
+	bucket->tokens = least(bucket->tokens, burst);
 }
 
 unsigned bucket_take(bucket_t *bucket, unsigned wanted, usec_t now)
@@ -37,17 +37,17 @@
 	unsigned taken;
 
 	fill(bucket, now);
-	taken = bucket->level < wanted ? (unsigned)bucket->level : wanted;
-	bucket->level -= taken;
+	taken = bucket->tokens < wanted ? (unsigned)bucket->tokens : wanted;
+	bucket->tokens -= taken;
 	return taken;
 }
 
 usec_t bucket_wait_time(bucket_t *bucket, usec_t now)
 {
 	fill(bucket, now);
-	if (bucket->level >= 1)
+	if (bucket->tokens >= 1)
 		return 0;
 	if (bucket->rate <= 0 || bucket->burst < 1)
 		return USEC_NEVER;
-	return (usec_t)((1 - bucket->level) / bucket->rate * (double)USEC_PER_SEC) + 1;
+	return (usec_t)((1 - bucket->tokens) / bucket->rate * (double)USEC_PER_SEC) + 1;
 }
--- a/access/bucket.h
+++ b/access/bucket.h
@@ -4,10 +4,10 @@
 #include "clock.h"
 
 typedef struct bucket {
-	double rate;  /* tokens a second */
-	double burst; /* tokens at most */
-	double level; /* tokens, at the time of */
-	usec_t at;
+	double rate;   /* tokens a second */
+	double burst;  /* tokens at most */
+	double tokens; /* tokens, at the time of */
+	usec_t updated_at;
 } bucket_t;
 
 void bucket_init(bucket_t *bucket, double rate, double burst, double level, usec_t now);
--- a/access/cache_validity.c
+++ b/access/cache_validity.c
@@ -9,20 +9,20 @@
 
 static bool is_within(const cache_validity_t *proof, usec_t now, unsigned percent)
 {
-	return proof->lifetime == 0 ||
-	       cache_validity_age(proof, now) < proof->lifetime / 100 * percent;
+	return proof->max_age == 0 ||
+	       cache_validity_age(proof, now) < proof->max_age / 100 * percent;
 }
 
 void cache_validity_confirm(cache_validity_t *proof, usec_t at)
 {
-	if (at > proof->proved_at)
-		proof->proved_at = at;
+	if (at > proof->confirmed_at)
+		proof->confirmed_at = at;
 }
 
 usec_t cache_validity_age(const cache_validity_t *proof, usec_t now)
 {
-	return proof->proved_at != 0 && proof->proved_at <= now ? now - proof->proved_at
-								: USEC_NEVER;
+	return proof->confirmed_at != 0 && proof->confirmed_at <= now ? now - proof->confirmed_at
+								      : USEC_NEVER;
 }
 
 bool cache_is_valid(const cache_validity_t *proof, usec_t now)
--- a/access/cache_validity.h
+++ b/access/cache_validity.h
@@ -11,9 +11,9 @@
 
 #include "clock.h"
 
-typedef struct proof {
-	usec_t lifetime;  /* of what is proved; 0: it counts for ever */
-	usec_t proved_at; /* 0: never */
+typedef struct cache_validity {
+	usec_t max_age;	     /* of what is proved; 0: it counts for ever */
+	usec_t confirmed_at; /* 0: never */
 } cache_validity_t;
 
 /* Nothing newer was in force at that moment. Older moments than known ones change nothing. */
--- a/access/shard_limit.c
+++ b/access/shard_limit.c
@@ -14,7 +14,7 @@
 
 shard_limit_t shard_limit_compute(const customer_t *customer, const limit_slack_t *slack)
 {
-	double more = 1 + slack->part * SLACK_USED;
+	double more = 1 + slack->fraction * SLACK_USED;
 	double at_once = customer->burst * more + slack->operations * SLACK_USED;
 
 	return (shard_limit_t){
--- a/access/shard_limit.h
+++ b/access/shard_limit.h
@@ -14,7 +14,7 @@
 
 /* How far the operators let a limit be exceeded, since nobody can count exactly at once. */
 typedef struct limit_slack {
-	double part;	   /* of what a window allows */
+	double fraction;   /* of what a window allows */
 	double operations; /* and so many */
 } limit_slack_t;
 
--- a/access/shard_owners.c
+++ b/access/shard_owners.c
@@ -36,7 +36,7 @@
 	size_t zone_count;
 } fleet_t;
 
-struct keepers {
+struct shard_owners {
 	list_t fleets; /* oldest first */
 	bool complete; /* the oldest is the first that there was */
 };
--- a/access/shard_owners.h
+++ b/access/shard_owners.h
@@ -14,12 +14,12 @@
 
 #include "clock.h"
 
-typedef struct fleet_member {
+typedef struct fleet_proxy {
 	const char *name;
 	const char *zone;
 } fleet_proxy_t;
 
-typedef struct keepers shard_owners_t;
+typedef struct shard_owners shard_owners_t;
 
 shard_owners_t *shard_owners_create(void *parent);
 
--- a/kernel/log.c
+++ b/kernel/log.c
@@ -255,14 +255,14 @@
 	if (site->second != now) {
 		site->second = now;
 		site->written = 0;
-		*left_out = site->left_out;
-		site->left_out = 0;
+		*left_out = site->suppressed;
+		site->suppressed = 0;
 	}
 	if (site->written < LOG_SITE_LINES_PER_SEC) {
 		site->written++;
 		return true;
 	}
-	site->left_out++;
+	site->suppressed++;
 	counter_add(&limited_total, 1);
 	return false;
 }
--- a/kernel/log.h
+++ b/kernel/log.h
@@ -33,7 +33,7 @@
 typedef struct log_site {
 	int64_t second; /* of the monotonic clock */
 	unsigned written;
-	unsigned left_out;
+	unsigned suppressed;
 } log_site_t;
 
 typedef enum { LOG_TO_STDERR, LOG_TO_STDOUT } log_target_t;
--- a/kernel/loop.c
+++ b/kernel/loop.c
@@ -18,7 +18,7 @@
 
 static void on_turn(h2o_timeout_entry_t *entry)
 {
-	loop_t *loop = list_entry(entry, loop_t, turn_entry);
+	loop_t *loop = list_entry(entry, loop_t, timers_timeout_entry);
 
 	timers_expire(&loop->timers, clock_now(loop->clock));
 }
@@ -32,8 +32,8 @@
  */
 static void run_timers(loop_t *loop)
 {
-	h2o_timeout_link(loop->h2o, &loop->turn, &loop->turn_entry);
-	h2o_timeout_run(loop->h2o, &loop->turn, h2o_now(loop->h2o));
+	h2o_timeout_link(loop->h2o, &loop->timers_timeout, &loop->timers_timeout_entry);
+	h2o_timeout_run(loop->h2o, &loop->timers_timeout, h2o_now(loop->h2o));
 }
 
 int loop_init(loop_t *loop, const run_clock_t *clock)
@@ -44,14 +44,14 @@
 	loop->clock = clock;
 	loop->stopping = false;
 	timers_init(&loop->timers);
-	h2o_timeout_init(loop->h2o, &loop->turn, 0);
-	loop->turn_entry = (h2o_timeout_entry_t){.cb = on_turn};
+	h2o_timeout_init(loop->h2o, &loop->timers_timeout, 0);
+	loop->timers_timeout_entry = (h2o_timeout_entry_t){.cb = on_turn};
 	return 0;
 }
 
 void loop_destroy(loop_t *loop)
 {
-	h2o_timeout_dispose(loop->h2o, &loop->turn);
+	h2o_timeout_dispose(loop->h2o, &loop->timers_timeout);
 	timers_destroy(&loop->timers);
 	/* h2o 2.2's evloop has no complete destructor; the process is about to end. */
 }
--- a/kernel/loop.h
+++ b/kernel/loop.h
@@ -15,8 +15,8 @@
 	h2o_loop_t *h2o;
 	const run_clock_t *clock;
 	timer_set_t timers;
-	h2o_timeout_t turn; /* runs the timers within h2o's own loop */
-	h2o_timeout_entry_t turn_entry;
+	h2o_timeout_t timers_timeout; /* runs the timers within h2o's own loop */
+	h2o_timeout_entry_t timers_timeout_entry;
 	bool stopping;
 } loop_t;
 
--- a/kernel/plugin.c
+++ b/kernel/plugin.c
@@ -67,7 +67,7 @@
 	list_for_each (it, &kernel->started) {
 		plugin_t *plugin = list_entry(it, plugin_t, started);
 
-		if (plugin->ops->settle != NULL && !plugin->ops->settle(plugin))
+		if (plugin->ops->close_idle != NULL && !plugin->ops->close_idle(plugin))
 			settled = false;
 	}
 	return settled;
--- a/kernel/plugin.h
+++ b/kernel/plugin.h
@@ -29,7 +29,7 @@
 	int (*start)(struct plugin *plugin, kernel_t *kernel, err_t *err);
 	void (*drain)(struct plugin *plugin); /* may be NULL */
 	/* See kernel_close_idle(); may be NULL. */
-	bool (*settle)(struct plugin *plugin);
+	bool (*close_idle)(struct plugin *plugin);
 	json_t *(*dump)(const struct plugin *plugin); /* state for operators; may be NULL */
 	void (*destroy)(struct plugin *plugin);
 } plugin_ops_t;
--- a/kernel/settings.c
+++ b/kernel/settings.c
@@ -93,19 +93,19 @@
 
 	switch (spec->type) {
 	case SETTING_STRING:
-		*(char **)field = talloc_strdup(out, spec->initial);
+		*(char **)field = talloc_strdup(out, spec->default_text);
 		break;
 	case SETTING_INT:
-		*(int64_t *)field = strtoll(spec->initial, NULL, 10);
+		*(int64_t *)field = strtoll(spec->default_text, NULL, 10);
 		break;
 	case SETTING_BOOL:
-		*(bool *)field = strcmp(spec->initial, "true") == 0;
+		*(bool *)field = strcmp(spec->default_text, "true") == 0;
 		break;
 	case SETTING_LIST:
 		*(string_list_t *)field = (string_list_t){0};
 		break;
 	case SETTING_NUMBER:
-		*(double *)field = strtod(spec->initial, NULL);
+		*(double *)field = strtod(spec->default_text, NULL);
 		break;
 	}
 }
@@ -144,7 +144,7 @@
 	for (size_t i = 0; i < len; i++) {
 		if (json_object_get(flat, specs[i].key) != NULL)
 			continue;
-		if (specs[i].initial == NULL)
+		if (specs[i].default_text == NULL)
 			return err_set(err, -EINVAL, "read settings", path,
 				       "%s is missing: expected %s", specs[i].key,
 				       type_names[specs[i].type]);
@@ -188,7 +188,7 @@
 
 		fprintf(out, "%-28s %s%s%s, default %s%s: %s\n", spec->key, type_names[spec->type],
 			spec->unit[0] != '\0' ? " in " : "", spec->unit,
-			spec->initial != NULL ? spec->initial : "none (required)",
+			spec->default_text != NULL ? spec->default_text : "none (required)",
 			spec->reloadable ? ", reloadable" : "", spec->help);
 	}
 }
--- a/kernel/settings.h
+++ b/kernel/settings.h
@@ -22,9 +22,9 @@
 typedef struct setting {
 	const char *key; /* "table.key" */
 	setting_type_t type;
-	size_t offset;	     /* of the field in the settings structure */
-	const char *initial; /* default as text; NULL: the key is required */
-	int64_t min;	     /* integers and numbers */
+	size_t offset;		  /* of the field in the settings structure */
+	const char *default_text; /* default as text; NULL: the key is required */
+	int64_t min;		  /* integers and numbers */
 	int64_t max;
 	const char *unit; /* "" where none applies */
 	const char *help;
--- a/kernel/stream.c
+++ b/kernel/stream.c
@@ -89,25 +89,25 @@
 {
 	if (stream->sock == NULL)
 		return;
-	timers_cancel(&stream->loop->timers, &stream->finish);
+	timers_cancel(&stream->loop->timers, &stream->close_timer);
 	h2o_socket_read_stop(stream->sock);
 	h2o_socket_close(stream->sock);
 	stream->sock = NULL;
-	stream->up = false;
-	free(stream->out);
-	free(stream->next);
-	stream->out = NULL;
-	stream->next = NULL;
-	stream->next_len = 0;
-	stream->next_size = 0;
-	if (stream->closed != NULL)
-		*stream->closed = true;
+	stream->connected = false;
+	free(stream->writing);
+	free(stream->pending);
+	stream->writing = NULL;
+	stream->pending = NULL;
+	stream->pending_len = 0;
+	stream->pending_size = 0;
+	if (stream->closed_flag != NULL)
+		*stream->closed_flag = true;
 }
 
 static void go_down(stream_t *stream, const char *reason)
 {
 	stream_close(stream);
-	stream->ops->on_down(stream, reason);
+	stream->ops->on_close(stream, reason);
 }
 
 /* --- input --- */
@@ -125,13 +125,13 @@
 {
 	bool closed = false;
 
-	stream->closed = &closed;
+	stream->closed_flag = &closed;
 	while (stream->sock->input->size != 0) {
 		size_t used;
 
-		if (stream->finishing) {
+		if (stream->closing) {
 			used = stream->sock->input->size;
-			stream->dropped += used;
+			stream->discarded += used;
 		} else {
 			used = stream->ops->on_data(stream, stream->sock->input->bytes,
 						    stream->sock->input->size);
@@ -143,7 +143,7 @@
 			break;
 		h2o_buffer_consume(&stream->sock->input, used);
 	}
-	stream->closed = NULL;
+	stream->closed_flag = NULL;
 }
 
 static void on_readable(h2o_socket_t *sock, const char *err)
@@ -159,7 +159,7 @@
 
 void stream_resume(stream_t *stream)
 {
-	if (stream->sock != NULL && stream->closed == NULL)
+	if (stream->sock != NULL && stream->closed_flag == NULL)
 		deliver(stream);
 }
 
@@ -171,48 +171,48 @@
 {
 	stream_t *stream = sock->data;
 
-	free(stream->out);
-	stream->out = NULL;
+	free(stream->writing);
+	stream->writing = NULL;
 	if (err != NULL)
 		go_down(stream, err);
-	else if (stream->next_len != 0)
+	else if (stream->pending_len != 0)
 		write_next(stream);
-	else if (stream->finishing)
+	else if (stream->closing)
 		go_down(stream, "finished");
-	else if (stream->ops->on_sent != NULL)
-		stream->ops->on_sent(stream);
+	else if (stream->ops->on_flushed != NULL)
+		stream->ops->on_flushed(stream);
 }
 
 static void write_next(stream_t *stream)
 {
-	h2o_iovec_t vec = h2o_iovec_init(stream->next, stream->next_len);
+	h2o_iovec_t vec = h2o_iovec_init(stream->pending, stream->pending_len);
 
-	stream->out = stream->next;
-	stream->next = NULL;
-	stream->next_len = 0;
-	stream->next_size = 0;
+	stream->writing = stream->pending;
+	stream->pending = NULL;
+	stream->pending_len = 0;
+	stream->pending_size = 0;
 	h2o_socket_write(stream->sock, &vec, 1, on_written);
 }
 
 static int append(stream_t *stream, const char *data, size_t len)
 {
-	size_t need = stream->next_len + len;
-	size_t size = stream->next_size != 0 ? stream->next_size : FIRST_OUTPUT;
+	size_t need = stream->pending_len + len;
+	size_t size = stream->pending_size != 0 ? stream->pending_size : FIRST_OUTPUT;
 	char *grown;
 
 	if (need > STREAM_OUTPUT_MAX)
 		return -ENOBUFS;
 	while (size < need)
 		size *= 2;
-	if (size != stream->next_size) {
-		grown = realloc(stream->next, size);
+	if (size != stream->pending_size) {
+		grown = realloc(stream->pending, size);
 		if (grown == NULL)
 			return -ENOBUFS;
-		stream->next = grown;
-		stream->next_size = size;
+		stream->pending = grown;
+		stream->pending_size = size;
 	}
-	memcpy(stream->next + stream->next_len, data, len);
-	stream->next_len = need;
+	memcpy(stream->pending + stream->pending_len, data, len);
+	stream->pending_len = need;
 	return 0;
 }
 
@@ -220,10 +220,10 @@
 {
 	int rc;
 
-	if (stream->sock == NULL || stream->finishing)
+	if (stream->sock == NULL || stream->closing)
 		return -ENOTCONN;
 	rc = append(stream, data, len);
-	if (rc == 0 && stream->up && stream->out == NULL)
+	if (rc == 0 && stream->connected && stream->writing == NULL)
 		write_next(stream);
 	return rc;
 }
@@ -231,18 +231,18 @@
 static void on_finish(run_timer_t *timer, usec_t now)
 {
 	(void)now;
-	go_down(list_entry(timer, stream_t, finish), "finished");
+	go_down(list_entry(timer, stream_t, close_timer), "finished");
 }
 
 void stream_flush_and_close(stream_t *stream)
 {
-	if (stream->sock == NULL || stream->finishing)
+	if (stream->sock == NULL || stream->closing)
 		return;
-	stream->finishing = true;
+	stream->closing = true;
 	/* Ends from the loop, never from within the caller's own call. */
-	if (stream->out == NULL)
-		timers_arm(&stream->loop->timers, &stream->finish, clock_now(stream->loop->clock),
-			   on_finish);
+	if (stream->writing == NULL)
+		timers_arm(&stream->loop->timers, &stream->close_timer,
+			   clock_now(stream->loop->clock), on_finish);
 }
 
 stream_close_result_t stream_close_if_idle(stream_t *stream)
@@ -253,7 +253,7 @@
 		return STREAM_UNREAD_INPUT;
 	if (stream->sock->input->size != 0)
 		return STREAM_UNCONSUMED_INPUT;
-	if (stream->finishing || stream->out != NULL || stream->next_len != 0)
+	if (stream->closing || stream->writing != NULL || stream->pending_len != 0)
 		return STREAM_UNSENT_OUTPUT;
 	stream_close(stream);
 	return STREAM_CLOSED;
@@ -263,9 +263,9 @@
 
 static void start(stream_t *stream)
 {
-	stream->up = true;
+	stream->connected = true;
 	h2o_socket_read_start(stream->sock, on_readable);
-	if (stream->next_len != 0 && stream->out == NULL)
+	if (stream->pending_len != 0 && stream->writing == NULL)
 		write_next(stream);
 }
 
@@ -278,8 +278,8 @@
 		return;
 	}
 	start(stream);
-	if (stream->ops->on_up != NULL)
-		stream->ops->on_up(stream);
+	if (stream->ops->on_connect != NULL)
+		stream->ops->on_connect(stream);
 }
 
 int stream_connect(stream_t *stream, loop_t *loop, const char *address, int silence_ms, err_t *err)
@@ -289,9 +289,9 @@
 	if (parse_address(address, &sin) < 0)
 		return err_set(err, -EINVAL, "connect", address, "expected IP:PORT");
 	stream->loop = loop;
-	stream->finishing = false;
-	stream->dropped = 0;
-	stream->up = false;
+	stream->closing = false;
+	stream->discarded = 0;
+	stream->connected = false;
 	stream->sock =
 		h2o_socket_connect(loop->h2o, (struct sockaddr *)&sin, sizeof(sin), on_connected);
 	if (stream->sock == NULL)
@@ -306,8 +306,8 @@
 {
 	stream->loop = loop;
 	stream->sock = sock;
-	stream->finishing = false;
-	stream->dropped = 0;
+	stream->closing = false;
+	stream->discarded = 0;
 	sock->data = stream;
 	set_options(sock, silence_ms);
 	start(stream);
--- a/kernel/stream.h
+++ b/kernel/stream.h
@@ -17,13 +17,13 @@
 
 typedef struct stream_ops {
 	/* An outgoing connection is made; may be NULL. */
-	void (*on_up)(struct stream *stream);
+	void (*on_connect)(struct stream *stream);
 	/* Input; returns how many bytes were used up. The rest comes again with more. */
 	size_t (*on_data)(struct stream *stream, const char *data, size_t len);
 	/* All output has left; may be NULL. */
-	void (*on_sent)(struct stream *stream);
+	void (*on_flushed)(struct stream *stream);
 	/* The connection is gone, by the peer or an error; the stream is closed already. */
-	void (*on_down)(struct stream *stream, const char *reason);
+	void (*on_close)(struct stream *stream, const char *reason);
 } stream_ops_t;
 
 /* What came of stream_close_if_idle(). */
@@ -38,15 +38,15 @@
 	const stream_ops_t *ops;
 	loop_t *loop;
 	h2o_socket_t *sock; /* NULL when closed */
-	bool up;
-	bool finishing;
-	size_t dropped; /* bytes of input that came after stream_flush_and_close() */
-	run_timer_t finish;
-	bool *closed; /* set by stream_close() for a callback that is running */
-	char *out;    /* handed to the socket */
-	char *next;   /* waits for it */
-	size_t next_len;
-	size_t next_size;
+	bool connected;
+	bool closing;
+	size_t discarded; /* bytes of input that came after stream_flush_and_close() */
+	run_timer_t close_timer;
+	bool *closed_flag; /* set by stream_close() for a callback that is running */
+	char *writing;	   /* handed to the socket */
+	char *pending;	   /* waits for it */
+	size_t pending_len;
+	size_t pending_size;
 } stream_t;
 
 /*
--- a/kernel/timer.c
+++ b/kernel/timer.c
@@ -31,7 +31,7 @@
 	while (i > 0) {
 		size_t parent = (i - 1) / 2;
 
-		if (set->heap[parent]->at <= timer->at)
+		if (set->heap[parent]->due_at <= timer->due_at)
 			break;
 		place(set, i, set->heap[parent]);
 		i = parent;
@@ -48,9 +48,9 @@
 
 		if (child >= set->len)
 			break;
-		if (child + 1 < set->len && set->heap[child + 1]->at < set->heap[child]->at)
+		if (child + 1 < set->len && set->heap[child + 1]->due_at < set->heap[child]->due_at)
 			child++;
-		if (set->heap[child]->at >= timer->at)
+		if (set->heap[child]->due_at >= timer->due_at)
 			break;
 		place(set, i, set->heap[child]);
 		i = child;
@@ -78,7 +78,7 @@
 	timers_cancel(set, timer);
 	if (reserve(set) < 0)
 		return -ENOMEM;
-	timer->at = at;
+	timer->due_at = at;
 	timer->cb = cb;
 	place(set, set->len++, timer);
 	sift_up(set, set->len - 1);
@@ -104,12 +104,12 @@
 
 usec_t timers_next_due(const timer_set_t *set)
 {
-	return set->len != 0 ? set->heap[0]->at : USEC_NEVER;
+	return set->len != 0 ? set->heap[0]->due_at : USEC_NEVER;
 }
 
 void timers_expire(timer_set_t *set, usec_t now)
 {
-	while (set->len != 0 && set->heap[0]->at <= now) {
+	while (set->len != 0 && set->heap[0]->due_at <= now) {
 		run_timer_t *timer = set->heap[0];
 
 		timers_cancel(set, timer);
--- a/kernel/timer.h
+++ b/kernel/timer.h
@@ -15,7 +15,7 @@
 
 typedef struct run_timer {
 	timer_cb_t cb;
-	usec_t at;
+	usec_t due_at;
 	size_t index; /* place in the heap plus one, 0 when not armed */
 } run_timer_t;
 
--- a/links/callers.c
+++ b/links/callers.c
@@ -449,7 +449,7 @@
 	.start = start,
 	.drain = drain,
 	.dump = dump,
-	.settle = settle,
+	.close_idle = settle,
 	.destroy = destroy,
 };
 
--- a/links/operators.c
+++ b/links/operators.c
@@ -299,7 +299,7 @@
 	.name = "operators",
 	.order = 40,
 	.start = start,
-	.settle = settle,
+	.close_idle = settle,
 	.destroy = destroy,
 };
 
--- a/links/peerlink.c
+++ b/links/peerlink.c
@@ -111,7 +111,7 @@
 	.order = 30,
 	.start = start,
 	.dump = dump,
-	.settle = settle,
+	.close_idle = settle,
 	.destroy = destroy,
 };
 
--- a/pooler/pooler.c
+++ b/pooler/pooler.c
@@ -365,7 +365,7 @@
 	list_init(&pooler->callers);
 	list_init(&pooler->forwarded);
 	pooler->relay = relay_create(pooler, env->kv);
-	pooler->config_proof.lifetime = config->revoke_bound;
+	pooler->config_proof.max_age = config->revoke_bound;
 	pooler->keepers = shard_owners_create(pooler);
 	pooler->quota = quota_create(pooler);
 	sync_init(pooler);
--- a/pooler/refresh.c
+++ b/pooler/refresh.c
@@ -71,7 +71,7 @@
 static usec_t config_interval(const pooler_t *pooler)
 {
 	usec_t interval = pooler->config.config_bound * CONFIG_REFRESH_PERCENT / 100;
-	usec_t proving = pooler->config_proof.lifetime * KEYS_REFRESH_PERCENT / 100;
+	usec_t proving = pooler->config_proof.max_age * KEYS_REFRESH_PERCENT / 100;
 
 	return proving != 0 && proving < interval ? proving : interval;
 }
--- a/soak/client.c
+++ b/soak/client.c
@@ -520,7 +520,8 @@
 	stream_send(stream, line, (size_t)len);
 }
 
-static const stream_ops_t session_ops = {.on_up = on_up, .on_data = on_data, .on_down = on_down};
+static const stream_ops_t session_ops = {
+	.on_connect = on_up, .on_data = on_data, .on_close = on_down};
 
 static void reconnect(run_timer_t *timer, usec_t now)
 {
--- a/soak/link.c
+++ b/soak/link.c
@@ -167,8 +167,8 @@
 	end(&pair->flows[LINK_BACK], &pair->caller);
 }
 
-static const stream_ops_t caller_ops = {.on_data = on_caller_data, .on_down = on_caller_down};
-static const stream_ops_t target_ops = {.on_data = on_target_data, .on_down = on_target_down};
+static const stream_ops_t caller_ops = {.on_data = on_caller_data, .on_close = on_caller_down};
+static const stream_ops_t target_ops = {.on_data = on_target_data, .on_close = on_target_down};
 
 static void init_flow(pair_t *pair, link_direction_t direction, stream_t *to)
 {
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -393,7 +393,7 @@
 	memcpy(world->customers, customers, count * sizeof(*customers));
 	world->customer_count = count;
 	world->revoke_bound = WORLD_REVOKE;
-	world->slack = (limit_slack_t){.part = 0.1, .operations = 20};
+	world->slack = (limit_slack_t){.fraction = 0.1, .operations = 20};
 	for (size_t i = 0; i < count; i++)
 		snprintf(world->customers[i].key, WORLD_KEY_MAX, "key-%s", customers[i].name);
 }
--- a/tests/standin_members.c
+++ b/tests/standin_members.c
@@ -56,7 +56,7 @@
 	free_link(link);
 }
 
-static const stream_ops_t link_ops = {.on_data = on_line, .on_down = on_link_down};
+static const stream_ops_t link_ops = {.on_data = on_line, .on_close = on_link_down};
 
 static void on_accept(h2o_socket_t *sock, const char *err)
 {
--- a/tests/test_access.c
+++ b/tests/test_access.c
@@ -65,7 +65,7 @@
 
 static void test_proof(void)
 {
-	cache_validity_t proof = {.lifetime = 5 * SEC};
+	cache_validity_t proof = {.max_age = 5 * SEC};
 	const usec_t start = 100 * SEC;
 
 	/* Nothing is proved yet. */
@@ -122,7 +122,7 @@
 {
 	static const double rates[] = {1, 7, 13, 185, 4000};
 	static const double windows[] = {1, 5, 60};
-	const limit_slack_t slack = {.part = 0.1, .operations = 20};
+	const limit_slack_t slack = {.fraction = 0.1, .operations = 20};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
 		for (size_t j = 0; j < G_N_ELEMENTS(windows); j++) {
--- a/tests/test_loop.c
+++ b/tests/test_loop.c
@@ -45,7 +45,7 @@
 	((peer_t *)stream)->open = false;
 }
 
-static const stream_ops_t ops = {.on_data = on_data, .on_down = on_down};
+static const stream_ops_t ops = {.on_data = on_data, .on_close = on_down};
 
 static void on_accept(h2o_socket_t *listener, const char *err)
 {
--- a/tests/test_stream.c
+++ b/tests/test_stream.c
@@ -50,7 +50,7 @@
 	g_error("went down: %s", reason);
 }
 
-static const stream_ops_t ops = {.on_data = on_data, .on_sent = on_sent, .on_down = on_down};
+static const stream_ops_t ops = {.on_data = on_data, .on_flushed = on_sent, .on_close = on_down};
 
 static void turn(int turns)
 {
