--- a/access/cache_validity.c
+++ b/access/cache_validity.c
@@ -1,41 +1,45 @@
 #include "cache_validity.h"
 
-/* Clocks of two VMs don't run at quite the same speed. */
-#define HOLDS_PERCENT 97
-/* The balancer needs up to two seconds to send callers elsewhere. */
-#define OLD_PERCENT 60
-/* A proof usually is a fifth of the lifetime old; what is left is for tries that fail. */
-#define NEWS_PERCENT 40
+/* Expires a little early, since the clocks of two VMs run at slightly different speeds. */
+#define VALID_PERCENT 97
+/* Early enough for the load balancer, which takes up to 2 s to direct callers to another proxy. */
+#define NEAR_EXPIRY_PERCENT 60
+/*
+ * The last confirmation is usually younger than a fifth of max_age. To request one at 40 percent
+ * leaves time for requests that fail.
+ */
+#define REFRESH_PERCENT 40
 
-static bool is_within(const cache_validity_t *proof, usec_t now, unsigned percent)
+static bool is_younger_than(const cache_validity_t *validity, usec_t now, unsigned percent)
 {
-	return proof->max_age == 0 ||
-	       cache_validity_age(proof, now) < proof->max_age / 100 * percent;
+	return validity->max_age == 0 ||
+	       cache_validity_age(validity, now) < validity->max_age / 100 * percent;
 }
 
-void cache_validity_confirm(cache_validity_t *proof, usec_t at)
+void cache_validity_confirm(cache_validity_t *validity, usec_t at)
 {
-	if (at > proof->confirmed_at)
-		proof->confirmed_at = at;
+	if (at > validity->confirmed_at)
+		validity->confirmed_at = at;
 }
 
-usec_t cache_validity_age(const cache_validity_t *proof, usec_t now)
+usec_t cache_validity_age(const cache_validity_t *validity, usec_t now)
 {
-	return proof->confirmed_at != 0 && proof->confirmed_at <= now ? now - proof->confirmed_at
-								      : USEC_NEVER;
+	return validity->confirmed_at != 0 && validity->confirmed_at <= now
+		       ? now - validity->confirmed_at
+		       : USEC_NEVER;
 }
 
-bool cache_is_valid(const cache_validity_t *proof, usec_t now)
+bool cache_is_valid(const cache_validity_t *validity, usec_t now)
 {
-	return is_within(proof, now, HOLDS_PERCENT);
+	return is_younger_than(validity, now, VALID_PERCENT);
 }
 
-bool cache_is_near_expiry(const cache_validity_t *proof, usec_t now)
+bool cache_is_near_expiry(const cache_validity_t *validity, usec_t now)
 {
-	return !is_within(proof, now, OLD_PERCENT);
+	return !is_younger_than(validity, now, NEAR_EXPIRY_PERCENT);
 }
 
-bool cache_needs_refresh(const cache_validity_t *proof, usec_t now)
+bool cache_needs_refresh(const cache_validity_t *validity, usec_t now)
 {
-	return !is_within(proof, now, NEWS_PERCENT);
+	return !is_younger_than(validity, now, REFRESH_PERCENT);
 }
--- a/access/shard_limit.c
+++ b/access/shard_limit.c
@@ -1,25 +1,26 @@
 #include "shard_limit.h"
 
 /*
- * Part of the slack that is used: what is counted when a statement is let through reaches the
- * member a little later, so windows that are measured there differ by some statements.
+ * Fraction of the slack that the shards use up. A statement is counted when it is admitted and
+ * reaches the database member a little later, so a time window measured at the member differs from
+ * the count by some statements.
  */
-#define SLACK_USED 0.8
+#define SLACK_USED_FRACTION 0.8
 /*
- * Part of what may be let through at once that a process which has just started may hand out. Its
- * earlier life may just have used up the rest; without any, callers that come back after a restart
- * of the fleet would be refused until the first tokens are there.
+ * Fraction of the burst that a process may grant right after its start. The process that it
+ * replaces may just have granted the rest. With no initial tokens, callers that reconnect after a
+ * restart of all proxies would be refused until the first tokens have accumulated.
  */
-#define AT_START 0.4
+#define INITIAL_FRACTION 0.4
 
 shard_limit_t shard_limit_compute(const customer_t *customer, const limit_slack_t *slack)
 {
-	double more = 1 + slack->fraction * SLACK_USED;
-	double at_once = customer->burst * more + slack->operations * SLACK_USED;
+	double factor = 1 + slack->fraction * SLACK_USED_FRACTION;
+	double burst = customer->burst * factor + slack->operations * SLACK_USED_FRACTION;
 
 	return (shard_limit_t){
-		.rate = customer->rate * more / LIMIT_SHARDS,
-		.burst = at_once * (1 - AT_START) / LIMIT_SHARDS,
-		.initial = at_once * AT_START / LIMIT_SHARDS,
+		.rate = customer->rate * factor / LIMIT_SHARDS,
+		.burst = burst * (1 - INITIAL_FRACTION) / LIMIT_SHARDS,
+		.initial = burst * INITIAL_FRACTION / LIMIT_SHARDS,
 	};
 }
--- a/access/shard_limit.h
+++ b/access/shard_limit.h
@@ -1,7 +1,9 @@
 /*
- * How a customer's limit is divided among those who count. One process that counts everything would
- * be missed by all whenever it is gone; so there are LIMIT_SHARDS of them, each with an equal share
- * that no other one may use. A caller who finds one share used up, or nobody there, asks the next.
+ * How a customer's limit is divided into limit shards. If a single proxy counted all operations of
+ * a customer, its failure would stop all of them. So the limit is split into LIMIT_SHARDS equal
+ * shards, each counted by a proxy of its own, the shard owner (shard_owners.h), which alone may use
+ * that part of the limit. A proxy that finds a shard used up, or its owner unreachable, requests
+ * from the next one.
  */
 #pragma once
 
@@ -9,20 +11,25 @@
 
 #include "customers.h"
 
-/* Shares of each limit: two thirds of it are left while one of those who count is gone. */
+/* Shards of each limit. While one owner is down, two thirds of the limit remain available. */
 #define LIMIT_SHARDS 3
 
-/* How far the operators let a limit be exceeded, since nobody can count exactly at once. */
+/*
+ * The tolerance, set by the operators, by which a limit may be exceeded, since a distributed count
+ * is never exact at every moment.
+ */
 typedef struct limit_slack {
-	double fraction;   /* of what a window allows */
-	double operations; /* and so many */
+	double fraction;   /* of the operations that the limit allows in a time window */
+	double operations; /* allowed in a window in addition */
 } limit_slack_t;
 
-/* What one seat may let through, as a token bucket. */
+/* The operations that one limit shard may admit, as parameters of a token bucket. */
 typedef struct shard_limit {
-	double rate;
-	double burst;
-	double initial; /* of a process that does not know what was let through before it started */
+	double rate;	/* operations per second */
+	double burst;	/* operations at once */
+	double initial; /* tokens at the start of a process, which has no count of earlier
+			   operations */
 } shard_limit_t;
 
+/* The parameters of each of the customer's shards. */
 shard_limit_t shard_limit_compute(const customer_t *customer, const limit_slack_t *slack);
