--- a/kernel/clock.c
+++ b/kernel/clock.c
@@ -7,7 +7,10 @@
 	struct timespec ts;
 
 	(void)clock;
-	/* A VM that was suspended must see the gap, or its leases and ages look young. */
+	/*
+	 * Unlike CLOCK_MONOTONIC, this clock includes the time that the VM was suspended. Without
+	 * that time, leases and cached data would seem younger than they are.
+	 */
 	clock_gettime(CLOCK_BOOTTIME, &ts);
 	return (usec_t)ts.tv_sec * USEC_PER_SEC + (usec_t)ts.tv_nsec / 1000;
 }
--- a/kernel/clock.h
+++ b/kernel/clock.h
@@ -1,6 +1,6 @@
 /*
- * The run-time's clock. All time in the project is a usec_t read from such a
- * clock: microseconds, monotonic, going on while the process is stopped.
+ * Clocks. All times in the project are usec_t values read from a run_clock_t: microseconds,
+ * monotonic, and advancing also while the process is stopped.
  */
 #pragma once
 
@@ -22,7 +22,7 @@
 	const clock_ops_t *ops;
 } run_clock_t;
 
-/* A clock that stands still until it is advanced. */
+/* A clock for tests and simulations, which changes only by manual_clock_advance(). */
 typedef struct manual_clock {
 	run_clock_t base;
 	usec_t now;
@@ -33,20 +33,20 @@
 	return clock->ops->now(clock);
 }
 
-static inline usec_t usec_clamp(usec_t value, usec_t least, usec_t most)
+static inline usec_t usec_clamp(usec_t value, usec_t min, usec_t max)
 {
-	if (value < least)
-		return least;
-	return value < most ? value : most;
+	if (value < min)
+		return min;
+	return value < max ? value : max;
 }
 
-/* An age for logs, in milliseconds; -1: unknown (USEC_NEVER). */
+/* Converts an age to milliseconds for logs; USEC_NEVER (unknown) becomes -1. */
 static inline int64_t usec_age_ms(usec_t age)
 {
 	return age != USEC_NEVER ? (int64_t)(age / USEC_PER_MSEC) : -1;
 }
 
-/* The VM's clock. It counts suspended time too (CLOCK_BOOTTIME). */
+/* The VM's monotonic clock. It includes the time that the VM was suspended (CLOCK_BOOTTIME). */
 const run_clock_t *clock_system(void);
 
 void manual_clock_init(manual_clock_t *clock, usec_t now);
--- a/kernel/counter.h
+++ b/kernel/counter.h
@@ -1,6 +1,6 @@
 /*
- * Counters. Each is a static variable that names itself to one list at start;
- * they are read out in the Prometheus text format.
+ * Counters and gauges. Each one is a static variable that is added to a global list before main().
+ * counters_write() writes all of them in the Prometheus text format.
  */
 #pragma once
 
@@ -13,14 +13,14 @@
 typedef enum { COUNTER_SUM, COUNTER_GAUGE } counter_type_t;
 
 typedef struct counter {
-	const char *name; /* without the project's prefix */
+	const char *name; /* without the prefix of the project's metrics */
 	const char *help;
 	counter_type_t type;
 	int64_t value;
 	list_t node;
 } counter_t;
 
-/* Define a counter of this file and register it before main(). */
+/* Defines a static counter and registers it before main(). */
 #define COUNTER_DEFINE(var, counter_name, counter_type, counter_help)                              \
 	static counter_t var = {                                                                   \
 		.name = (counter_name), .help = (counter_help), .type = (counter_type)};           \
@@ -42,21 +42,21 @@
 	counter->value = value;
 }
 
-/* Counters of one name, told apart by two labels. */
+/* Counters of one name with two labels: one counter for each pair of label values. */
 typedef struct counter_grid {
 	const char *name;
 	const char *help;
-	const char *row_label;
+	const char *row_label;	 /* name of the first label */
 	const char *const *rows; /* its values */
 	size_t row_count;
-	const char *column_label;
+	const char *column_label; /* name of the second label */
 	const char *const *columns;
 	size_t column_count;
-	int64_t *values; /* row by row */
+	int64_t *values; /* row_count * column_count, row by row */
 	list_t node;
 } counter_grid_t;
 
-/* Define a grid of this file; its rows and columns are arrays of texts. */
+/* Defines a static grid and registers it before main(). The values are arrays of strings. */
 #define COUNTER_GRID_DEFINE(var, grid_name, row_name, row_values, column_name, column_values,      \
 			    grid_help)                                                             \
 	static int64_t var##_values[COUNTER_LEN(row_values) * COUNTER_LEN(column_values)];         \
@@ -84,8 +84,7 @@
 	grid->values[row * grid->column_count + column]++;
 }
 
-/* The sum of all counters of that name, whatever their labels; 0 if there is none. */
+/* The sum of all counters of that name over all label values; 0 if there is none. */
 int64_t counters_total(const char *name);
 
-/* Write all counters to out. */
 void counters_write(FILE *out);
--- a/kernel/err.h
+++ b/kernel/err.h
@@ -1,21 +1,21 @@
 /*
- * Errors. A function that can fail returns 0 or a negative errno value; an
- * err_t beside it carries the step and the peer at which the error arose.
+ * Errors. A function that can fail returns 0 or a negative errno value, and may also fill in an
+ * err_t, which describes the failed operation and the peer or file involved.
  */
 #pragma once
 
 #include <stddef.h>
 
 typedef struct err {
-	int code;	  /* negative errno, 0 for none */
-	const char *step; /* static string: what was being done */
-	char peer[64];	  /* who it was done with, "" for nobody */
-	char text[192];	  /* detail in plain words */
+	int code;	  /* negative errno, 0: no error */
+	const char *step; /* the operation that failed; a static string */
+	char peer[64];	  /* the peer or file involved; "" if there is none */
+	char text[192];	  /* description of the failure */
 } err_t;
 
-/* Fill err (which may be NULL) and return code, so that callers can return it. */
+/* Fills in err, which may be NULL, and returns code, so that the caller can return it at once. */
 int err_set(err_t *err, int code, const char *step, const char *peer, const char *fmt, ...)
 	__attribute__((format(printf, 5, 6)));
 
-/* One line, "step: peer: text (errno text)", into buf. */
+/* Writes one line, "step: peer: text (text of errno)", to buf. */
 void err_format(const err_t *err, char *buf, size_t len);
--- a/kernel/list.h
+++ b/kernel/list.h
@@ -1,6 +1,6 @@
 /*
- * Intrusive doubly linked list. A list_t is either a head or a node embedded
- * in the structure that is listed; list_entry() finds that structure again.
+ * Intrusive doubly linked list. A list_t is either the head of a list or a node, which is embedded
+ * in the structure that is an element of the list.
  */
 #pragma once
 
@@ -12,11 +12,12 @@
 	struct list *next;
 } list_t;
 
+/* The structure of that type whose field member is the node at ptr. */
 #define list_entry(ptr, type, member) ((type *)((char *)(ptr)-offsetof(type, member)))
 
 #define list_for_each(it, head) for (list_t *it = (head)->next; it != (head); it = it->next)
 
-/* Safe against removal of the current node, but of no other. */
+/* The body may remove the current node from the list, but no other one. */
 #define list_for_each_safe(it, head)                                                               \
 	for (list_t *it = (head)->next, *it##_next = it->next; it != (head);                       \
 	     it = it##_next, it##_next = it->next)
@@ -32,7 +33,7 @@
 	return head->next == head;
 }
 
-/* Insert node before pos; with a list head for pos, append. */
+/* Inserts node before pos. If pos is the head of the list, this appends node. */
 static inline void list_add_before(list_t *pos, list_t *node)
 {
 	node->prev = pos->prev;
@@ -46,7 +47,7 @@
 	list_add_before(head, node);
 }
 
-/* Unlink node and leave it initialised, so that a second call is harmless. */
+/* Unlinks node and initialises it again, so that a second call has no effect. */
 static inline void list_del(list_t *node)
 {
 	node->prev->next = node->next;
--- a/kernel/log.c
+++ b/kernel/log.c
@@ -12,18 +12,18 @@
 
 #include "counter.h"
 
-/* Longest line, bytes; longer ones are cut. */
+/* Longer lines are truncated. */
 #define LINE_MAX_BYTES 2048
-/* Lines that wait for a slow reader, bytes. */
+/* Buffer for lines that the reader of the output has not taken yet. */
 #define BACKLOG_BYTES (64 * 1024)
-/* A pipe that is ready takes so much without blocking (PIPE_BUF). */
+/* A pipe that polls as writable takes this much without blocking (PIPE_BUF). */
 #define CHUNK_BYTES 4096
 
 COUNTER_DEFINE(lines_total, "log_lines_total", COUNTER_SUM, "Log lines written.");
 COUNTER_DEFINE(limited_total, "log_lines_limited_total", COUNTER_SUM,
-	       "Log lines left out because one place wrote too many.");
+	       "Log lines suppressed because their call site exceeded its rate limit.");
 COUNTER_DEFINE(dropped_total, "log_lines_dropped_total", COUNTER_SUM,
-	       "Log lines dropped because the output's reader is too slow.");
+	       "Log lines dropped because the reader of the output is too slow.");
 
 static const char *const level_names[] = {
 	[LOG_ERR] = "error",
@@ -32,10 +32,10 @@
 	[LOG_DBG] = "debug",
 };
 
-typedef struct line {
+typedef struct log_buffer {
 	char bytes[LINE_MAX_BYTES];
 	size_t len;
-} line_t;
+} log_buffer_t;
 
 static log_level_t log_level = LOG_INFO;
 static bool log_json;
@@ -90,7 +90,7 @@
 	}
 }
 
-static void put(const line_t *line)
+static void enqueue_line(const log_buffer_t *line)
 {
 	if (backlog_len + line->len > sizeof(backlog)) {
 		log_flush();
@@ -108,74 +108,74 @@
 
 /* --- one line --- */
 
-/* Room is kept for the end of the line, so that a cut one is still whole JSON. */
+/* Bytes reserved for the end of the line, so that a truncated line is still valid JSON. */
 #define LINE_END_ROOM 4
 
-static void add_char(line_t *line, char c)
+static void append_char(log_buffer_t *line, char c)
 {
 	if (line->len < sizeof(line->bytes) - LINE_END_ROOM)
 		line->bytes[line->len++] = c;
 }
 
-static void add_plain(line_t *line, const char *text)
+static void append_plain(log_buffer_t *line, const char *text)
 {
 	for (; *text != '\0'; text++)
-		add_char(line, *text);
+		append_char(line, *text);
 }
 
-static void add_escaped(line_t *line, const char *text, size_t len)
+static void append_escaped(log_buffer_t *line, const char *text, size_t len)
 {
 	for (size_t i = 0; i < len && (len != SIZE_MAX || text[i] != '\0'); i++) {
 		unsigned char c = (unsigned char)text[i];
 		char code[8];
 
-		/* A character that does not fit whole is left out whole. */
+		/* Stop before a character whose escape sequence would not fit completely. */
 		if (line->len + sizeof(code) >= sizeof(line->bytes) - LINE_END_ROOM)
 			return;
 		if (c == '"' || c == '\\') {
-			add_char(line, '\\');
-			add_char(line, (char)c);
+			append_char(line, '\\');
+			append_char(line, (char)c);
 		} else if (c < 0x20 || c >= 0x7f) {
 			snprintf(code, sizeof(code), "\\u%04x", c);
-			add_plain(line, code);
+			append_plain(line, code);
 		} else {
-			add_char(line, (char)c);
+			append_char(line, (char)c);
 		}
 	}
 }
 
-static void add_text(line_t *line, const char *key, const char *text, size_t len)
+static void append_text_field(log_buffer_t *line, const char *key, const char *text, size_t len)
 {
-	/* A field is begun only if its end fits too. */
+	/* Skip a field unless its key and its closing quote fit. */
 	if (line->len + strlen(key) + 8 >= sizeof(line->bytes) - LINE_END_ROOM)
 		return;
 	if (log_json) {
-		add_plain(line, line->len == 1 ? "\"" : ",\"");
-		add_plain(line, key);
-		add_plain(line, "\":\"");
-		add_escaped(line, text, len);
+		append_plain(line, line->len == 1 ? "\"" : ",\"");
+		append_plain(line, key);
+		append_plain(line, "\":\"");
+		append_escaped(line, text, len);
 		line->bytes[line->len++] = '"';
 		return;
 	}
-	add_char(line, ' ');
+	append_char(line, ' ');
 	if (*key != '\0') {
-		add_plain(line, key);
-		add_char(line, '=');
+		append_plain(line, key);
+		append_char(line, '=');
 	}
-	add_escaped(line, text, len);
+	append_escaped(line, text, len);
 }
 
-static void add_number(line_t *line, const char *key, int64_t number)
+static void append_int_field(log_buffer_t *line, const char *key, int64_t number)
 {
 	char digits[24];
 
 	snprintf(digits, sizeof(digits), "%" PRId64, number);
 	if (line->len + strlen(key) + sizeof(digits) + 8 >= sizeof(line->bytes) - LINE_END_ROOM)
 		return;
-	add_plain(line, log_json ? ",\"" : " ");
-	add_plain(line, key);
-	add_plain(line, log_json ? "\":" : "=");
-	add_plain(line, digits);
+	append_plain(line, log_json ? ",\"" : " ");
+	append_plain(line, key);
+	append_plain(line, log_json ? "\":" : "=");
+	append_plain(line, digits);
 }
 
 static void format_time(char *buf, size_t len)
@@ -190,35 +190,35 @@
 	snprintf(buf + n, len - n, ".%03ldZ", ts.tv_nsec / 1000000);
 }
 
-static void begin(line_t *line, log_level_t level, const char *module, const char *text)
+static void begin_line(log_buffer_t *line, log_level_t level, const char *module, const char *text)
 {
-	char when[40];
+	char timestamp[40];
 
-	format_time(when, sizeof(when));
+	format_time(timestamp, sizeof(timestamp));
 	line->len = 0;
 	if (log_json) {
-		add_char(line, '{');
-		add_text(line, "time", when, SIZE_MAX);
-		add_text(line, "level", level_names[level], SIZE_MAX);
-		add_text(line, "module", module, SIZE_MAX);
-		add_text(line, "text", text, SIZE_MAX);
+		append_char(line, '{');
+		append_text_field(line, "time", timestamp, SIZE_MAX);
+		append_text_field(line, "level", level_names[level], SIZE_MAX);
+		append_text_field(line, "module", module, SIZE_MAX);
+		append_text_field(line, "text", text, SIZE_MAX);
 		return;
 	}
-	add_plain(line, when);
-	add_char(line, ' ');
-	add_plain(line, level_names[level]);
-	add_char(line, ' ');
-	add_plain(line, module);
-	add_char(line, ':');
-	add_text(line, "", text, SIZE_MAX);
+	append_plain(line, timestamp);
+	append_char(line, ' ');
+	append_plain(line, level_names[level]);
+	append_char(line, ' ');
+	append_plain(line, module);
+	append_char(line, ':');
+	append_text_field(line, "", text, SIZE_MAX);
 }
 
-static void end(line_t *line)
+static void finish_line(log_buffer_t *line)
 {
 	if (log_json)
 		line->bytes[line->len++] = '}';
 	line->bytes[line->len++] = '\n';
-	put(line);
+	enqueue_line(line);
 }
 
 /* --- interface --- */
@@ -226,7 +226,7 @@
 void log_msg(log_level_t level, const char *module, const char *fmt, ...)
 {
 	char text[1024];
-	line_t line;
+	log_buffer_t line;
 	va_list ap;
 
 	if (level > log_level)
@@ -234,11 +234,11 @@
 	va_start(ap, fmt);
 	vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
-	begin(&line, level, module, text);
-	end(&line);
+	begin_line(&line, level, module, text);
+	finish_line(&line);
 }
 
-static int64_t second_now(void)
+static int64_t monotonic_seconds(void)
 {
 	struct timespec ts;
 
@@ -246,16 +246,19 @@
 	return ts.tv_sec;
 }
 
-/* Returns false if the place has written enough in this second. */
-static bool admit(log_site_t *site, unsigned *left_out)
+/*
+ * Counts a line against the call site's rate limit and returns whether it may be written.
+ * suppressed is set to the number of lines to report with it.
+ */
+static bool admit_line(log_site_t *site, unsigned *suppressed)
 {
-	int64_t now = second_now();
+	int64_t now = monotonic_seconds();
 
-	*left_out = 0;
+	*suppressed = 0;
 	if (site->second != now) {
 		site->second = now;
 		site->written = 0;
-		*left_out = site->suppressed;
+		*suppressed = site->suppressed;
 		site->suppressed = 0;
 	}
 	if (site->written < LOG_SITE_LINES_PER_SEC) {
@@ -270,22 +273,22 @@
 void log_event(log_site_t *site, log_level_t level, const char *module, const char *text,
 	       const log_field_t *fields, size_t count)
 {
-	unsigned left_out;
-	line_t line;
+	unsigned suppressed;
+	log_buffer_t line;
 
-	if (!log_enabled(level) || !admit(site, &left_out))
+	if (!log_enabled(level) || !admit_line(site, &suppressed))
 		return;
-	begin(&line, level, module, text);
+	begin_line(&line, level, module, text);
 	for (size_t i = 0; i < count; i++) {
 		const log_field_t *field = &fields[i];
 
 		if (field->kind == LOG_FIELD_INT)
-			add_number(&line, field->key, field->number);
+			append_int_field(&line, field->key, field->number);
 		else
-			add_text(&line, field->key, field->text != NULL ? field->text : "",
-				 field->text != NULL ? field->len : 0);
+			append_text_field(&line, field->key, field->text != NULL ? field->text : "",
+					  field->text != NULL ? field->len : 0);
 	}
-	if (left_out != 0)
-		add_number(&line, "left_out", left_out);
-	end(&line);
+	if (suppressed != 0)
+		append_int_field(&line, "left_out", suppressed);
+	finish_line(&line);
 }
--- a/kernel/loop.c
+++ b/kernel/loop.c
@@ -8,15 +8,16 @@
 #include "list.h"
 #include "log.h"
 
-/* Longest sleep in h2o's loop, milliseconds: bounds the wait for a signal flag. */
-#define MAX_WAIT_MSEC 100
+/* Longest wait in h2o's loop; bounds the time until flags set by signal handlers are checked. */
+#define MAX_WAIT_MS 100
 /*
- * A timer that is so late is run only after one more look at all sockets. Timers are usually late
- * by less than a millisecond, since h2o waits in whole ones; on a busy VM by tens.
+ * If a timer is overdue by more than this, all sockets are polled once more before it runs. Timers
+ * are usually late by less than 1 ms, since h2o waits for whole milliseconds, and by tens of
+ * milliseconds on a busy VM.
  */
-#define LATE_TIMER (10 * USEC_PER_MSEC)
+#define LATE_TIMER_USEC (10 * USEC_PER_MSEC)
 
-static void on_turn(h2o_timeout_entry_t *entry)
+static void on_timers_timeout(h2o_timeout_entry_t *entry)
 {
 	loop_t *loop = list_entry(entry, loop_t, timers_timeout_entry);
 
@@ -24,13 +25,13 @@
 }
 
 /*
- * A socket that a timer writes to waits in h2o's list of callbacks. If the timer closes it too, h2o
- * would free it at the start of its next turn and give its memory to a connection accepted then,
- * while it is still in that list: the list gets a cycle and the process answers nobody any more.
- * Run as a timeout of h2o, the timers are followed by all waiting callbacks, so that no socket is
- * in the list when it is freed.
+ * Runs the timers as a timeout of h2o, because h2o then runs all pending socket callbacks directly
+ * after them. A socket that a timer writes to is in h2o's list of pending callbacks. If the timer
+ * also closes the socket and the callbacks run later, h2o frees the socket at the start of its next
+ * iteration, while the socket is still in that list, and may reuse its memory for a connection that
+ * it accepts in that iteration. The list then has a cycle, and the process hangs.
  */
-static void run_timers(loop_t *loop)
+static void run_due_timers(loop_t *loop)
 {
 	h2o_timeout_link(loop->h2o, &loop->timers_timeout, &loop->timers_timeout_entry);
 	h2o_timeout_run(loop->h2o, &loop->timers_timeout, h2o_now(loop->h2o));
@@ -45,7 +46,7 @@
 	loop->stopping = false;
 	timers_init(&loop->timers);
 	h2o_timeout_init(loop->h2o, &loop->timers_timeout, 0);
-	loop->timers_timeout_entry = (h2o_timeout_entry_t){.cb = on_turn};
+	loop->timers_timeout_entry = (h2o_timeout_entry_t){.cb = on_timers_timeout};
 	return 0;
 }
 
@@ -53,50 +54,50 @@
 {
 	h2o_timeout_dispose(loop->h2o, &loop->timers_timeout);
 	timers_destroy(&loop->timers);
-	/* h2o 2.2's evloop has no complete destructor; the process is about to end. */
+	/* h2o 2.2 can't destroy its loop completely. The exit of the process frees the rest. */
 }
 
-static int32_t wait_msec(const loop_t *loop)
+static int32_t next_wait_ms(const loop_t *loop)
 {
 	usec_t next = timers_next_due(&loop->timers);
 	usec_t now = clock_now(loop->clock);
 	usec_t msec;
 
 	if (next == USEC_NEVER)
-		return MAX_WAIT_MSEC;
+		return MAX_WAIT_MS;
 	if (next <= now)
 		return 0;
 	msec = (next - now + USEC_PER_MSEC - 1) / USEC_PER_MSEC;
-	return msec < MAX_WAIT_MSEC ? (int32_t)msec : MAX_WAIT_MSEC;
+	return msec < MAX_WAIT_MS ? (int32_t)msec : MAX_WAIT_MS;
 }
 
 /*
- * Wait for sockets and read them. A signal, or a process that was stopped and goes on, ends the
- * wait early, and such a turn reads nothing. Timers that ran behind it would judge by what was
- * known before: a statement whose answer lies in the socket would be out of time, a listener closed
- * with callers in its queue.
+ * Waits for sockets and runs their callbacks. A signal, or the continuation of a stopped process,
+ * interrupts the wait, and h2o then reads no socket. The wait is repeated in that case, since
+ * timers that ran next would act on outdated state: a statement would time out although its answer
+ * is in the socket, or a listener would be closed with connections in its queue.
  */
-static void read_all(loop_t *loop, int32_t wait)
+static void poll_sockets(loop_t *loop, int32_t wait_ms)
 {
-	while (h2o_evloop_run(loop->h2o, wait) != 0 && errno == EINTR)
-		wait = 0;
+	while (h2o_evloop_run(loop->h2o, wait_ms) != 0 && errno == EINTR)
+		wait_ms = 0;
 }
 
-/* The same for timers that are late since the turn itself took long. */
-static bool is_late(const loop_t *loop)
+/* True if a timer is overdue, because the callbacks of this iteration took long. */
+static bool has_late_timer(const loop_t *loop)
 {
 	usec_t next = timers_next_due(&loop->timers);
 
-	return next != USEC_NEVER && clock_now(loop->clock) > next + LATE_TIMER;
+	return next != USEC_NEVER && clock_now(loop->clock) > next + LATE_TIMER_USEC;
 }
 
 void loop_run(loop_t *loop)
 {
 	while (!loop->stopping) {
-		read_all(loop, wait_msec(loop));
-		if (is_late(loop))
-			read_all(loop, 0);
-		run_timers(loop);
+		poll_sockets(loop, next_wait_ms(loop));
+		if (has_late_timer(loop))
+			poll_sockets(loop, 0);
+		run_due_timers(loop);
 		log_flush();
 	}
 }
@@ -110,7 +111,7 @@
 {
 	loop_watch_t *watch = sock->data;
 
-	(void)err; /* the library that owns the descriptor meets the error itself */
+	(void)err; /* the library that owns the descriptor detects the error itself */
 	watch->on_readable(watch);
 }
 
@@ -124,13 +125,13 @@
 
 int loop_watch_start(loop_t *loop, loop_watch_t *watch, int fd, loop_watch_cb_t cb)
 {
-	int copy = fcntl(fd, F_DUPFD_CLOEXEC, 0);
+	int duplicate = fcntl(fd, F_DUPFD_CLOEXEC, 0);
 
-	if (copy < 0)
+	if (duplicate < 0)
 		return -errno;
-	watch->sock = h2o_evloop_socket_create(loop->h2o, copy, H2O_SOCKET_FLAG_DONT_READ);
+	watch->sock = h2o_evloop_socket_create(loop->h2o, duplicate, H2O_SOCKET_FLAG_DONT_READ);
 	if (watch->sock == NULL) {
-		close(copy);
+		close(duplicate);
 		return -ENOMEM;
 	}
 	watch->sock->data = watch;
--- a/kernel/loop.h
+++ b/kernel/loop.h
@@ -1,6 +1,6 @@
 /*
- * The one loop of a process: h2o's event loop, the ordered timers, and watches
- * on descriptors that belong to other libraries (libpq, ZeroMQ, curl).
+ * The event loop of a process: h2o's event loop, timers, and watches on file descriptors that
+ * belong to other libraries (libpq, ZeroMQ, curl).
  */
 #pragma once
 
@@ -15,7 +15,7 @@
 	h2o_loop_t *h2o;
 	const run_clock_t *clock;
 	timer_set_t timers;
-	h2o_timeout_t timers_timeout; /* runs the timers within h2o's own loop */
+	h2o_timeout_t timers_timeout; /* of 0 ms; runs the timers as a timeout of h2o */
 	h2o_timeout_entry_t timers_timeout_entry;
 	bool stopping;
 } loop_t;
@@ -25,11 +25,11 @@
 typedef void (*loop_watch_cb_t)(struct loop_watch *watch);
 
 /*
- * A watch on a descriptor owned elsewhere. It works on a duplicate, since h2o
- * closes what it polls. Writability is reported once a request.
+ * A watch on a file descriptor that another library owns. It polls a duplicate of the descriptor,
+ * since h2o closes the descriptors that it polls.
  */
 typedef struct loop_watch {
-	h2o_socket_t *sock; /* NULL when not watching */
+	h2o_socket_t *sock; /* NULL while the watch is stopped */
 	loop_watch_cb_t on_readable;
 	loop_watch_cb_t on_writable;
 } loop_watch_t;
@@ -37,11 +37,12 @@
 int loop_init(loop_t *loop, const run_clock_t *clock);
 void loop_destroy(loop_t *loop);
 
-/* Run until loop_stop() is called. */
+/* Runs until loop_stop() is called. */
 void loop_run(loop_t *loop);
 void loop_stop(loop_t *loop);
 
-/* Start to watch fd for input. Returns 0 or a negative errno. */
+/* Starts to watch fd for input. Returns 0 or a negative errno. */
 int loop_watch_start(loop_t *loop, loop_watch_t *watch, int fd, loop_watch_cb_t on_readable);
+/* Calls on_writable once, as soon as the descriptor is writable. */
 void loop_watch_writable_once(loop_watch_t *watch, loop_watch_cb_t on_writable);
 void loop_watch_stop(loop_watch_t *watch);
--- a/kernel/plugin.c
+++ b/kernel/plugin.c
@@ -17,7 +17,7 @@
 	list_add_before(pos, &plugin->registered);
 }
 
-static bool is_of_family(const plugin_t *plugin, const char *family)
+static bool is_in_family(const plugin_t *plugin, const char *family)
 {
 	if (plugin->ops->family == NULL || family == NULL)
 		return plugin->ops->family == family;
@@ -40,7 +40,7 @@
 		plugin_t *plugin = list_entry(it, plugin_t, registered);
 		int rc;
 
-		if (!is_of_family(plugin, kernel->family))
+		if (!is_in_family(plugin, kernel->family))
 			continue;
 		rc = plugin->ops->start(plugin, kernel, err);
 		if (rc < 0)
@@ -62,15 +62,15 @@
 
 bool kernel_close_idle(kernel_t *kernel)
 {
-	bool settled = true;
+	bool all_closed = true;
 
 	list_for_each (it, &kernel->started) {
 		plugin_t *plugin = list_entry(it, plugin_t, started);
 
 		if (plugin->ops->close_idle != NULL && !plugin->ops->close_idle(plugin))
-			settled = false;
+			all_closed = false;
 	}
-	return settled;
+	return all_closed;
 }
 
 json_t *kernel_dump(const kernel_t *kernel)
--- a/kernel/settings.c
+++ b/kernel/settings.c
@@ -26,14 +26,14 @@
 	return NULL;
 }
 
-static int reject(err_t *err, const char *path, int line, const char *key, const json_t *value,
-		  const char *expected)
+static int set_value_error(err_t *err, const char *path, int line, const char *key,
+			   const json_t *value, const char *expected)
 {
-	char *shown = json_dumps(value, JSON_ENCODE_ANY | JSON_COMPACT);
+	char *text = json_dumps(value, JSON_ENCODE_ANY | JSON_COMPACT);
 
 	err_set(err, -EINVAL, "read settings", path, "line %d: %s = %s: expected %s", line, key,
-		shown, expected);
-	free(shown);
+		text, expected);
+	free(text);
 	return -EINVAL;
 }
 
@@ -53,7 +53,7 @@
 	return 0;
 }
 
-/* Returns 0, or -EINVAL when value has not the type or range of spec. */
+/* Returns 0, or -EINVAL if value has another type than spec or is out of its range. */
 static int store_value(const setting_t *spec, const json_t *value, void *out)
 {
 	void *field = (char *)out + spec->offset;
@@ -87,7 +87,7 @@
 	return -EINVAL;
 }
 
-static void store_initial(const setting_t *spec, void *out)
+static void store_default(const setting_t *spec, void *out)
 {
 	void *field = (char *)out + spec->offset;
 
@@ -118,7 +118,8 @@
 	char expected[160];
 
 	if (spec == NULL)
-		return reject(err, path, line, key, value, "a known key (see --help-settings)");
+		return set_value_error(err, path, line, key, value,
+				       "a known key (see --help-settings)");
 	if (store_value(spec, value, out) == 0)
 		return 0;
 	if (spec->type == SETTING_INT || spec->type == SETTING_NUMBER)
@@ -126,7 +127,7 @@
 			 type_names[spec->type], spec->min, spec->max, spec->unit);
 	else
 		snprintf(expected, sizeof(expected), "%s", type_names[spec->type]);
-	return reject(err, path, line, key, value, expected);
+	return set_value_error(err, path, line, key, value, expected);
 }
 
 static int store_all(const char *path, const setting_t *specs, size_t len, json_t *flat, void *out,
@@ -148,7 +149,7 @@
 			return err_set(err, -EINVAL, "read settings", path,
 				       "%s is missing: expected %s", specs[i].key,
 				       type_names[specs[i].type]);
-		store_initial(&specs[i], out);
+		store_default(&specs[i], out);
 	}
 	return 0;
 }
--- a/kernel/settings.h
+++ b/kernel/settings.h
@@ -1,7 +1,7 @@
 /*
- * Checked settings. A const table describes every key: type, default, range
- * and meaning. Anything unknown or out of range is an error that gives file,
- * line, key, value and what was expected.
+ * Settings files, validated. A constant table describes the type, default, range and meaning of
+ * each key. An unknown key or a value out of range is an error whose message contains the file, the
+ * line, the key, the value and what was expected.
  */
 #pragma once
 
@@ -23,29 +23,30 @@
 	const char *key; /* "table.key" */
 	setting_type_t type;
 	size_t offset;		  /* of the field in the settings structure */
-	const char *default_text; /* default as text; NULL: the key is required */
-	int64_t min;		  /* integers and numbers */
+	const char *default_text; /* default value as text; NULL: the key is required */
+	int64_t min;		  /* of integers and numbers */
 	int64_t max;
-	const char *unit; /* "" where none applies */
+	const char *unit; /* "": none */
 	const char *help;
-	bool reloadable; /* takes effect on a reload; else needs a restart */
+	bool reloadable; /* a change takes effect on a reload; otherwise at a restart */
 } setting_t;
 
-/* A list setting: a talloc array of strings. */
+/* The value of a list setting: a talloc array of strings. */
 typedef struct string_list {
 	char **items;
 	size_t len;
 } string_list_t;
 
 /*
- * Read path into out (a talloc context; strings become its children). Fields:
- * char * for strings, int64_t, bool, string_list_t, double for numbers.
+ * Reads the file at path into the structure out, which is the talloc parent of its strings. The
+ * types of the fields are char * for strings, int64_t for integers, bool, string_list_t for lists,
+ * and double for numbers.
  */
 int settings_load(const char *path, const setting_t *specs, size_t len, void *out, err_t *err);
 
-/* The same from a text; path is used in messages only. */
+/* Like settings_load(), from a text; path is used in error messages only. */
 int settings_parse(const char *text, const char *path, const setting_t *specs, size_t len,
 		   void *out, err_t *err);
 
-/* One line a setting: key, type, unit, default, meaning. */
+/* Writes one line for each setting: key, type, unit, default and meaning. */
 void settings_describe(const setting_t *specs, size_t len, FILE *out);
--- a/kernel/stream.c
+++ b/kernel/stream.c
@@ -11,12 +11,13 @@
 
 #include "list.h"
 
-#define BACKLOG 1024
-/* Probes of an idle connection: first after, then between; after four the peer counts as gone. */
+#define LISTEN_BACKLOG 1024
+/* Probes of an idle connection. The connection ends if no one of them is answered. */
 #define KEEPALIVE_IDLE_SEC     5
 #define KEEPALIVE_INTERVAL_SEC 2
 #define KEEPALIVE_COUNT	       4
-#define FIRST_OUTPUT	       512
+/* Size of an output buffer at first; it is doubled as needed. */
+#define INITIAL_OUTPUT_BYTES 512
 
 int stream_split_address(const char *address, char *host, uint16_t *port)
 {
@@ -58,9 +59,9 @@
 		return err_set(err, -EINVAL, "listen", address, "expected IP:PORT");
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
 	if (fd < 0)
-		return err_set(err, -errno, "listen", address, "no socket");
+		return err_set(err, -errno, "listen", address, "cannot create the socket");
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-	if (bind(fd, (struct sockaddr *)&sin, sizeof(sin)) < 0 || listen(fd, BACKLOG) < 0) {
+	if (bind(fd, (struct sockaddr *)&sin, sizeof(sin)) < 0 || listen(fd, LISTEN_BACKLOG) < 0) {
 		int code = -errno;
 
 		close(fd);
@@ -69,7 +70,7 @@
 	return fd;
 }
 
-static void set_options(h2o_socket_t *sock, int silence_ms)
+static void set_tcp_options(h2o_socket_t *sock, int user_timeout_ms)
 {
 	int fd = h2o_socket_get_fd(sock);
 	int on = 1;
@@ -78,7 +79,7 @@
 	int count = KEEPALIVE_COUNT;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, sizeof(silence_ms));
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms, sizeof(user_timeout_ms));
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof(idle));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval, sizeof(interval));
@@ -104,7 +105,7 @@
 		*stream->closed_flag = true;
 }
 
-static void go_down(stream_t *stream, const char *reason)
+static void close_with_reason(stream_t *stream, const char *reason)
 {
 	stream_close(stream);
 	stream->ops->on_close(stream, reason);
@@ -112,36 +113,36 @@
 
 /* --- input --- */
 
-/* True if the socket holds input that was not read; the end of input does not count. */
-static bool has_unread(const stream_t *stream)
+/* True if the socket holds input that has not been read; the end of the input does not count. */
+static bool has_unread_input(const stream_t *stream)
 {
 	char byte;
 
 	return recv(h2o_socket_get_fd(stream->sock), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-/* Hand over what has been read until nothing more of it is used. */
-static void deliver(stream_t *stream)
+/* Passes the input that has been read to on_data until it consumes nothing more. */
+static void deliver_input(stream_t *stream)
 {
 	bool closed = false;
 
 	stream->closed_flag = &closed;
 	while (stream->sock->input->size != 0) {
-		size_t used;
+		size_t consumed;
 
 		if (stream->closing) {
-			used = stream->sock->input->size;
-			stream->discarded += used;
+			consumed = stream->sock->input->size;
+			stream->discarded += consumed;
 		} else {
-			used = stream->ops->on_data(stream, stream->sock->input->bytes,
-						    stream->sock->input->size);
-			/* The stream, and what holds it, may be gone. */
+			consumed = stream->ops->on_data(stream, stream->sock->input->bytes,
+							stream->sock->input->size);
+			/* The stream and the structure that contains it may be freed by now. */
 			if (closed)
 				return;
 		}
-		if (used == 0)
+		if (consumed == 0)
 			break;
-		h2o_buffer_consume(&stream->sock->input, used);
+		h2o_buffer_consume(&stream->sock->input, consumed);
 	}
 	stream->closed_flag = NULL;
 }
@@ -151,21 +152,21 @@
 	stream_t *stream = sock->data;
 
 	if (err != NULL) {
-		go_down(stream, err);
+		close_with_reason(stream, err);
 		return;
 	}
-	deliver(stream);
+	deliver_input(stream);
 }
 
 void stream_resume(stream_t *stream)
 {
 	if (stream->sock != NULL && stream->closed_flag == NULL)
-		deliver(stream);
+		deliver_input(stream);
 }
 
 /* --- output --- */
 
-static void write_next(stream_t *stream);
+static void write_pending(stream_t *stream);
 
 static void on_written(h2o_socket_t *sock, const char *err)
 {
@@ -174,16 +175,16 @@
 	free(stream->writing);
 	stream->writing = NULL;
 	if (err != NULL)
-		go_down(stream, err);
+		close_with_reason(stream, err);
 	else if (stream->pending_len != 0)
-		write_next(stream);
+		write_pending(stream);
 	else if (stream->closing)
-		go_down(stream, "finished");
+		close_with_reason(stream, "finished");
 	else if (stream->ops->on_flushed != NULL)
 		stream->ops->on_flushed(stream);
 }
 
-static void write_next(stream_t *stream)
+static void write_pending(stream_t *stream)
 {
 	h2o_iovec_t vec = h2o_iovec_init(stream->pending, stream->pending_len);
 
@@ -194,21 +195,21 @@
 	h2o_socket_write(stream->sock, &vec, 1, on_written);
 }
 
-static int append(stream_t *stream, const char *data, size_t len)
+static int append_pending(stream_t *stream, const char *data, size_t len)
 {
 	size_t need = stream->pending_len + len;
-	size_t size = stream->pending_size != 0 ? stream->pending_size : FIRST_OUTPUT;
-	char *grown;
+	size_t size = stream->pending_size != 0 ? stream->pending_size : INITIAL_OUTPUT_BYTES;
+	char *buffer;
 
 	if (need > STREAM_OUTPUT_MAX)
 		return -ENOBUFS;
 	while (size < need)
 		size *= 2;
 	if (size != stream->pending_size) {
-		grown = realloc(stream->pending, size);
-		if (grown == NULL)
+		buffer = realloc(stream->pending, size);
+		if (buffer == NULL)
 			return -ENOBUFS;
-		stream->pending = grown;
+		stream->pending = buffer;
 		stream->pending_size = size;
 	}
 	memcpy(stream->pending + stream->pending_len, data, len);
@@ -222,16 +223,16 @@
 
 	if (stream->sock == NULL || stream->closing)
 		return -ENOTCONN;
-	rc = append(stream, data, len);
+	rc = append_pending(stream, data, len);
 	if (rc == 0 && stream->connected && stream->writing == NULL)
-		write_next(stream);
+		write_pending(stream);
 	return rc;
 }
 
-static void on_finish(run_timer_t *timer, usec_t now)
+static void on_close_timer(run_timer_t *timer, usec_t now)
 {
 	(void)now;
-	go_down(list_entry(timer, stream_t, close_timer), "finished");
+	close_with_reason(list_entry(timer, stream_t, close_timer), "finished");
 }
 
 void stream_flush_and_close(stream_t *stream)
@@ -239,17 +240,17 @@
 	if (stream->sock == NULL || stream->closing)
 		return;
 	stream->closing = true;
-	/* Ends from the loop, never from within the caller's own call. */
+	/* Close from the loop: on_close must not be called from within the caller's call. */
 	if (stream->writing == NULL)
 		timers_arm(&stream->loop->timers, &stream->close_timer,
-			   clock_now(stream->loop->clock), on_finish);
+			   clock_now(stream->loop->clock), on_close_timer);
 }
 
 stream_close_result_t stream_close_if_idle(stream_t *stream)
 {
 	if (stream->sock == NULL)
 		return STREAM_CLOSED;
-	if (has_unread(stream))
+	if (has_unread_input(stream))
 		return STREAM_UNREAD_INPUT;
 	if (stream->sock->input->size != 0)
 		return STREAM_UNCONSUMED_INPUT;
@@ -261,12 +262,12 @@
 
 /* --- opening --- */
 
-static void start(stream_t *stream)
+static void start_reading(stream_t *stream)
 {
 	stream->connected = true;
 	h2o_socket_read_start(stream->sock, on_readable);
 	if (stream->pending_len != 0 && stream->writing == NULL)
-		write_next(stream);
+		write_pending(stream);
 }
 
 static void on_connected(h2o_socket_t *sock, const char *err)
@@ -274,15 +275,16 @@
 	stream_t *stream = sock->data;
 
 	if (err != NULL) {
-		go_down(stream, err);
+		close_with_reason(stream, err);
 		return;
 	}
-	start(stream);
+	start_reading(stream);
 	if (stream->ops->on_connect != NULL)
 		stream->ops->on_connect(stream);
 }
 
-int stream_connect(stream_t *stream, loop_t *loop, const char *address, int silence_ms, err_t *err)
+int stream_connect(stream_t *stream, loop_t *loop, const char *address, int user_timeout_ms,
+		   err_t *err)
 {
 	struct sockaddr_in sin;
 
@@ -296,19 +298,19 @@
 		h2o_socket_connect(loop->h2o, (struct sockaddr *)&sin, sizeof(sin), on_connected);
 	if (stream->sock == NULL)
 		return err_set(err, errno != 0 ? -errno : -ENETUNREACH, "connect", address,
-			       "no connection");
+			       "cannot start the connection");
 	stream->sock->data = stream;
-	set_options(stream->sock, silence_ms);
+	set_tcp_options(stream->sock, user_timeout_ms);
 	return 0;
 }
 
-void stream_accept(stream_t *stream, loop_t *loop, h2o_socket_t *sock, int silence_ms)
+void stream_accept(stream_t *stream, loop_t *loop, h2o_socket_t *sock, int user_timeout_ms)
 {
 	stream->loop = loop;
 	stream->sock = sock;
 	stream->closing = false;
 	stream->discarded = 0;
 	sock->data = stream;
-	set_options(sock, silence_ms);
-	start(stream);
+	set_tcp_options(sock, user_timeout_ms);
+	start_reading(stream);
 }
--- a/kernel/stream.h
+++ b/kernel/stream.h
@@ -1,7 +1,7 @@
 /*
- * A TCP connection on the loop: connect or take over, read into one buffer,
- * write without blocking. It notices a peer that has gone silent, and bounds
- * what waits for a peer that does not read.
+ * TCP connections on the event loop, outgoing or accepted. Input is read into one buffer; writes
+ * never block. A stream detects a peer that no longer responds, and limits the output that is
+ * buffered for a peer that does not read.
  */
 #pragma once
 
@@ -10,28 +10,31 @@
 #include "err.h"
 #include "loop.h"
 
-/* Output that may wait for the peer, bytes: two messages of the largest size. */
+/* Most bytes of output that are buffered: two messages of the largest size. */
 #define STREAM_OUTPUT_MAX (2 * 1024 * 1024)
 
 struct stream;
 
 typedef struct stream_ops {
-	/* An outgoing connection is made; may be NULL. */
+	/* An outgoing connection is established; may be NULL. */
 	void (*on_connect)(struct stream *stream);
-	/* Input; returns how many bytes were used up. The rest comes again with more. */
+	/*
+	 * Input has arrived. Returns how many bytes were consumed; the others are passed again when
+	 * more input arrives, or after stream_resume().
+	 */
 	size_t (*on_data)(struct stream *stream, const char *data, size_t len);
-	/* All output has left; may be NULL. */
+	/* All output has been written to the socket; may be NULL. */
 	void (*on_flushed)(struct stream *stream);
-	/* The connection is gone, by the peer or an error; the stream is closed already. */
+	/* The peer or an error has ended the connection; the stream is closed already. */
 	void (*on_close)(struct stream *stream, const char *reason);
 } stream_ops_t;
 
-/* What came of stream_close_if_idle(). */
+/* Result of stream_close_if_idle(). */
 typedef enum {
-	STREAM_CLOSED,		 /* it is closed */
-	STREAM_UNREAD_INPUT,	 /* there is input that on_data has not seen */
-	STREAM_UNCONSUMED_INPUT, /* on_data has seen all input, and left some */
-	STREAM_UNSENT_OUTPUT,	 /* there is output that has not left */
+	STREAM_CLOSED,		 /* the stream is closed */
+	STREAM_UNREAD_INPUT,	 /* the socket holds input that has not been read */
+	STREAM_UNCONSUMED_INPUT, /* on_data has received all input but left some */
+	STREAM_UNSENT_OUTPUT,	 /* there is output that has not been sent */
 } stream_close_result_t;
 
 typedef struct stream {
@@ -39,49 +42,50 @@
 	loop_t *loop;
 	h2o_socket_t *sock; /* NULL when closed */
 	bool connected;
-	bool closing;
-	size_t discarded; /* bytes of input that came after stream_flush_and_close() */
-	run_timer_t close_timer;
-	bool *closed_flag; /* set by stream_close() for a callback that is running */
-	char *writing;	   /* handed to the socket */
-	char *pending;	   /* waits for it */
+	bool closing;		 /* stream_flush_and_close() was called */
+	size_t discarded;	 /* bytes of input that arrived after stream_flush_and_close() */
+	run_timer_t close_timer; /* of stream_flush_and_close() without output */
+	bool *closed_flag;	 /* set to true by stream_close(); non-NULL while on_data runs */
+	char *writing;		 /* output that h2o is writing, or NULL */
+	char *pending;		 /* output to write after it */
 	size_t pending_len;
 	size_t pending_size;
 } stream_t;
 
 /*
- * Connect to address, IP:PORT. silence_ms: sent data unacknowledged for so long
- * ends the connection. Returns 0, or a negative errno with err filled in.
+ * Connects to address, IP:PORT. user_timeout_ms: the connection ends if sent data stays
+ * unacknowledged for this time. Returns 0, or a negative errno with err filled in.
  */
-int stream_connect(stream_t *stream, loop_t *loop, const char *address, int silence_ms, err_t *err);
+int stream_connect(stream_t *stream, loop_t *loop, const char *address, int user_timeout_ms,
+		   err_t *err);
 
-/* Take over an accepted socket. */
-void stream_accept(stream_t *stream, loop_t *loop, h2o_socket_t *sock, int silence_ms);
+/* Initialises the stream with an accepted socket, which it owns from then on. */
+void stream_accept(stream_t *stream, loop_t *loop, h2o_socket_t *sock, int user_timeout_ms);
 
-/* Returns 0, -ENOTCONN, or -ENOBUFS when the peer does not read. */
+/* Returns 0, -ENOTCONN, or -ENOBUFS if too much output is buffered or memory is short. */
 int stream_send(stream_t *stream, const char *data, size_t len);
 
-/* Look at the input again that on_data has left. */
+/* Passes the input that on_data has not consumed to on_data again. */
 void stream_resume(stream_t *stream);
 
-/* Close at once, without a callback. */
+/* Closes at once, without calling on_close. */
 void stream_close(stream_t *stream);
 
-/* Close when all output has left; input is thrown away, on_down is called in the end. */
+/* Closes when all output has been sent, then calls on_close. Input is discarded until then. */
 void stream_flush_and_close(stream_t *stream);
 
 /*
- * Close the connection unless there is input to handle or output to send. The look and the close
- * are one step: if the close waited for a later turn of the loop, what comes in between would be
- * thrown away, and its sender would get neither an answer nor a refusal. Only what is on its way
- * right now can still cross the close. on_down is not called; if the connection stays open because
- * of STREAM_UNREAD_INPUT or STREAM_UNSENT_OUTPUT, on_data or on_sent follows (after
- * stream_flush_and_close() on_down).
+ * Closes the connection unless there is input to handle or output to send. The check and the close
+ * are one step: if the close were deferred to a later iteration of the loop, input that arrives in
+ * between would be discarded, and its sender would get neither an answer nor a refusal. Only data
+ * that is in flight at this moment can still be lost. on_close is not called. If the connection
+ * stays open because of STREAM_UNREAD_INPUT or STREAM_UNSENT_OUTPUT, a call of on_data or
+ * on_flushed follows (after stream_flush_and_close(): of on_close).
  */
 stream_close_result_t stream_close_if_idle(stream_t *stream);
 
-/* Open a listening socket on address. Returns its descriptor or a negative errno. */
+/* Opens a listening socket on address. Returns its descriptor or a negative errno. */
 int stream_listen(const char *address, err_t *err);
 
-/* Split IP:PORT; host needs 64 bytes. Returns 0 or -EINVAL. */
+/* Splits IP:PORT; host must have room for 64 bytes. Returns 0 or -EINVAL. */
 int stream_split_address(const char *address, char *host, uint16_t *port);
--- a/kernel/timer.c
+++ b/kernel/timer.c
@@ -3,7 +3,7 @@
 #include <errno.h>
 #include <stdlib.h>
 
-#define FIRST_SIZE 16
+#define INITIAL_CAPACITY 16
 
 void timers_init(timer_set_t *set)
 {
@@ -18,7 +18,7 @@
 	*set = (timer_set_t){0};
 }
 
-static void place(timer_set_t *set, size_t i, run_timer_t *timer)
+static void set_slot(timer_set_t *set, size_t i, run_timer_t *timer)
 {
 	set->heap[i] = timer;
 	timer->index = i + 1;
@@ -33,10 +33,10 @@
 
 		if (set->heap[parent]->due_at <= timer->due_at)
 			break;
-		place(set, i, set->heap[parent]);
+		set_slot(set, i, set->heap[parent]);
 		i = parent;
 	}
-	place(set, i, timer);
+	set_slot(set, i, timer);
 }
 
 static void sift_down(timer_set_t *set, size_t i)
@@ -52,15 +52,15 @@
 			child++;
 		if (set->heap[child]->due_at >= timer->due_at)
 			break;
-		place(set, i, set->heap[child]);
+		set_slot(set, i, set->heap[child]);
 		i = child;
 	}
-	place(set, i, timer);
+	set_slot(set, i, timer);
 }
 
 static int reserve(timer_set_t *set)
 {
-	size_t size = set->size != 0 ? set->size * 2 : FIRST_SIZE;
+	size_t size = set->size != 0 ? set->size * 2 : INITIAL_CAPACITY;
 	run_timer_t **heap;
 
 	if (set->len < set->size)
@@ -80,7 +80,7 @@
 		return -ENOMEM;
 	timer->due_at = at;
 	timer->cb = cb;
-	place(set, set->len++, timer);
+	set_slot(set, set->len++, timer);
 	sift_up(set, set->len - 1);
 	return 0;
 }
@@ -97,7 +97,7 @@
 	last = set->heap[--set->len];
 	if (last == timer)
 		return;
-	place(set, i, last);
+	set_slot(set, i, last);
 	sift_up(set, i);
 	sift_down(set, last->index - 1);
 }
--- a/kernel/toml.cc
+++ b/kernel/toml.cc
@@ -1,5 +1,5 @@
-// TOML in, JSON out: no C library for TOML is packaged. Keys are flattened to
-// "table.key" and keep their line, so that errors can point into the file.
+// The project's only C++ file: no C library for TOML is packaged. Nested keys are flattened to
+// "table.key". Each key keeps its line number for error messages.
 #include "toml.h"
 
 #include <cstring>
--- a/kernel/toml.h
+++ b/kernel/toml.h
@@ -1,4 +1,4 @@
-/* The one C++ shim: a TOML text as a flat JSON object with line numbers. */
+/* Parses TOML into a flat JSON object with line numbers, by a C++ library. */
 #pragma once
 
 #include <stddef.h>
@@ -10,8 +10,8 @@
 #endif
 
 /*
- * Returns {"table.key": {"value": ..., "line": n}, ...}, or NULL with the line
- * and the reason of the first syntax error.
+ * Returns {"table.key": {"value": ..., "line": n}, ...}. On a syntax error, returns NULL and sets
+ * line and message to the line and the description of the error.
  */
 json_t *toml_parse(const char *text, int *line, char *message, size_t len);
 
