--- a/access/cache_validity.h
+++ b/access/cache_validity.h
@@ -26,8 +26,7 @@
 /* Time since the last confirmation; USEC_NEVER if there was none. */
 usec_t cache_validity_age(const cache_validity_t *validity, usec_t now);
 
-/* True while statements may be served. now: when the statement was read from its caller, or later.
- */
+/* True while statements may be served; now: the time when a statement was read, or later. */
 bool cache_is_valid(const cache_validity_t *validity, usec_t now);
 
 /* True if the cache is so close to its expiry that callers had better use another proxy. */
--- a/access/key.h
+++ b/access/key.h
@@ -10,8 +10,8 @@
 /* Bytes; long enough that no second key with a given digest can be found. */
 #define KEY_DIGEST_SIZE 16
 /*
- * Size of a digest as text, with the terminating NUL. A digest is no longer than about a key, since
- * proxies send each other the digests of all keys.
+ * Size of a digest as text, with the terminating NUL. The text is about as long as a key, which
+ * keeps messages short: proxies send each other the digests of all keys.
  */
 #define KEY_DIGEST_TEXT_SIZE 23
 /* Size of a key's label, which identifies the key in logs, with the terminating NUL. */
@@ -21,8 +21,7 @@
 	unsigned char bytes[KEY_DIGEST_SIZE];
 } key_digest_t;
 
-/* The digest of the len bytes of key. An empty key has a digest too, which no customer's key has.
- */
+/* The digest of the len bytes of key. The digest of an empty key belongs to no customer. */
 key_digest_t key_digest(const char *key, size_t len);
 
 void key_digest_format(const key_digest_t *digest, char text[KEY_DIGEST_TEXT_SIZE]);
--- a/access/shard_limit.h
+++ b/access/shard_limit.h
@@ -3,7 +3,7 @@
  * a customer, its failure would stop all of them. So the limit is split into LIMIT_SHARDS equal
  * shards, each counted by a proxy of its own, the shard owner (shard_owners.h), which alone may use
  * that part of the limit. A proxy that finds a shard used up, or its owner unreachable, requests
- * from the next one.
+ * tokens from the owner of the next shard.
  */
 #pragma once
 
@@ -27,8 +27,7 @@
 typedef struct shard_limit {
 	double rate;	/* operations per second */
 	double burst;	/* operations at once */
-	double initial; /* tokens at the start of a process, which has no count of earlier
-			   operations */
+	double initial; /* tokens of a process at its start, when it has counted nothing yet */
 } shard_limit_t;
 
 /* The parameters of each of the customer's shards. */
--- a/tests/ports.h
+++ b/tests/ports.h
@@ -1,21 +1,21 @@
 /*
- * Blocks of loopback ports for programs that tests run as processes, below the
- * range that the kernel hands out by itself.
+ * Blocks of loopback ports for the processes that tests start. The blocks lie below the range of
+ * ephemeral ports.
  */
 #pragma once
 
 #include <glib.h>
 
-/* Ports that a block has for use; the one after them says that the block is taken. */
+/* Usable ports of a block. One more port after them marks the block as reserved. */
 #define PORTS_PER_BLOCK 63
 
 typedef struct ports {
 	int first;
-	int claim_fd;
+	int claim_fd; /* listens on the last port of the block */
 } ports_t;
 
-/* Take a block that no other test run on this VM holds; aborts if there is none. */
+/* Reserves a block that no other test run on this VM uses; aborts if there is none. */
 void ports_reserve(ports_t *ports);
 
-/* Give the block back, once every process that was started on it has ended. */
+/* Releases the block, which is free again when every process started on it has ended, too. */
 void ports_release(ports_t *ports);
--- a/tests/test_access.c
+++ b/tests/test_access.c
@@ -77,7 +77,7 @@
 	g_assert_false(cache_is_valid(&validity, start + 5 * SEC));
 	g_assert_true(cache_is_near_expiry(&validity, start + 3 * SEC));
 	g_assert_false(cache_is_near_expiry(&validity, start + 2 * SEC));
-	/* A late answer to an earlier query does not set the confirmation parsed. */
+	/* A late answer to an earlier query does not take the confirmation back. */
 	cache_validity_confirm(&validity, start - SEC);
 	g_assert_cmpuint(cache_validity_age(&validity, start), ==, 0);
 }
@@ -178,8 +178,7 @@
 					 (gpointer)shard_owners_find(owners, customer, shard));
 		g_free(customer);
 	}
-	/* Eight proxies of each zone own shards: few enough that all proxies can have links to
-	 * them. */
+	/* All of the eight proxies of each zone that may own shards do own some. */
 	g_assert_cmpuint(g_hash_table_size(found), ==, 24);
 	g_hash_table_destroy(found);
 	talloc_free(owners);
--- a/tests/test_kernel.c
+++ b/tests/test_kernel.c
@@ -1,4 +1,4 @@
-/* Timers on a paused clock, settings and their errors. */
+/* Unit tests of kernel/: timers on a manual clock, settings and their errors, log levels. */
 #include <errno.h>
 #include <stdio.h>
 #include <string.h>
@@ -12,25 +12,25 @@
 #include "settings.h"
 #include "timer.h"
 
-typedef struct ring {
+typedef struct test_timer {
 	run_timer_t timer;
 	int *order;
 	int *next;
 	int number;
-} ring_t;
+} test_timer_t;
 
-static void on_ring(run_timer_t *timer, usec_t now)
+static void on_timer(run_timer_t *timer, usec_t now)
 {
-	ring_t *ring = list_entry(timer, ring_t, timer);
+	test_timer_t *test_timer = list_entry(timer, test_timer_t, timer);
 
 	(void)now;
-	ring->order[(*ring->next)++] = ring->number;
+	test_timer->order[(*test_timer->next)++] = test_timer->number;
 }
 
 static void test_timers_in_order(void)
 {
 	enum { COUNT = 200 };
-	static ring_t rings[COUNT];
+	static test_timer_t test_timers[COUNT];
 	int order[COUNT];
 	int next = 0;
 	manual_clock_t clock;
@@ -41,12 +41,12 @@
 	for (int i = 0; i < COUNT; i++) {
 		int due = (i * 37) % COUNT;
 
-		rings[i] = (ring_t){.order = order, .next = &next, .number = due};
-		g_assert_cmpint(timers_arm(&set, &rings[i].timer,
-					   clock_now(&clock.base) + (usec_t)due, on_ring),
+		test_timers[i] = (test_timer_t){.order = order, .next = &next, .number = due};
+		g_assert_cmpint(timers_arm(&set, &test_timers[i].timer,
+					   clock_now(&clock.base) + (usec_t)due, on_timer),
 				==, 0);
 	}
-	timers_cancel(&set, &rings[0].timer); /* the one that is due first */
+	timers_cancel(&set, &test_timers[0].timer); /* the timer that is due first */
 	timers_expire(&set, clock_now(&clock.base));
 	g_assert_cmpint(next, ==, 0);
 	manual_clock_advance(&clock, COUNT);
@@ -92,7 +92,7 @@
 	return settings_parse(text, "x.toml", specs, G_N_ELEMENTS(specs), *out, err);
 }
 
-static void test_settings_sound(void)
+static void test_settings_valid(void)
 {
 	sample_t *sample;
 	err_t err = {0};
@@ -107,7 +107,7 @@
 	talloc_free(sample);
 }
 
-/* Each error names the file, the line, the key, the value and what was expected. */
+/* Each error message contains the file, the line, the key, the value and what was expected. */
 static void test_settings_errors(void)
 {
 	static const struct {
@@ -147,7 +147,7 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/timer/order", test_timers_in_order);
-	g_test_add_func("/settings/sound", test_settings_sound);
+	g_test_add_func("/settings/sound", test_settings_valid);
 	g_test_add_func("/settings/errors", test_settings_errors);
 	g_test_add_func("/log/levels", test_log_levels);
 	return g_test_run();
--- a/tests/test_loop.c
+++ b/tests/test_loop.c
@@ -1,4 +1,4 @@
-/* The loop with real sockets: what timers do with connections. */
+/* The event loop with real sockets: timers that send on connections and close them. */
 #include <signal.h>
 #include <string.h>
 #include <unistd.h>
@@ -8,41 +8,41 @@
 #include "loop.h"
 #include "stream.h"
 
-#define ADDRESS	 "127.0.0.1:19999"
-#define STREAMS	 64
-#define ROUNDS	 50
-#define PATIENCE 30 /* s */
+#define ADDRESS	  "127.0.0.1:19999"
+#define STREAMS	  64
+#define ROUNDS	  50
+#define TIMEOUT_S 30
 
-typedef struct peer {
+typedef struct test_stream {
 	stream_t stream;
 	bool open;
-} peer_t;
+} test_stream_t;
 
-typedef struct world {
+typedef struct fixture {
 	loop_t loop;
 	h2o_socket_t *listener;
-	peer_t callers[STREAMS];
-	peer_t accepted[STREAMS * 4];
-	size_t next;
+	test_stream_t clients[STREAMS];
+	test_stream_t accepted[STREAMS * 4];
+	size_t next_accepted;
 	run_timer_t timer;
 	int rounds;
-	size_t served;
-} world_t;
+	size_t received;
+} fixture_t;
 
-static world_t world;
+static fixture_t fixture;
 
 static size_t on_data(stream_t *stream, const char *data, size_t len)
 {
 	(void)stream;
 	(void)data;
-	world.served++;
+	fixture.received++;
 	return len;
 }
 
 static void on_down(stream_t *stream, const char *reason)
 {
 	(void)reason;
-	((peer_t *)stream)->open = false;
+	((test_stream_t *)stream)->open = false;
 }
 
 static const stream_ops_t ops = {.on_data = on_data, .on_close = on_down};
@@ -53,11 +53,12 @@
 
 	g_assert_null(err);
 	while ((sock = h2o_evloop_socket_accept(listener)) != NULL) {
-		peer_t *peer = &world.accepted[world.next++ % G_N_ELEMENTS(world.accepted)];
+		test_stream_t *test_stream =
+			&fixture.accepted[fixture.next_accepted++ % G_N_ELEMENTS(fixture.accepted)];
 
-		stream_close(&peer->stream);
-		*peer = (peer_t){.stream.ops = &ops, .open = true};
-		stream_accept(&peer->stream, &world.loop, sock, 5000);
+		stream_close(&test_stream->stream);
+		*test_stream = (test_stream_t){.stream.ops = &ops, .open = true};
+		stream_accept(&test_stream->stream, &fixture.loop, sock, 5000);
 	}
 }
 
@@ -65,30 +66,30 @@
 {
 	err_t err = {0};
 
-	if (world.rounds++ == ROUNDS) {
-		loop_stop(&world.loop);
+	if (fixture.rounds++ == ROUNDS) {
+		loop_stop(&fixture.loop);
 		return;
 	}
 	for (size_t i = 0; i < STREAMS; i++) {
-		peer_t *caller = &world.callers[i];
+		test_stream_t *client = &fixture.clients[i];
 
-		if (caller->open) {
-			stream_send(&caller->stream, "last words\r\n", 12);
-			stream_close(&caller->stream);
+		if (client->open) {
+			stream_send(&client->stream, "last words\r\n", 12);
+			stream_close(&client->stream);
 		}
-		caller->stream.ops = &ops;
-		caller->open =
-			stream_connect(&caller->stream, &world.loop, ADDRESS, 5000, &err) == 0;
+		client->stream.ops = &ops;
+		client->open =
+			stream_connect(&client->stream, &fixture.loop, ADDRESS, 5000, &err) == 0;
 	}
-	timers_arm(&world.loop.timers, timer, now + 5 * USEC_PER_MSEC, on_round);
+	timers_arm(&fixture.loop.timers, timer, now + 5 * USEC_PER_MSEC, on_round);
 }
 
 /*
- * What callers see: the process answers nobody any more and uses a whole core. What happens: a
- * timer sends on a connection and closes it in the same turn. The event loop has put the socket
- * that was written to on its list of callbacks to run, frees it at the start of the next turn, and
- * gives its memory to a connection that is accepted then; the list has a cycle from there on.
- * Why running the callbacks right after the timers suffices: no freed socket is on the list then.
+ * Guards against a process that stops answering and uses a whole core. A timer sends on a
+ * connection and closes it in the same iteration of the loop. The socket is then in h2o's list of
+ * pending callbacks. h2o frees the socket at the start of the next iteration and reuses its memory
+ * for a connection that it accepts, so that the list has a cycle. The loop therefore runs the
+ * pending callbacks directly after the timers; no freed socket is in the list then.
  */
 static void test_send_and_close_in_a_timer(void)
 {
@@ -96,14 +97,15 @@
 	int fd = stream_listen(ADDRESS, &err);
 
 	g_assert_cmpint(fd, >=, 0);
-	g_assert_cmpint(loop_init(&world.loop, clock_system()), ==, 0);
-	world.listener = h2o_evloop_socket_create(world.loop.h2o, fd, H2O_SOCKET_FLAG_DONT_READ);
-	h2o_socket_read_start(world.listener, on_accept);
-	timers_arm(&world.loop.timers, &world.timer, clock_now(world.loop.clock), on_round);
-	alarm(PATIENCE);
-	loop_run(&world.loop);
+	g_assert_cmpint(loop_init(&fixture.loop, clock_system()), ==, 0);
+	fixture.listener =
+		h2o_evloop_socket_create(fixture.loop.h2o, fd, H2O_SOCKET_FLAG_DONT_READ);
+	h2o_socket_read_start(fixture.listener, on_accept);
+	timers_arm(&fixture.loop.timers, &fixture.timer, clock_now(fixture.loop.clock), on_round);
+	alarm(TIMEOUT_S);
+	loop_run(&fixture.loop);
 	alarm(0);
-	g_assert_cmpuint(world.served, >, ROUNDS);
+	g_assert_cmpuint(fixture.received, >, ROUNDS);
 }
 
 int main(int argc, char **argv)
--- a/tests/test_ports.c
+++ b/tests/test_ports.c
@@ -1,4 +1,4 @@
-/* Test runs on one VM don't get in each other's way. */
+/* Test runs on one VM use different blocks of ports. */
 #include <arpa/inet.h>
 #include <signal.h>
 #include <sys/socket.h>
@@ -9,11 +9,11 @@
 #include "ports.h"
 #include "site.h"
 
-#define RUNS   12
-#define ROUNDS 1000
+#define PROCESSES 12
+#define ROUNDS	  1000
 
-/* Two runs that start at the same place, because their process numbers say so. */
-static void test_two_at_once(void)
+/* Two reservations that begin at the same block, since both come from one process. */
+static void test_two_reservations(void)
 {
 	ports_t one;
 	ports_t two;
@@ -25,8 +25,8 @@
 	ports_release(&two);
 }
 
-/* A block that is given back can be taken again: taking goes on longer than there are blocks. */
-static void test_given_back(void)
+/* A released block can be reserved again: there are more reservations than blocks. */
+static void test_release(void)
 {
 	for (int i = 0; i < ROUNDS; i++) {
 		ports_t ports;
@@ -36,16 +36,16 @@
 	}
 }
 
-/* Something that knows nothing of blocks listens on a port of one: the next is taken. */
+/* A block is skipped if a program that does not use blocks listens on one of its ports. */
 static void test_foreign_listener(void)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
-	int may_follow_closed = 1; /* as servers do; an earlier run has used the port */
+	int reuse_address = 1; /* as in servers; an earlier run may have used the port */
 	ports_t one;
 	ports_t two;
 
-	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &may_follow_closed, sizeof(may_follow_closed));
+	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &reuse_address, sizeof(reuse_address));
 	ports_reserve(&one);
 	sin.sin_port = htons((uint16_t)(one.first + 5));
 	g_assert_cmpint(bind(fd, (struct sockaddr *)&sin, sizeof(sin)), ==, 0);
@@ -58,9 +58,9 @@
 }
 
 /*
- * What is seen: a test that aborts, and the next one fails to bind. What happens: the processes of
- * the first are still being ended when the second looks for ports. Why inheriting the claim
- * suffices: the kernel closes it with the last process that could listen on the block.
+ * Guards against a test that fails to bind after another test has aborted. The processes of the
+ * first test are still ending when the second reserves ports. Each of them has inherited the socket
+ * that reserves the block, so the operating system closes the socket only with the last of them.
  */
 static void test_process_outlives_test(void)
 {
@@ -82,45 +82,46 @@
 	waitpid(child, NULL, 0);
 }
 
-/* Many runs look at the same moment, each in its own process; each gets a block of its own. */
+/* Many processes reserve at the same time; each of them gets a block of its own. */
 static void test_many_processes(void)
 {
-	int results[2];
-	int hold[2];
-	int firsts[RUNS];
+	int result_pipe[2];
+	int release_pipe[2];
+	int first_ports[PROCESSES];
 
-	g_assert_cmpint(pipe(results), ==, 0);
-	g_assert_cmpint(pipe(hold), ==, 0);
-	for (int i = 0; i < RUNS; i++) {
+	g_assert_cmpint(pipe(result_pipe), ==, 0);
+	g_assert_cmpint(pipe(release_pipe), ==, 0);
+	for (int i = 0; i < PROCESSES; i++) {
 		if (fork() == 0) {
 			ports_t ports;
 			char c;
 
-			close(hold[1]);
+			close(release_pipe[1]);
 			ports_reserve(&ports);
-			if (write(results[1], &ports.first, sizeof(int)) != sizeof(int))
+			if (write(result_pipe[1], &ports.first, sizeof(int)) != sizeof(int))
 				_exit(1);
-			_exit(read(hold[0], &c, 1) == 0 ? 0 : 1);
+			_exit(read(release_pipe[0], &c, 1) == 0 ? 0 : 1);
 		}
 	}
-	for (int i = 0; i < RUNS; i++) {
-		g_assert_cmpint(read(results[0], &firsts[i], sizeof(int)), ==, sizeof(int));
+	for (int i = 0; i < PROCESSES; i++) {
+		g_assert_cmpint(read(result_pipe[0], &first_ports[i], sizeof(int)), ==,
+				sizeof(int));
 		for (int k = 0; k < i; k++)
-			g_assert_cmpint(firsts[i], !=, firsts[k]);
+			g_assert_cmpint(first_ports[i], !=, first_ports[k]);
 	}
-	close(hold[1]);
-	for (int i = 0; i < RUNS; i++) {
+	close(release_pipe[1]);
+	for (int i = 0; i < PROCESSES; i++) {
 		int status = -1;
 
 		wait(&status);
 		g_assert_cmpint(status, ==, 0);
 	}
-	close(results[0]);
-	close(results[1]);
-	close(hold[0]);
+	close(result_pipe[0]);
+	close(result_pipe[1]);
+	close(release_pipe[0]);
 }
 
-/* Both kinds of fleet at once from one test, and two of the same kind. */
+/* One test starts two fleets of one harness and one of the other; all use different blocks. */
 static void test_harnesses(void)
 {
 	harness_t *one = harness_start(5);
@@ -138,8 +139,8 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/ports/two-at-once", test_two_at_once);
-	g_test_add_func("/ports/given-back", test_given_back);
+	g_test_add_func("/ports/two-at-once", test_two_reservations);
+	g_test_add_func("/ports/given-back", test_release);
 	g_test_add_func("/ports/foreign-listener", test_foreign_listener);
 	g_test_add_func("/ports/process-outlives-test", test_process_outlives_test);
 	g_test_add_func("/ports/many-processes", test_many_processes);
--- a/tests/test_stream.c
+++ b/tests/test_stream.c
@@ -1,4 +1,4 @@
-/* Connections on the loop, over loopback: how one is ended while its peer may be sending. */
+/* Streams over loopback connections: closing a stream while its peer may be sending. */
 #include <errno.h>
 #include <poll.h>
 #include <string.h>
@@ -11,27 +11,27 @@
 #include "list.h"
 #include "stream.h"
 
-/* Turns of the loop that are enough for anything on loopback to arrive and be handled. */
-#define TURNS 20
-/* Longest wait of a turn, milliseconds. */
-#define TURN_WAIT 10
+/* Iterations of the loop in which all data on loopback connections arrives and is handled. */
+#define ITERATIONS 20
+/* Longest wait of an iteration. */
+#define ITERATION_WAIT_MS 10
 
-/* One for all cases: h2o's loop can't be taken down again. */
+/* Shared by all cases, since h2o has no function that destroys its loop. */
 static loop_t loop;
 
 typedef struct fixture {
-	stream_t stream; /* ours */
+	stream_t stream; /* under test */
 	int peer;
-	GString *given; /* input that on_data was given */
-	bool leaves;	/* as soon as all output has left */
-	stream_close_result_t left;
+	GString *received;	 /* input that on_data has received */
+	bool close_when_flushed; /* call stream_close_if_idle() when all output is sent */
+	stream_close_result_t result;
 } fixture_t;
 
 static size_t on_data(stream_t *stream, const char *data, size_t len)
 {
 	fixture_t *f = list_entry(stream, fixture_t, stream);
 
-	g_string_append_len(f->given, data, (gssize)len);
+	g_string_append_len(f->received, data, (gssize)len);
 	return len;
 }
 
@@ -39,23 +39,23 @@
 {
 	fixture_t *f = list_entry(stream, fixture_t, stream);
 
-	/* A request that was handed in is in progress. */
-	if (f->leaves && f->given->len == 0)
-		f->left = stream_close_if_idle(stream);
+	/* While a request that was received is in progress, the stream stays open. */
+	if (f->close_when_flushed && f->received->len == 0)
+		f->result = stream_close_if_idle(stream);
 }
 
 static void on_down(stream_t *stream, const char *reason)
 {
 	(void)stream;
-	g_error("went down: %s", reason);
+	g_error("stream closed unexpectedly: %s", reason);
 }
 
 static const stream_ops_t ops = {.on_data = on_data, .on_flushed = on_sent, .on_close = on_down};
 
-static void turn(int turns)
+static void run_iterations(int count)
 {
-	for (int i = 0; i < turns; i++) {
-		h2o_evloop_run(loop.h2o, TURN_WAIT);
+	for (int i = 0; i < count; i++) {
+		h2o_evloop_run(loop.h2o, ITERATION_WAIT_MS);
 		timers_expire(&loop.timers, clock_now(loop.clock));
 	}
 }
@@ -78,28 +78,28 @@
 	int listener = stream_listen("127.0.0.1:0", NULL);
 
 	g_assert_cmpint(listener, >=, 0);
-	f->given = g_string_new(NULL);
+	f->received = g_string_new(NULL);
 	f->stream.ops = &ops;
 	g_assert_cmpint(getsockname(listener, (struct sockaddr *)&address, &len), ==, 0);
 	f->peer = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	g_assert_cmpint(connect(f->peer, (struct sockaddr *)&address, len), ==, 0);
 	accept_peer(f, listener);
 	close(listener);
-	turn(2);
+	run_iterations(2);
 	return f;
 }
 
 static void teardown(fixture_t *f)
 {
 	stream_close(&f->stream);
-	turn(2); /* h2o frees what was closed in a later turn */
+	run_iterations(2); /* h2o frees closed sockets in a later iteration */
 	close(f->peer);
-	g_string_free(f->given, TRUE);
+	g_string_free(f->received, TRUE);
 	g_free(f);
 }
 
-/* True if the peer can see by now that the connection has ended. */
-static bool peer_sees_end(const fixture_t *f)
+/* True if the peer can detect that the connection has ended. */
+static bool peer_detects_end(const fixture_t *f)
 {
 	char byte;
 	ssize_t n = recv(f->peer, &byte, 1, MSG_DONTWAIT | MSG_PEEK);
@@ -107,12 +107,12 @@
 	return n == 0 || (n < 0 && errno != EAGAIN);
 }
 
-static void peer_sends(fixture_t *f, const char *text)
+static void send_from_peer(fixture_t *f, const char *text)
 {
 	g_assert_cmpint(send(f->peer, text, strlen(text), MSG_NOSIGNAL), ==, (ssize_t)strlen(text));
 }
 
-static void peer_receives(fixture_t *f, const char *text)
+static void receive_at_peer(fixture_t *f, const char *text)
 {
 	char buffer[64];
 	ssize_t n = recv(f->peer, buffer, sizeof(buffer) - 1, 0);
@@ -122,87 +122,87 @@
 	g_assert_cmpstr(buffer, ==, text);
 }
 
-/* What has arrived when the connection is to end keeps it open, and is handed in. */
+/* Input that has arrived when the stream is to be closed keeps it open and is passed to on_data. */
 static void test_unread_input(void)
 {
 	fixture_t *f = setup();
 
-	peer_sends(f, "request");
+	send_from_peer(f, "request");
 	g_assert_cmpint(stream_close_if_idle(&f->stream), ==, STREAM_UNREAD_INPUT);
-	turn(TURNS);
-	g_assert_cmpstr(f->given->str, ==, "request");
-	g_assert_false(peer_sees_end(f));
+	run_iterations(ITERATIONS);
+	g_assert_cmpstr(f->received->str, ==, "request");
+	g_assert_false(peer_detects_end(f));
 	teardown(f);
 }
 
 /*
- * What the caller sees: its request, sent whole on a connection that was still open, gets neither
- * an answer nor a refusal. What happens: the proxy shuts down, looks at the socket, finds nothing
- * and decides to close; the request arrives; the next turn of the loop, tens of milliseconds later
- * on a slow VM, reads all sockets, throws the request away since the connection is ending, and only
- * then closes. Why: the look and the close were not one step.
+ * Guards against a request on an open connection that gets neither an answer nor a refusal. A proxy
+ * that shuts down checks the socket, finds no input and decides to close it. The request arrives.
+ * The next iteration of the loop, tens of milliseconds later on a slow VM, reads all sockets,
+ * discards the request because the connection is closing, and only then closes the socket. The
+ * fault was that the check and the close were not one step.
  */
-static void test_request_behind_the_look(void)
+static void test_request_after_check(void)
 {
 	fixture_t *f = setup();
 
 	stream_close_if_idle(&f->stream);
-	if (!peer_sees_end(f)) {
-		peer_sends(f, "request");
-		turn(TURNS);
-		g_assert_cmpstr(f->given->str, ==, "request");
+	if (!peer_detects_end(f)) {
+		send_from_peer(f, "request");
+		run_iterations(ITERATIONS);
+		g_assert_cmpstr(f->received->str, ==, "request");
 	}
 	teardown(f);
 }
 
 /*
- * What the caller sees: it gets an answer, sends its next request at once, and gets neither an
- * answer nor a refusal to that. What happens: while shutting down the proxy closes a session behind
- * its answer; the socket takes the answer at once, but the proxy learns of that, and closes, after
- * all else that is ready in this turn of the loop, and throws away what came in between.
+ * Guards against a second request, sent directly after the answer to the first, that gets neither
+ * an answer nor a refusal. A proxy that shuts down closes a session after its answer. The socket
+ * accepts the answer at once, but the proxy is notified of this only after all other events of the
+ * loop's iteration. It then closes the session and discards input that arrived in between.
  */
-static void test_request_behind_an_answer(void)
+static void test_request_after_answer(void)
 {
 	fixture_t *f = setup();
 
 	g_assert_cmpint(stream_send(&f->stream, "answer", 6), ==, 0);
 	stream_close_if_idle(&f->stream);
-	peer_receives(f, "answer");
-	if (!peer_sees_end(f)) {
-		peer_sends(f, "request");
-		turn(TURNS);
-		g_assert_cmpstr(f->given->str, ==, "request");
+	receive_at_peer(f, "answer");
+	if (!peer_detects_end(f)) {
+		send_from_peer(f, "request");
+		run_iterations(ITERATIONS);
+		g_assert_cmpstr(f->received->str, ==, "request");
 	}
 	teardown(f);
 }
 
-/* Behind the last answer the connection ends, and the answer arrives. */
-static void test_leaves_behind_an_answer(void)
+/* A stream that is closed when its last answer has been sent delivers the answer. */
+static void test_close_after_answer(void)
 {
 	fixture_t *f = setup();
 
-	f->leaves = true;
+	f->close_when_flushed = true;
 	g_assert_cmpint(stream_send(&f->stream, "answer", 6), ==, 0);
 	g_assert_cmpint(stream_close_if_idle(&f->stream), ==, STREAM_UNSENT_OUTPUT);
-	turn(TURNS);
-	g_assert_cmpint(f->left, ==, STREAM_CLOSED);
-	peer_receives(f, "answer");
-	g_assert_true(peer_sees_end(f));
+	run_iterations(ITERATIONS);
+	g_assert_cmpint(f->result, ==, STREAM_CLOSED);
+	receive_at_peer(f, "answer");
+	g_assert_true(peer_detects_end(f));
 	teardown(f);
 }
 
-/* A peer that has sent its next request by then keeps it. */
-static void test_stays_for_the_next_request(void)
+/* A peer that has sent its next request before the close keeps the connection open. */
+static void test_open_for_next_request(void)
 {
 	fixture_t *f = setup();
 
-	f->leaves = true;
+	f->close_when_flushed = true;
 	g_assert_cmpint(stream_send(&f->stream, "answer", 6), ==, 0);
-	peer_receives(f, "answer");
-	peer_sends(f, "request");
-	turn(TURNS);
-	g_assert_cmpstr(f->given->str, ==, "request");
-	g_assert_false(peer_sees_end(f));
+	receive_at_peer(f, "answer");
+	send_from_peer(f, "request");
+	run_iterations(ITERATIONS);
+	g_assert_cmpstr(f->received->str, ==, "request");
+	g_assert_false(peer_detects_end(f));
 	teardown(f);
 }
 
@@ -211,9 +211,9 @@
 	g_test_init(&argc, &argv, NULL);
 	g_assert_cmpint(loop_init(&loop, clock_system()), ==, 0);
 	g_test_add_func("/stream/unread-input", test_unread_input);
-	g_test_add_func("/stream/request-behind-the-look", test_request_behind_the_look);
-	g_test_add_func("/stream/request-behind-an-answer", test_request_behind_an_answer);
-	g_test_add_func("/stream/leaves-behind-an-answer", test_leaves_behind_an_answer);
-	g_test_add_func("/stream/stays-for-the-next-request", test_stays_for_the_next_request);
+	g_test_add_func("/stream/request-behind-the-look", test_request_after_check);
+	g_test_add_func("/stream/request-behind-an-answer", test_request_after_answer);
+	g_test_add_func("/stream/leaves-behind-an-answer", test_close_after_answer);
+	g_test_add_func("/stream/stays-for-the-next-request", test_open_for_next_request);
 	return g_test_run();
 }
