--- a/tests/test_kernel.c
+++ b/tests/test_kernel.c
@@ -12,25 +12,25 @@
 #include "settings.h"
 #include "timer.h"
 
-typedef struct test_timer {
+typedef struct ring {
 	run_timer_t timer;
 	int *order;
 	int *next;
 	int number;
-} test_timer_t;
+} ring_t;
 
-static void on_timer(run_timer_t *timer, usec_t now)
+static void on_ring(run_timer_t *timer, usec_t now)
 {
-	test_timer_t *test_timer = list_entry(timer, test_timer_t, timer);
+	ring_t *ring = list_entry(timer, ring_t, timer);
 
 	(void)now;
-	test_timer->order[(*test_timer->next)++] = test_timer->number;
+	ring->order[(*ring->next)++] = ring->number;
 }
 
 static void test_timers_in_order(void)
 {
 	enum { COUNT = 200 };
-	static test_timer_t test_timers[COUNT];
+	static ring_t rings[COUNT];
 	int order[COUNT];
 	int next = 0;
 	manual_clock_t clock;
@@ -41,12 +41,12 @@
 	for (int i = 0; i < COUNT; i++) {
 		int due = (i * 37) % COUNT;
 
-		test_timers[i] = (test_timer_t){.order = order, .next = &next, .number = due};
-		g_assert_cmpint(timers_arm(&set, &test_timers[i].timer,
-					   clock_now(&clock.base) + (usec_t)due, on_timer),
+		rings[i] = (ring_t){.order = order, .next = &next, .number = due};
+		g_assert_cmpint(timers_arm(&set, &rings[i].timer,
+					   clock_now(&clock.base) + (usec_t)due, on_ring),
 				==, 0);
 	}
-	timers_cancel(&set, &test_timers[0].timer); /* the timer that is due first */
+	timers_cancel(&set, &rings[0].timer); /* the timer that is due first */
 	timers_expire(&set, clock_now(&clock.base));
 	g_assert_cmpint(next, ==, 0);
 	manual_clock_advance(&clock, COUNT);
--- a/tests/test_loop.c
+++ b/tests/test_loop.c
@@ -18,7 +18,7 @@
 	bool open;
 } test_stream_t;
 
-typedef struct fixture {
+typedef struct world {
 	loop_t loop;
 	h2o_socket_t *listener;
 	test_stream_t clients[STREAMS];
@@ -27,25 +27,25 @@
 	run_timer_t timer;
 	int rounds;
 	size_t received;
-} fixture_t;
+} world_t;
 
-static fixture_t fixture;
+static world_t world;
 
 static size_t on_data(stream_t *stream, const char *data, size_t len)
 {
 	(void)stream;
 	(void)data;
-	fixture.received++;
+	world.received++;
 	return len;
 }
 
-static void on_down(stream_t *stream, const char *reason)
+static void on_close(stream_t *stream, const char *reason)
 {
 	(void)reason;
 	((test_stream_t *)stream)->open = false;
 }
 
-static const stream_ops_t ops = {.on_data = on_data, .on_close = on_down};
+static const stream_ops_t ops = {.on_data = on_data, .on_close = on_close};
 
 static void on_accept(h2o_socket_t *listener, const char *err)
 {
@@ -54,11 +54,11 @@
 	g_assert_null(err);
 	while ((sock = h2o_evloop_socket_accept(listener)) != NULL) {
 		test_stream_t *test_stream =
-			&fixture.accepted[fixture.next_accepted++ % G_N_ELEMENTS(fixture.accepted)];
+			&world.accepted[world.next_accepted++ % G_N_ELEMENTS(world.accepted)];
 
 		stream_close(&test_stream->stream);
 		*test_stream = (test_stream_t){.stream.ops = &ops, .open = true};
-		stream_accept(&test_stream->stream, &fixture.loop, sock, 5000);
+		stream_accept(&test_stream->stream, &world.loop, sock, 5000);
 	}
 }
 
@@ -66,12 +66,12 @@
 {
 	err_t err = {0};
 
-	if (fixture.rounds++ == ROUNDS) {
-		loop_stop(&fixture.loop);
+	if (world.rounds++ == ROUNDS) {
+		loop_stop(&world.loop);
 		return;
 	}
 	for (size_t i = 0; i < STREAMS; i++) {
-		test_stream_t *client = &fixture.clients[i];
+		test_stream_t *client = &world.clients[i];
 
 		if (client->open) {
 			stream_send(&client->stream, "last words\r\n", 12);
@@ -79,9 +79,9 @@
 		}
 		client->stream.ops = &ops;
 		client->open =
-			stream_connect(&client->stream, &fixture.loop, ADDRESS, 5000, &err) == 0;
+			stream_connect(&client->stream, &world.loop, ADDRESS, 5000, &err) == 0;
 	}
-	timers_arm(&fixture.loop.timers, timer, now + 5 * USEC_PER_MSEC, on_round);
+	timers_arm(&world.loop.timers, timer, now + 5 * USEC_PER_MSEC, on_round);
 }
 
 /*
@@ -97,15 +97,14 @@
 	int fd = stream_listen(ADDRESS, &err);
 
 	g_assert_cmpint(fd, >=, 0);
-	g_assert_cmpint(loop_init(&fixture.loop, clock_system()), ==, 0);
-	fixture.listener =
-		h2o_evloop_socket_create(fixture.loop.h2o, fd, H2O_SOCKET_FLAG_DONT_READ);
-	h2o_socket_read_start(fixture.listener, on_accept);
-	timers_arm(&fixture.loop.timers, &fixture.timer, clock_now(fixture.loop.clock), on_round);
+	g_assert_cmpint(loop_init(&world.loop, clock_system()), ==, 0);
+	world.listener = h2o_evloop_socket_create(world.loop.h2o, fd, H2O_SOCKET_FLAG_DONT_READ);
+	h2o_socket_read_start(world.listener, on_accept);
+	timers_arm(&world.loop.timers, &world.timer, clock_now(world.loop.clock), on_round);
 	alarm(TIMEOUT_S);
-	loop_run(&fixture.loop);
+	loop_run(&world.loop);
 	alarm(0);
-	g_assert_cmpuint(fixture.received, >, ROUNDS);
+	g_assert_cmpuint(world.received, >, ROUNDS);
 }
 
 int main(int argc, char **argv)
--- a/tests/test_stream.c
+++ b/tests/test_stream.c
@@ -35,7 +35,7 @@
 	return len;
 }
 
-static void on_sent(stream_t *stream)
+static void on_flushed(stream_t *stream)
 {
 	fixture_t *f = list_entry(stream, fixture_t, stream);
 
@@ -44,13 +44,14 @@
 		f->result = stream_close_if_idle(stream);
 }
 
-static void on_down(stream_t *stream, const char *reason)
+static void on_close(stream_t *stream, const char *reason)
 {
 	(void)stream;
 	g_error("stream closed unexpectedly: %s", reason);
 }
 
-static const stream_ops_t ops = {.on_data = on_data, .on_flushed = on_sent, .on_close = on_down};
+static const stream_ops_t ops = {
+	.on_data = on_data, .on_flushed = on_flushed, .on_close = on_close};
 
 static void run_iterations(int count)
 {
