--- a/access/bucket.h
+++ b/access/bucket.h
@@ -1,5 +1,5 @@
 /*
- * A token bucket: it refills at rate tokens a second and holds at most burst tokens. It is filled
+ * A token bucket: it refills at rate tokens per second and holds at most burst tokens. It is filled
  * lazily, when a function of this module is called; the caller passes the current time.
  */
 #pragma once
--- a/access/cache_validity.c
+++ b/access/cache_validity.c
@@ -1,12 +1,15 @@
 #include "cache_validity.h"
 
-/* Expires a little early, since the clocks of two VMs run at slightly different speeds. */
+/* Percent of max_age at which the cache expires: the clocks of two VMs differ slightly in speed. */
 #define VALID_PERCENT 97
-/* Early enough for the load balancer, which takes up to 2 s to direct callers to another proxy. */
+/*
+ * Percent of max_age from which callers are sent elsewhere. The load balancer needs up to 2 s to
+ * direct callers to another proxy.
+ */
 #define NEAR_EXPIRY_PERCENT 60
 /*
- * The last confirmation is usually younger than a fifth of max_age. To request one at 40 percent
- * leaves time for requests that fail.
+ * Percent of max_age at which a confirmation is requested. The last one is usually younger than 20
+ * percent; the time left until the cache expires is for requests that fail.
  */
 #define REFRESH_PERCENT 40
 
--- a/kernel/clock.c
+++ b/kernel/clock.c
@@ -35,7 +35,7 @@
 	clock->now = now;
 }
 
-void manual_clock_advance(manual_clock_t *clock, usec_t by)
+void manual_clock_advance(manual_clock_t *clock, usec_t duration)
 {
-	clock->now += by;
+	clock->now += duration;
 }
--- a/kernel/clock.h
+++ b/kernel/clock.h
@@ -50,4 +50,4 @@
 const run_clock_t *clock_system(void);
 
 void manual_clock_init(manual_clock_t *clock, usec_t now);
-void manual_clock_advance(manual_clock_t *clock, usec_t by);
+void manual_clock_advance(manual_clock_t *clock, usec_t duration);
--- a/kernel/counter.h
+++ b/kernel/counter.h
@@ -32,9 +32,9 @@
 
 void counter_register(counter_t *counter);
 
-static inline void counter_add(counter_t *counter, int64_t by)
+static inline void counter_add(counter_t *counter, int64_t delta)
 {
-	counter->value += by;
+	counter->value += delta;
 }
 
 static inline void counter_set(counter_t *counter, int64_t value)
--- a/kernel/log.c
+++ b/kernel/log.c
@@ -106,7 +106,7 @@
 		log_flush();
 }
 
-/* --- one line --- */
+/* --- formatting of a line --- */
 
 /* Bytes reserved for the end of the line, so that a truncated line is still valid JSON. */
 #define LINE_END_ROOM 4
--- a/kernel/log.h
+++ b/kernel/log.h
@@ -30,9 +30,9 @@
 
 /* Rate limit of one call site in the code. */
 typedef struct log_site {
-	int64_t second; /* of the monotonic clock, in which written was counted */
+	int64_t second; /* of the monotonic clock, to which written refers */
 	unsigned written;
-	unsigned suppressed; /* lines since the last one that was written */
+	unsigned suppressed; /* lines not yet reported */
 } log_site_t;
 
 typedef enum { LOG_TO_STDERR, LOG_TO_STDOUT } log_target_t;
--- a/kernel/stream.c
+++ b/kernel/stream.c
@@ -12,7 +12,7 @@
 #include "list.h"
 
 #define LISTEN_BACKLOG 1024
-/* Probes of an idle connection. The connection ends if no one of them is answered. */
+/* Probes of an idle connection. The connection ends if none of them is answered. */
 #define KEEPALIVE_IDLE_SEC     5
 #define KEEPALIVE_INTERVAL_SEC 2
 #define KEEPALIVE_COUNT	       4
@@ -121,7 +121,7 @@
 	return recv(h2o_socket_get_fd(stream->sock), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-/* Passes the input that has been read to on_data until it consumes nothing more. */
+/* Passes the input that has been read to on_data until on_data consumes nothing more. */
 static void deliver_input(stream_t *stream)
 {
 	bool closed = false;
--- a/kernel/stream.h
+++ b/kernel/stream.h
@@ -44,10 +44,10 @@
 	bool connected;
 	bool closing;		 /* stream_flush_and_close() was called */
 	size_t discarded;	 /* bytes of input that arrived after stream_flush_and_close() */
-	run_timer_t close_timer; /* of stream_flush_and_close() without output */
+	run_timer_t close_timer; /* closes the stream if stream_flush_and_close() finds no output */
 	bool *closed_flag;	 /* set to true by stream_close(); non-NULL while on_data runs */
 	char *writing;		 /* output that h2o is writing, or NULL */
-	char *pending;		 /* output to write after it */
+	char *pending;		 /* output to write when that is done */
 	size_t pending_len;
 	size_t pending_size;
 } stream_t;
--- a/kernel/timer.c
+++ b/kernel/timer.c
@@ -73,12 +73,12 @@
 	return 0;
 }
 
-int timers_arm(timer_set_t *set, run_timer_t *timer, usec_t at, timer_cb_t cb)
+int timers_arm(timer_set_t *set, run_timer_t *timer, usec_t due_at, timer_cb_t cb)
 {
 	timers_cancel(set, timer);
 	if (reserve(set) < 0)
 		return -ENOMEM;
-	timer->due_at = at;
+	timer->due_at = due_at;
 	timer->cb = cb;
 	set_slot(set, set->len++, timer);
 	sift_up(set, set->len - 1);
--- a/kernel/timer.h
+++ b/kernel/timer.h
@@ -29,7 +29,7 @@
 void timers_destroy(timer_set_t *set);
 
 /* Arms or re-arms timer. Returns 0 or -ENOMEM. */
-int timers_arm(timer_set_t *set, run_timer_t *timer, usec_t at, timer_cb_t cb);
+int timers_arm(timer_set_t *set, run_timer_t *timer, usec_t due_at, timer_cb_t cb);
 void timers_cancel(timer_set_t *set, run_timer_t *timer);
 
 static inline bool timer_is_armed(const run_timer_t *timer)
