--- a/pooler/relay.c
+++ b/pooler/relay.c
@@ -256,7 +256,7 @@
 }
 
 /* False if there is nobody to ask. */
-static bool ask_peer(call_t *call)
+static bool relay_to_peer(call_t *call)
 {
 	relay_t *relay = call->relay;
 	usec_t now = now_of(relay->pooler);
@@ -296,13 +296,13 @@
 	if (call->request.op == STORE_RANGE)
 		learn_patience(call->relay, result->status,
 			       now_of(call->relay->pooler) - call->began_at);
-	if (!again || !ask_peer(call))
+	if (!again || !relay_to_peer(call))
 		finish(call, result);
 }
 
 static void begin(call_t *call)
 {
-	if (call->relay->cut_off && ask_peer(call))
+	if (call->relay->cut_off && relay_to_peer(call))
 		return;
 	call->began_at = now_of(call->relay->pooler);
 	make_call(call->relay->direct, &call->request, on_direct, call);
@@ -330,7 +330,7 @@
 
 	report->cut_off = true;
 	report->access_at = now_of(call->relay->pooler);
-	if ((status == KV_LOST && !is_repeatable(call)) || !ask_peer(call))
+	if ((status == KV_LOST && !is_repeatable(call)) || !relay_to_peer(call))
 		finish(call, &result);
 }
 
