--- a/pooler/active.c
+++ b/pooler/active.c
@@ -77,7 +77,7 @@
 {
 	const sync_t *sync = &pooler->sync;
 
-	return sync->holding || upstream_is_hub(pooler) || !upstream_applies(pooler) ||
+	return sync->leading || upstream_is_hub(pooler) || !upstream_applies(pooler) ||
 	       !permit_is_registered(pooler) || sync->joiner_count != 0 ||
 	       relay_is_cut_off(pooler->relay) || now >= sync->confirmed_at + NEWS_USUAL;
 }
@@ -85,7 +85,7 @@
 bool active_is_busy(pooler_t *pooler, usec_t now)
 {
 	return pooler->draining || pooler->routes == NULL || !list_empty(&pooler->forwarded) ||
-	       !list_empty(&pooler->sync.awaited) || is_fleet_busy(pooler, now) ||
+	       !list_empty(&pooler->sync.unanswered_reports) || is_fleet_busy(pooler, now) ||
 	       any_is_busy(pooler);
 }
 
--- a/pooler/adopt.c
+++ b/pooler/adopt.c
@@ -48,9 +48,9 @@
 	LOG_EVENT(LOG_INFO, is->changing ? "primary is about to change" : "primary in use",
 		  LOG_STR("service", is->service), LOG_STR("member", is->primary),
 		  LOG_INT("roster", pooler->sync.roster->revision),
-		  LOG_INT("fence", (int64_t)is->fence));
-	if (is->fence != pooler->sync.own_fence)
-		pooler->sync.foreign_change = now_of(pooler);
+		  LOG_INT("fence", (int64_t)is->fencing_token));
+	if (is->fencing_token != pooler->sync.own_token)
+		pooler->sync.other_leader_wrote_at = now_of(pooler);
 	if (moved) {
 		service->settled_at = now_of(pooler);
 		service->settled_revision = pooler->sync.roster->revision;
@@ -67,7 +67,7 @@
 static void forget_agreement(sync_t *sync)
 {
 	sync->agreed_at = 0;
-	sync->agreed_told = 0;
+	sync->peers_agreed_at = 0;
 	list_for_each (it, &sync->reports)
 		list_entry(it, peer_report_t, node)->agreed_at = 0;
 }
@@ -82,8 +82,8 @@
 
 		if (report->listed_since == 0)
 			report->listed_since = now_of(pooler);
-		if (change->entered)
-			report->entered_at = now_of(pooler);
+		if (change->registered)
+			report->registered_at = now_of(pooler);
 	}
 }
 
@@ -110,13 +110,13 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	sync->proxies = sync->roster->node_count;
+	sync->proxy_count = sync->roster->node_count;
 	sync->adopted_at = now_of(pooler);
-	sync->changing = sync->roster->changing_count != 0;
+	sync->primary_changing = sync->roster->changing_count != 0;
 	sync->groups_changed = diff->group_count != 0;
 	counter_set(&roster_revision, sync->roster->revision);
-	if (sync->roster->revision > sync->restored)
-		sync->restored = 0;
+	if (sync->roster->revision > sync->backup_revision)
+		sync->backup_revision = 0;
 	adopt_era(sync, sync->roster->revision);
 	forget_agreement(sync);
 	note_listed(pooler, diff);
@@ -125,7 +125,7 @@
 	talloc_free(diff);
 	/* Whoever waits for us to let go hears it at once. */
 	if (ask_tells_revision(pooler))
-		sync->ask_next = 0;
+		sync->query_next = 0;
 }
 
 void adopt_roster(pooler_t *pooler, roster_t *newer)
--- a/pooler/ask.c
+++ b/pooler/ask.c
@@ -34,7 +34,7 @@
 
 bool ask_tells_revision(const pooler_t *pooler)
 {
-	return !upstream_applies(pooler) || pooler->sync.changing ||
+	return !upstream_applies(pooler) || pooler->sync.primary_changing ||
 	       ask_news_is_old(pooler, now_of(pooler));
 }
 
@@ -111,10 +111,10 @@
 	message->alive = alive;
 	message->failing = failing;
 	message->in_use = in_use;
-	message->fleet = (int64_t)permit_listed(pooler);
+	message->fleet_size = (int64_t)permit_listed(pooler);
 	message->members_digest = refresh_members_digest(pooler);
-	message->config_at = pooler->config_follow != NULL ? pooler->config_follow->told : 0;
-	message->members_at = pooler->members_follow != NULL ? pooler->members_follow->told : 0;
+	message->config_as_of = pooler->config_follow != NULL ? pooler->config_follow->as_of : 0;
+	message->members_as_of = pooler->members_follow != NULL ? pooler->members_follow->as_of : 0;
 }
 
 /* --- who is asked --- */
@@ -135,8 +135,8 @@
 static const roster_node_t *other_peer(pooler_t *pooler)
 {
 	const roster_t *roster = pooler->sync.roster;
-	size_t count = pooler->sync.proxies;
-	size_t index = count != 0 ? pooler->sync.next_peer++ % count : 0;
+	size_t count = pooler->sync.proxy_count;
+	size_t index = count != 0 ? pooler->sync.next_peer_index++ % count : 0;
 
 	list_for_each (it, &roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
@@ -154,7 +154,7 @@
  */
 static void ask_part(pooler_t *pooler, const peer_message_t *message)
 {
-	size_t proxies = pooler->sync.proxies;
+	size_t proxies = pooler->sync.proxy_count;
 	size_t part = (proxies + ASK_ROUNDS - 1) / ASK_ROUNDS;
 
 	if (part < ASK_LEAST)
@@ -184,12 +184,12 @@
 			.from = report->name,
 			.incarnation = report->incarnation,
 			.revision = report->revision,
-			.fleet = report->fleet,
+			.fleet_size = report->fleet_size,
 			.down = report->down,
 			.alive = report->alive,
 			.failing = report->failing,
 			.in_use = report->in_use,
-			.report_age = now - report->asked_us_at,
+			.report_age = now - report->last_query_at,
 		};
 	}
 }
@@ -257,10 +257,10 @@
 static const roster_node_t *spread_peer(pooler_t *pooler)
 {
 	sync_t *sync = &pooler->sync;
-	size_t step = sync->proxies / (ASK_OTHERS + 1);
-	size_t turn = 1 + sync->next_peer++ % ASK_OTHERS;
+	size_t step = sync->proxy_count / (ASK_OTHERS + 1);
+	size_t turn = 1 + sync->next_peer_index++ % ASK_OTHERS;
 	size_t index = index_on_roster(pooler, pooler->config.name) + turn * step;
-	const roster_node_t *node = node_from(pooler, index % sync->proxies);
+	const roster_node_t *node = node_from(pooler, index % sync->proxy_count);
 
 	return node != NULL && strcmp(node->name, pooler->config.name) != 0 ? node : NULL;
 }
@@ -281,9 +281,9 @@
 	sync_t *sync = &pooler->sync;
 
 	if (exchange_send(pooler, name, address, message))
-		sync->ask_unsent = 0;
-	else if (sync->ask_unsent++ < LINK_TRIES && !ask_news_is_old(pooler, now))
-		sync->ask_next = now;
+		sync->queries_unsent = 0;
+	else if (sync->queries_unsent++ < LINK_TRIES && !ask_news_is_old(pooler, now))
+		sync->query_next = now;
 }
 
 /* Ask those that are to be asked now. */
@@ -295,7 +295,7 @@
 
 	if (ask_news_is_old(pooler, now) && agrees_by_itself(pooler, now))
 		ask_together(pooler, now, message);
-	else if (sync->holder == NULL || now >= sync->holder_heard + HOLDER_SILENT)
+	else if (sync->leader == NULL || now >= sync->leader_seen_at + HOLDER_SILENT)
 		ask_other(pooler, message);
 	if (!upstream_find(pooler, now, &name, &address))
 		return;
@@ -312,10 +312,10 @@
 	uint64_t news = news_digest(pooler, now);
 	void *parent;
 
-	if (now < sync->ask_next && news == sync->told)
+	if (now < sync->query_next && news == sync->reported_digest)
 		return;
-	sync->told = news;
-	sync->ask_next = now + ASK_INTERVAL;
+	sync->reported_digest = news;
+	sync->query_next = now + ASK_INTERVAL;
 	parent = talloc_new(NULL);
 	exchange_fill(pooler, &message);
 	describe(pooler, now, &message, parent);
--- a/pooler/duty.c
+++ b/pooler/duty.c
@@ -70,7 +70,7 @@
 		  LOG_INT("planned", change->planned),
 		  LOG_INT("since_start_ms", (int64_t)((now - change->started) / USEC_PER_MSEC)),
 		  LOG_INT("roster", service->pooler->sync.roster->revision),
-		  LOG_INT("fence", (int64_t)service->pooler->sync.own_fence));
+		  LOG_INT("fence", (int64_t)service->pooler->sync.own_token));
 	change->step = step;
 	change->step_since = now;
 	change->next_probe = now;
@@ -103,7 +103,7 @@
 	pooler_t *pooler = data;
 
 	(void)result; /* the roster, read again, shows what holds */
-	pooler->sync.storing = false;
+	pooler->sync.writing_groups = false;
 	list_for_each (it, &pooler->active_services) {
 		service_t *service = list_entry(it, service_t, active);
 
@@ -125,7 +125,7 @@
 {
 	roster_t *roster = NULL;
 
-	if (pooler->sync.storing || now < pooler->sync.store_next)
+	if (pooler->sync.writing_groups || now < pooler->sync.groups_write_next)
 		return;
 	list_for_each (it, &pooler->active_services) {
 		service_t *service = list_entry(it, service_t, active);
@@ -136,16 +136,16 @@
 			roster = roster_copy(NULL, pooler->sync.roster);
 		roster_put_group(roster, service->name, service->wanted.primary,
 				 service->wanted.changing, service->wanted.term,
-				 pooler->sync.own_fence);
+				 pooler->sync.own_token);
 		talloc_free(service->wanted.primary);
 		service->wanted.primary = NULL;
 		service->storing = true;
 	}
 	if (roster == NULL)
 		return;
-	pooler->sync.storing = true;
+	pooler->sync.writing_groups = true;
 	/* Each is told to the whole fleet. */
-	pooler->sync.store_next = now + push_spacing(pooler);
+	pooler->sync.groups_write_next = now + push_spacing(pooler);
 	sync_commit(pooler, roster, on_stored, pooler);
 	talloc_free(roster);
 }
@@ -217,7 +217,7 @@
 static usec_t settled_at(const service_t *service, bool is_own)
 {
 	if (!is_own)
-		return service->pooler->sync.held_since + SETTLE_TIME;
+		return service->pooler->sync.leading_since + SETTLE_TIME;
 	return service->last_call != 0 ? service->last_call + SETTLE_TIME : 0;
 }
 
@@ -240,7 +240,7 @@
 	 * Nobody has called since our own mark: who calls has written to the roster before. But a
 	 * mark of ours on a change that we took up is no proof that its beginner had not called.
 	 */
-	is_own = group->fence == service->pooler->sync.past_fence && !service->taken_up;
+	is_own = group->fencing_token == service->pooler->sync.former_token && !service->taken_up;
 	service->taken_up = !is_own;
 	change->settled_at = settled_at(service, is_own);
 	change->may_have_called = !is_own || service->last_call != 0;
@@ -267,7 +267,7 @@
 			install(service, now);
 		return;
 	}
-	if (group->changing && group->fence != service->pooler->sync.own_fence) {
+	if (group->changing && group->fencing_token != service->pooler->sync.own_token) {
 		take_up(service, now);
 		return;
 	}
@@ -395,7 +395,7 @@
 	counter_add(&promotes_total, 1);
 	set_step(service, CHANGE_PROMOTING, now);
 	pooler->env->ops->promote(pooler->env, service->name, target->id, pooler->config.name,
-				  pooler->sync.own_fence);
+				  pooler->sync.own_token);
 }
 
 /* The old primary leads and has no reason to go. */
@@ -413,7 +413,7 @@
 {
 	const sync_t *sync = &service->pooler->sync;
 
-	return sync->foreign_change != 0 ? sync->foreign_change + SETTLE_TIME : 0;
+	return sync->other_leader_wrote_at != 0 ? sync->other_leader_wrote_at + SETTLE_TIME : 0;
 }
 
 static void survey(service_t *service, usec_t now)
@@ -573,15 +573,15 @@
 	sync_t *sync = &pooler->sync;
 	size_t count = HASH_COUNT(pooler->services_by_name);
 
-	if (sync->watched_last == NULL)
-		sync->watched_last = &pooler->services;
+	if (sync->last_checked_service == NULL)
+		sync->last_checked_service = &pooler->services;
 	for (size_t i = 0; i < count && i < WATCHED_AT_ONCE; i++) {
 		service_t *service;
 
-		sync->watched_last = sync->watched_last->next;
-		if (sync->watched_last == &pooler->services)
-			sync->watched_last = sync->watched_last->next;
-		service = list_entry(sync->watched_last, service_t, node);
+		sync->last_checked_service = sync->last_checked_service->next;
+		if (sync->last_checked_service == &pooler->services)
+			sync->last_checked_service = sync->last_checked_service->next;
+		service = list_entry(sync->last_checked_service, service_t, node);
 		if (list_empty(&service->active))
 			step(service, now);
 	}
--- a/pooler/env.h
+++ b/pooler/env.h
@@ -69,14 +69,14 @@
 	uint64_t number; /* the sender's, comes back with the result */
 	const char *database;
 	const char *customer;
-	usec_t left; /* until the sender gives up */
+	usec_t time_left; /* until the sender gives up */
 	const statement_t *statement;
 	slice_t shape; /* EXEC: what its name stands for */
 	const variables_t *variables;
 	bool has_commit;
-	position_t commit; /* the session's last one */
-	uint64_t session;  /* the sender's number of the transaction; 0: a lone statement */
-	bool begins;	   /* its first statement */
+	position_t commit;	 /* the session's last one */
+	uint64_t transaction;	 /* the sender's number of the transaction; 0: a lone statement */
+	bool begins_transaction; /* its first statement */
 	bool read_only;
 } forward_request_t;
 
@@ -125,7 +125,7 @@
 typedef struct quota_request {
 	uint64_t number; /* the sender's, comes back with the answer */
 	const char *customer;
-	unsigned seat;
+	unsigned shard;
 	unsigned wanted;
 	bool release; /* the sender is the seat's keeper now: give nothing more for it */
 } quota_request_t;
@@ -135,10 +135,10 @@
 	uint64_t number;
 	const char *customer;
 	unsigned granted;
-	bool vacant;   /* the sender is not the seat's keeper, or not yet */
-	bool release;  /* it answers a request to release the seat */
-	bool released; /* to a request for it: the sender was the keeper, and gives nothing more */
-	usec_t wait;   /* if there were too few: before that nobody needs to ask again */
+	bool not_owner; /* the sender is not the seat's keeper, or not yet */
+	bool release;	/* it answers a request to release the seat */
+	bool released;	/* to a request for it: the sender was the keeper, and gives nothing more */
+	usec_t retry_after; /* if there were too few: before that nobody needs to ask again */
 } quota_answer_t;
 
 /* Between proxies. Each is complete in itself; any may be lost or repeated. */
@@ -153,21 +153,22 @@
 	int64_t revision; /* of the roster that the sender holds */
 	int64_t config_version;
 	uint64_t members_digest; /* of the list of members that the sender holds */
-	int64_t fleet; /* ASK: proxies that the sender has seen on the roster for PERMIT_TOGETHER */
-	usec_t age;    /* STATE: since the store was asked, USEC_NEVER: never */
-	const char *roster; /* STATE: the roster if the receiver's is older, else NULL */
-	const char *holder; /* STATE: who holds the duty to promote, NULL if unknown */
-	uint64_t fence;	    /* STATE: the holder's */
-	const char *holder_address;
-	const char
-		*ends; /* STATE of the holder: changes under way, "SERVICE:MS " until their end */
-	usec_t holder_age;  /* STATE: since the sender heard the holder; USEC_NEVER: it has not */
-	usec_t quorum_age;  /* STATE: since more than half were known to agree; USEC_NEVER: never */
-	const char *agreed; /* STATE of a hub: who agrees, and since when, "PROXY:MS " each */
-	usec_t directory_age; /* STATE: of what the sender knows of the directory */
+	int64_t fleet_size;	 /* ASK: proxies that the sender has seen on the roster for
+				    PERMIT_TOGETHER */
+	usec_t roster_age;	 /* STATE: since the store was asked, USEC_NEVER: never */
+	const char *roster;	 /* STATE: the roster if the receiver's is older, else NULL */
+	const char *leader;	 /* STATE: who holds the duty to promote, NULL if unknown */
+	uint64_t fencing_token;	 /* STATE: the holder's */
+	const char *leader_address;
+	const char *change_ends; /* STATE of the holder: changes under way, "SERVICE:MS " until
+				    their end */
+	usec_t leader_age; /* STATE: since the sender heard the holder; USEC_NEVER: it has not */
+	usec_t quorum_age; /* STATE: since more than half were known to agree; USEC_NEVER: never */
+	const char *agreements; /* STATE of a hub: who agrees, and since when, "PROXY:MS " each */
+	usec_t directory_age;	/* STATE: of what the sender knows of the directory */
 	/* ASK: what the sender has been told of configuration and members. */
-	int64_t config_at;
-	int64_t members_at;
+	int64_t config_as_of;
+	int64_t members_as_of;
 	/* STATE: what it lacks; NULL: nothing. */
 	const follow_changes_t *config_changes;
 	const follow_changes_t *members_changes;
@@ -182,7 +183,8 @@
 	const struct peer_message *reports;
 	size_t report_count;
 	usec_t report_age;
-	const char *doubted; /* STATE: services whose primary does not answer the holder */
+	const char
+		*doubted_primaries; /* STATE: services whose primary does not answer the holder */
 	/* ASK: services by name, as lists joined by blanks. */
 	const char *down;    /* their primary does not answer the sender */
 	const char *alive;   /* their primary answered the sender of late */
@@ -190,13 +192,13 @@
 	const char *in_use;  /* under change, and the sender still has work on the primary */
 	const forward_request_t *request;
 	const forward_result_t *result;
-	const store_request_t *store;
-	const store_answer_t *stored;
-	const quota_request_t *take;
-	const quota_answer_t *taken;
-	usec_t keys_age; /* STATE: of the proof that the sender's keys are the newest */
-	bool cut_off;	 /* the store does not serve the sender */
-	bool draining;	 /* the sender shuts down and takes no statements of others */
+	const store_request_t *store_request;
+	const store_answer_t *store_answer;
+	const quota_request_t *quota_request;
+	const quota_answer_t *quota_answer;
+	usec_t key_proof_age; /* STATE: of the proof that the sender's keys are the newest */
+	bool cut_off;	      /* the store does not serve the sender */
+	bool draining;	      /* the sender shuts down and takes no statements of others */
 } peer_message_t;
 
 typedef enum { PROMOTE_OK, PROMOTE_REFUSED, PROMOTE_LOST } promote_status_t;
--- a/pooler/exchange.c
+++ b/pooler/exchange.c
@@ -110,7 +110,7 @@
 
 	if (hold_is_ours(pooler, now))
 		return 0;
-	return sync->holder_heard != 0 ? now - sync->holder_heard : USEC_NEVER;
+	return sync->leader_seen_at != 0 ? now - sync->leader_seen_at : USEC_NEVER;
 }
 
 /*
@@ -135,7 +135,7 @@
 			agreed = talloc_asprintf_append(agreed, "%s:%" PRIu64 " ", report->name,
 							(now - report->agreed_at) / USEC_PER_MSEC);
 	}
-	message->agreed = agreed;
+	message->agreements = agreed;
 }
 
 /*
@@ -148,8 +148,9 @@
 {
 	int64_t known = ask != NULL ? ask->revision : report->revision;
 
-	if (report->roster_told > known && now < report->roster_told_at + ROSTER_ON_ITS_WAY)
-		known = report->roster_told;
+	if (report->roster_sent_revision > known &&
+	    now < report->roster_sent_at + ROSTER_ON_ITS_WAY)
+		known = report->roster_sent_revision;
 	if (known >= pooler->sync.roster->revision)
 		return NULL;
 	return roster_changes(pooler->sync.roster, known);
@@ -168,21 +169,22 @@
 
 	exchange_fill(pooler, &message);
 	message.members_digest = refresh_members_digest(pooler);
-	message.age = sync->confirmed_at != USEC_NEVER ? now - sync->confirmed_at : USEC_NEVER;
+	message.roster_age =
+		sync->confirmed_at != USEC_NEVER ? now - sync->confirmed_at : USEC_NEVER;
 	message.roster = news_of_roster(pooler, report, ask, now);
 	if (hold_is_ours(pooler, now))
-		message.ends = describe_ends(pooler, now, parent);
-	message.doubted = verdict_doubts(pooler, now, parent);
-	message.holder = sync->holder;
-	message.holder_address = sync->holder_address;
-	message.fence = sync->fence;
-	message.holder_age = holder_age(pooler, now);
+		message.change_ends = describe_ends(pooler, now, parent);
+	message.doubted_primaries = verdict_doubts(pooler, now, parent);
+	message.leader = sync->leader;
+	message.leader_address = sync->leader_address;
+	message.fencing_token = sync->fencing_token;
+	message.leader_age = holder_age(pooler, now);
 	describe_agreement(pooler, now, &message, parent);
 	refresh_describe(pooler, name, ask, &message, parent);
 	sent = exchange_send(pooler, name, address, &message);
 	if (sent && message.roster != NULL) {
-		report->roster_told = sync->roster->revision;
-		report->roster_told_at = now;
+		report->roster_sent_revision = sync->roster->revision;
+		report->roster_sent_at = now;
 	}
 	talloc_free(parent);
 	return sent;
@@ -213,7 +215,7 @@
 {
 	peer_report_t *report = exchange_get_report(pooler, message->from);
 
-	report->ponged = true;
+	report->ping_answered = true;
 	upstream_on_pong(report, now_of(pooler));
 }
 
@@ -222,14 +224,14 @@
 	sync_t *sync = &pooler->sync;
 	peer_report_t *report;
 
-	HASH_FIND_STR(sync->by_name, name, report);
+	HASH_FIND_STR(sync->reports_by_name, name, report);
 	if (report != NULL)
 		return report;
 	report = talloc_zero(pooler, peer_report_t);
 	report->name = talloc_strdup(report, name);
-	list_init(&report->awaited);
+	list_init(&report->unanswered_node);
 	list_add_tail(&sync->reports, &report->node);
-	HASH_ADD_KEYPTR(hh, sync->by_name, report->name, strlen(name), report);
+	HASH_ADD_KEYPTR(hh, sync->reports_by_name, report->name, strlen(name), report);
 	return report;
 }
 
@@ -237,7 +239,7 @@
 {
 	const peer_report_t *report;
 
-	HASH_FIND_STR(pooler->sync.by_name, name, report);
+	HASH_FIND_STR(pooler->sync.reports_by_name, name, report);
 	return report;
 }
 
@@ -256,7 +258,7 @@
 static void note_access(peer_report_t *report, const peer_message_t *message, usec_t now)
 {
 	report->cut_off = message->cut_off;
-	report->access_at = now;
+	report->access_reported_at = now;
 }
 
 /*
@@ -270,18 +272,18 @@
 
 	/* Of an earlier process of that proxy, or by a slower way than a later one. */
 	if (message->incarnation < report->incarnation ||
-	    (message->incarnation == report->incarnation && heard_at < report->heard_at))
+	    (message->incarnation == report->incarnation && heard_at < report->received_at))
 		return false;
 	if (message->incarnation != report->incarnation)
-		report->roster_told = 0;
+		report->roster_sent_revision = 0;
 	report->incarnation = message->incarnation;
-	report->heard_at = heard_at;
+	report->received_at = heard_at;
 	news = report->revision != message->revision && ask_tells_revision(pooler);
 	report->revision = message->revision;
-	report->fleet = message->fleet;
+	report->fleet_size = message->fleet_size;
 	news |= replace(report, &report->down, message->down);
 	news |= replace(report, &report->failing, message->failing);
-	pooler->sync.votes_differ |= news;
+	pooler->sync.votes_changed |= news;
 	news |= replace(report, &report->in_use, message->in_use);
 	replace(report, &report->alive, message->alive);
 	return news;
@@ -292,8 +294,8 @@
 	peer_report_t *report = exchange_get_report(pooler, message->from);
 
 	upstream_on_question(report, now);
-	report->config_at = message->config_at;
-	report->members_at = message->members_at;
+	report->config_as_of = message->config_as_of;
+	report->members_as_of = message->members_as_of;
 	note_access(report, message, now);
 }
 
@@ -314,7 +316,7 @@
 	}
 	note_listener(pooler, message, now);
 	if (message->revision > pooler->sync.roster->revision)
-		pooler->sync.behind = true;
+		pooler->sync.roster_maybe_stale = true;
 	if (join_answers(pooler, message->from))
 		send_state(pooler, message->from, message->address, message);
 	join_on_ask(pooler, message);
@@ -322,14 +324,14 @@
 	if (news && hold_is_ours(pooler, now))
 		duty_tick(pooler, now);
 	else if (news && upstream_is_hub(pooler))
-		pooler->sync.ask_next = 0;
+		pooler->sync.query_next = 0;
 }
 
 /* The agreement of others with our roster, as a hub has heard it after our question. */
 static void take_agreement(pooler_t *pooler, const peer_message_t *message)
 {
 	sync_t *sync = &pooler->sync;
-	const char *at = message->agreed != NULL ? message->agreed : "";
+	const char *at = message->agreements != NULL ? message->agreements : "";
 
 	exchange_get_report(pooler, message->from)->agreed_at = message->echo;
 	while (*at != '\0') {
@@ -345,8 +347,8 @@
 		at += strspn(at, " ");
 	}
 	if (message->quorum_age < message->echo &&
-	    message->echo - message->quorum_age > sync->agreed_told)
-		sync->agreed_told = message->echo - message->quorum_age;
+	    message->echo - message->quorum_age > sync->peers_agreed_at)
+		sync->peers_agreed_at = message->echo - message->quorum_age;
 	permit_on_agreed(pooler);
 }
 
@@ -354,15 +356,16 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	if (message->holder != NULL && message->fence > sync->fence)
-		sync_set_holder(pooler, message->holder, message->holder_address, message->fence);
-	if (sync->holder == NULL)
+	if (message->leader != NULL && message->fencing_token > sync->fencing_token)
+		sync_set_holder(pooler, message->leader, message->leader_address,
+				message->fencing_token);
+	if (sync->leader == NULL)
 		return;
-	if (strcmp(sync->holder, message->from) == 0)
-		sync->holder_heard = now;
-	else if (message->fence == sync->fence && message->holder_age < now &&
-		 now - message->holder_age > sync->holder_heard)
-		sync->holder_heard = now - message->holder_age;
+	if (strcmp(sync->leader, message->from) == 0)
+		sync->leader_seen_at = now;
+	else if (message->fencing_token == sync->fencing_token && message->leader_age < now &&
+		 now - message->leader_age > sync->leader_seen_at)
+		sync->leader_seen_at = now - message->leader_age;
 }
 
 static void take_roster(pooler_t *pooler, const peer_message_t *message, usec_t now)
@@ -391,7 +394,7 @@
 	bool agrees;
 
 	note_access(report, message, now);
-	report->asked_since = 0;
+	report->query_unanswered_since = 0;
 	join_on_state(pooler, message->from);
 	take_holder(pooler, message, now);
 	take_roster(pooler, message, now);
@@ -400,14 +403,14 @@
 	 * The answer was given no earlier than our question was sent, so the peer's read of the
 	 * store was sent no earlier than that less its age. Nobody's clock is compared.
 	 */
-	if (agrees && message->age < message->echo)
-		sync_confirm(pooler, message->echo - message->age);
+	if (agrees && message->roster_age < message->echo)
+		sync_confirm(pooler, message->echo - message->roster_age);
 	if (agrees)
 		take_agreement(pooler, message);
-	if (message->ends != NULL)
-		take_ends(pooler, message->ends, now);
-	if (message->doubted != NULL && upstream_is(pooler, message->from))
-		verdict_on_doubts(pooler, message->doubted, now);
+	if (message->change_ends != NULL)
+		take_ends(pooler, message->change_ends, now);
+	if (message->doubted_primaries != NULL && upstream_is(pooler, message->from))
+		verdict_on_doubts(pooler, message->doubted_primaries, now);
 	refresh_on_state(pooler, message, now);
 	sync_run_services(pooler);
 }
@@ -429,10 +432,10 @@
 {
 	peer_report_t *report = exchange_get_report(pooler, message->from);
 
-	if (message->incarnation <= report->drained_as)
+	if (message->incarnation <= report->drained_incarnation)
 		return;
 	LOG_EVENT(LOG_INFO, "proxy shuts down", LOG_STR("proxy", message->from));
-	report->drained_as = message->incarnation;
+	report->drained_incarnation = message->incarnation;
 }
 
 void exchange_on_message(pooler_t *pooler, const peer_message_t *message)
--- a/pooler/follow.c
+++ b/pooler/follow.c
@@ -66,7 +66,7 @@
 
 static void forget_gone(follow_t *follow, const char *key)
 {
-	list_for_each_safe (it, &follow->gone) {
+	list_for_each_safe (it, &follow->removed) {
 		known_t *known = list_entry(it, known_t, node);
 
 		if (strcmp(known->key, key) != 0)
@@ -79,8 +79,8 @@
 /* What is read again may be older than what peers were told, and has to be told all the same. */
 static int64_t learnt_at(const follow_t *follow, int64_t revision)
 {
-	return follow->paging && follow->round_revision > revision ? follow->round_revision
-								   : revision;
+	return follow->applying_page && follow->read_revision > revision ? follow->read_revision
+									 : revision;
 }
 
 static void take_item(follow_t *follow, const kv_item_t *item)
@@ -94,7 +94,7 @@
 		HASH_ADD_KEYPTR(hh, follow->by_key, known->key, strlen(known->key), known);
 		forget_gone(follow, item->key);
 	}
-	known->round = follow->round;
+	known->round = follow->read_round;
 	/* A reading may be older than what a watch has told meanwhile. */
 	if (item->revision <= known->revision && known->missing_since == USEC_NEVER)
 		return;
@@ -104,19 +104,19 @@
 	known->value = talloc_memdup(known, item->value, item->len);
 	known->len = item->len;
 	known->told = learnt_at(follow, item->revision);
-	follow->ops->changed(follow, item);
+	follow->ops->on_changed(follow, item);
 }
 
 static void tell_gone(follow_t *follow, known_t *known)
 {
-	follow->ops->gone(follow, known->key);
+	follow->ops->on_removed(follow, known->key);
 	HASH_DEL(follow->by_key, known);
 	list_del(&known->node);
-	list_add_tail(&follow->gone, &known->node);
-	if (list_length(&follow->gone) <= GONE_MAX)
+	list_add_tail(&follow->removed, &known->node);
+	if (list_length(&follow->removed) <= GONE_MAX)
 		return;
-	known = list_entry(follow->gone.next, known_t, node);
-	follow->whole_from = known->revision;
+	known = list_entry(follow->removed.next, known_t, node);
+	follow->complete_since = known->revision;
 	list_del(&known->node);
 	talloc_free(known);
 }
@@ -125,13 +125,13 @@
 
 static void arm_sweep(follow_t *follow, usec_t at)
 {
-	if (!timer_is_armed(&follow->sweep))
-		timers_arm(follow->timers, &follow->sweep, at, on_sweep);
+	if (!timer_is_armed(&follow->removal_timer))
+		timers_arm(follow->timers, &follow->removal_timer, at, on_sweep);
 }
 
 static void on_sweep(run_timer_t *timer, usec_t now)
 {
-	follow_t *follow = list_entry(timer, follow_t, sweep);
+	follow_t *follow = list_entry(timer, follow_t, removal_timer);
 	usec_t next = USEC_NEVER;
 
 	list_for_each_safe (it, &follow->keys) {
@@ -180,8 +180,9 @@
 	unsigned doublings = failures < BACKOFF_DOUBLINGS ? failures : BACKOFF_DOUBLINGS;
 	usec_t base = BACKOFF_FIRST << doublings;
 
-	follow->random = follow->random * 6364136223846793005ull + 1442695040888963407ull;
-	return base + (follow->random >> 33) % base;
+	follow->random_state =
+		follow->random_state * 6364136223846793005ull + 1442695040888963407ull;
+	return base + (follow->random_state >> 33) % base;
 }
 
 /* Log the failure, and try again after the back-off. */
@@ -219,41 +220,41 @@
 {
 	counter_add(&reads_total, 1);
 	follow->reading = true;
-	follow->round++;
-	follow->round_revision = 0;
+	follow->read_round++;
+	follow->read_revision = 0;
 	talloc_free(follow->last_key);
 	follow->last_key = NULL;
 }
 
 static void advance(follow_t *follow, int64_t revision)
 {
-	if (revision > follow->told)
-		follow->told = revision;
+	if (revision > follow->as_of)
+		follow->as_of = revision;
 }
 
 static void end_reading(follow_t *follow)
 {
 	if (follow->revision == 0) {
-		follow->revision = follow->round_revision;
-		follow->whole_from = follow->round_revision;
+		follow->revision = follow->read_revision;
+		follow->complete_since = follow->read_revision;
 	}
-	advance(follow, follow->round_revision);
+	advance(follow, follow->read_revision);
 	list_for_each (it, &follow->keys) {
 		known_t *known = list_entry(it, known_t, node);
 
 		/* What was written after the reading began can't be in it. */
-		if (known->round < follow->round && known->revision <= follow->round_revision)
-			set_missing(follow, known, follow->round_revision);
+		if (known->round < follow->read_round && known->revision <= follow->read_revision)
+			set_missing(follow, known, follow->read_revision);
 	}
 	follow->reading = false;
-	follow->unanswered_at = 0;
+	follow->unanswered_since = 0;
 }
 
 static void on_page(void *data, const kv_result_t *result)
 {
 	follow_t *follow = data;
 
-	follow->page_asked = false;
+	follow->page_in_flight = false;
 	if (result->status != KV_OK) {
 		retry_later(follow, &follow->page_retry, FOLLOW_BY_READING, result->status,
 			    on_page_retry);
@@ -266,13 +267,13 @@
 		return;
 	}
 	/* Pages are read at different moments; watching from the first one misses nothing. */
-	if (follow->round_revision == 0)
-		follow->round_revision = result->as_of;
-	follow->paging = true;
-	follow->way = FOLLOW_BY_READING;
+	if (follow->read_revision == 0)
+		follow->read_revision = result->as_of;
+	follow->applying_page = true;
+	follow->source = FOLLOW_BY_READING;
 	for (size_t i = 0; i < result->count; i++)
 		take_item(follow, &result->items[i]);
-	follow->paging = false;
+	follow->applying_page = false;
 	talloc_free(follow->last_key);
 	follow->last_key = NULL;
 	if (result->truncated && result->count != 0)
@@ -280,8 +281,8 @@
 			talloc_strdup(follow->parent, result->items[result->count - 1].key);
 	else
 		end_reading(follow);
-	if (!follow->reading && follow->ops->read != NULL)
-		follow->ops->read(follow, follow->read_began);
+	if (!follow->reading && follow->ops->on_read != NULL)
+		follow->ops->on_read(follow, follow->read_started_at);
 	go_on(follow);
 }
 
@@ -304,7 +305,7 @@
 static void on_watch_failure(follow_t *follow, kv_status_t status)
 {
 	retry_later(follow, &follow->watch_retry, FOLLOW_BY_WATCH, status, on_watch_retry);
-	if (!follow->fed && !follow->reading)
+	if (!follow->from_peer && !follow->reading)
 		start_reading(follow);
 	go_on(follow);
 }
@@ -327,30 +328,31 @@
 		return;
 	}
 	note_success(follow, &follow->watch_retry, FOLLOW_BY_WATCH);
-	follow->way = FOLLOW_BY_WATCH;
+	follow->source = FOLLOW_BY_WATCH;
 	take_events(follow, result->items, result->count);
 	follow->revision = result->as_of;
 	advance(follow, result->as_of);
-	if (follow->gather != 0 && result->count != 0)
+	if (follow->coalesce_time != 0 && result->count != 0)
 		timers_arm(follow->timers, &follow->watch_retry.timer,
-			   clock_now(follow->clock) + follow->gather, on_watch_retry);
+			   clock_now(follow->clock) + follow->coalesce_time, on_watch_retry);
 	go_on(follow);
 }
 
 /* Make the calls that are due: the next page, the next watch, or both. */
 static void go_on(follow_t *follow)
 {
-	if (follow->reading && !follow->page_asked && !timer_is_armed(&follow->page_retry.timer)) {
-		follow->page_asked = true;
+	if (follow->reading && !follow->page_in_flight &&
+	    !timer_is_armed(&follow->page_retry.timer)) {
+		follow->page_in_flight = true;
 		if (follow->last_key == NULL)
-			follow->read_began = clock_now(follow->clock);
-		if (follow->unanswered_at == 0)
-			follow->unanswered_at = follow->read_began;
+			follow->read_started_at = clock_now(follow->clock);
+		if (follow->unanswered_since == 0)
+			follow->unanswered_since = follow->read_started_at;
 		follow->kv->ops->range(follow->kv, follow->prefix,
 				       follow->last_key != NULL ? follow->last_key : "", on_page,
 				       follow);
 	}
-	if (follow->revision != 0 && !follow->watching && !follow->fed &&
+	if (follow->revision != 0 && !follow->watching && !follow->from_peer &&
 	    !timer_is_armed(&follow->watch_retry.timer)) {
 		follow->watching = true;
 		follow->kv->ops->watch(follow->kv, follow->prefix, follow->revision,
@@ -360,17 +362,18 @@
 
 usec_t follow_unanswered(const follow_t *follow)
 {
-	return follow->unanswered_at != 0 ? clock_now(follow->clock) - follow->unanswered_at : 0;
+	return follow->unanswered_since != 0 ? clock_now(follow->clock) - follow->unanswered_since
+					     : 0;
 }
 
 void follow_refresh(follow_t *follow)
 {
-	follow->held = false;
+	follow->read_deferred = false;
 	if (timer_is_armed(&follow->page_retry.timer))
 		LOG_EVENT(LOG_INFO, "reading waits for the back-off",
 			  LOG_STR("prefix", follow->prefix),
 			  LOG_INT("failures", follow->page_retry.failures),
-			  LOG_INT("revision", follow->told));
+			  LOG_INT("revision", follow->as_of));
 	if (follow->reading)
 		return;
 	start_reading(follow);
@@ -390,9 +393,9 @@
 
 void follow_set_fed(follow_t *follow, bool fed)
 {
-	if (follow->fed == fed)
+	if (follow->from_peer == fed)
 		return;
-	follow->fed = fed;
+	follow->from_peer = fed;
 	go_on(follow);
 }
 
@@ -418,24 +421,24 @@
 follow_news_t follow_changes(const follow_t *follow, int64_t since, void *parent,
 			     follow_changes_t *changes)
 {
-	bool whole = since < follow->whole_from;
+	bool whole = since < follow->complete_since;
 	kv_item_t *items;
 	size_t count = 0;
 	size_t bytes = 0;
 
 	/* Every question asks, and nearly none lacks anything. */
-	if (follow->whole_from == 0 || follow->told <= since)
+	if (follow->complete_since == 0 || follow->as_of <= since)
 		return FOLLOW_NOTHING;
 	items = talloc_array(parent, kv_item_t,
-			     list_length(&follow->keys) + list_length(&follow->gone));
+			     list_length(&follow->keys) + list_length(&follow->removed));
 	list_known(&follow->keys, whole ? 0 : since, items, &count, &bytes);
-	list_known(&follow->gone, whole ? 0 : since, items, &count, &bytes);
+	list_known(&follow->removed, whole ? 0 : since, items, &count, &bytes);
 	if (count == 0 && !whole)
 		return FOLLOW_NOTHING;
 	if (bytes > FOLLOW_CHANGES_MOST)
 		return FOLLOW_TOO_MUCH;
 	*changes = (follow_changes_t){
-		.whole = whole, .as_of = follow->told, .items = items, .count = count};
+		.complete = whole, .as_of = follow->as_of, .items = items, .count = count};
 	return FOLLOW_CHANGED;
 }
 
@@ -465,28 +468,28 @@
 
 const char *follow_pack(follow_t *follow, int64_t since)
 {
-	bool whole = since < follow->whole_from;
+	bool whole = since < follow->complete_since;
 	json_t *items;
 	json_t *root;
 	char *text;
 
-	if (follow->whole_from == 0)
+	if (follow->complete_since == 0)
 		return NULL;
 	if (whole)
 		since = 0;
-	if (follow->packed != NULL && follow->packed_at == follow->told &&
+	if (follow->packed != NULL && follow->packed_as_of == follow->as_of &&
 	    follow->packed_since == since)
 		return follow->packed;
 	items = json_array();
 	encode_list(items, &follow->keys, since);
-	encode_list(items, &follow->gone, since);
-	root = json_pack("{s:I, s:b, s:o}", "as_of", (json_int_t)follow->told, "whole", whole,
+	encode_list(items, &follow->removed, since);
+	root = json_pack("{s:I, s:b, s:o}", "as_of", (json_int_t)follow->as_of, "whole", whole,
 			 "items", items);
 	text = json_dumps(root, JSON_COMPACT);
 	json_decref(root);
 	talloc_free(follow->packed);
 	follow->packed = pack_text(follow->parent, text, strlen(text));
-	follow->packed_at = follow->told;
+	follow->packed_as_of = follow->as_of;
 	follow->packed_since = since;
 	free(text);
 	return follow->packed;
@@ -515,7 +518,7 @@
 	json_t *list = json_object_get(root, "items");
 	kv_item_t *items = talloc_array(parent, kv_item_t, json_array_size(list));
 	follow_changes_t changes = {
-		.whole = json_is_true(json_object_get(root, "whole")),
+		.complete = json_is_true(json_object_get(root, "whole")),
 		.as_of = json_integer_value(json_object_get(root, "as_of")),
 		.items = items,
 	};
@@ -536,11 +539,11 @@
 /* All of it, whatever this follower was reading itself. */
 static void take_whole(follow_t *follow, const follow_changes_t *changes)
 {
-	follow->held = false;
-	follow->round++;
-	follow->round_revision = changes->as_of;
+	follow->read_deferred = false;
+	follow->read_round++;
+	follow->read_revision = changes->as_of;
 	take_events(follow, changes->items, changes->count);
-	follow->whole_from = changes->as_of;
+	follow->complete_since = changes->as_of;
 	end_reading(follow);
 }
 
@@ -550,20 +553,20 @@
  */
 void follow_take(follow_t *follow, const follow_changes_t *changes)
 {
-	if (changes->as_of <= follow->told)
+	if (changes->as_of <= follow->as_of)
 		return;
-	follow->way = FOLLOW_BY_PEER;
-	if (changes->whole)
+	follow->source = FOLLOW_BY_PEER;
+	if (changes->complete)
 		take_whole(follow, changes);
 	else
 		take_events(follow, changes->items, changes->count);
 	if (follow->revision != 0 && changes->as_of > follow->revision)
 		follow->revision = changes->as_of;
 	/* Changes alone may be meant for our process of before. */
-	if (follow->whole_from != 0)
+	if (follow->complete_since != 0)
 		advance(follow, changes->as_of);
-	if (follow->unanswered_at != 0)
-		follow->unanswered_at = clock_now(follow->clock);
+	if (follow->unanswered_since != 0)
+		follow->unanswered_since = clock_now(follow->clock);
 }
 
 /* --- start and end --- */
@@ -576,9 +579,9 @@
 
 void follow_release(follow_t *follow)
 {
-	if (!follow->held)
+	if (!follow->read_deferred)
 		return;
-	follow->held = false;
+	follow->read_deferred = false;
 	if (follow->revision == 0)
 		read_first(follow);
 }
@@ -587,8 +590,8 @@
 {
 	follow->parent = parent;
 	list_init(&follow->keys);
-	list_init(&follow->gone);
-	if (!follow->held)
+	list_init(&follow->removed);
+	if (!follow->read_deferred)
 		read_first(follow);
 }
 
@@ -596,14 +599,14 @@
 {
 	timers_cancel(follow->timers, &follow->page_retry.timer);
 	timers_cancel(follow->timers, &follow->watch_retry.timer);
-	timers_cancel(follow->timers, &follow->sweep);
+	timers_cancel(follow->timers, &follow->removal_timer);
 	HASH_CLEAR(hh, follow->by_key);
 	list_for_each_safe (it, &follow->keys)
 		talloc_free(list_entry(it, known_t, node));
-	list_for_each_safe (it, &follow->gone)
+	list_for_each_safe (it, &follow->removed)
 		talloc_free(list_entry(it, known_t, node));
 	list_init(&follow->keys);
-	list_init(&follow->gone);
+	list_init(&follow->removed);
 	TALLOC_FREE(follow->packed);
 	talloc_free(follow->last_key);
 	follow->last_key = NULL;
--- a/pooler/follow.h
+++ b/pooler/follow.h
@@ -38,10 +38,10 @@
 struct follow;
 
 typedef struct follow_ops {
-	void (*changed)(struct follow *follow, const kv_item_t *item);
-	void (*gone)(struct follow *follow, const char *key);
+	void (*on_changed)(struct follow *follow, const kv_item_t *item);
+	void (*on_removed)(struct follow *follow, const char *key);
 	/* The store was asked for all of it at that time, and everything of then was told. */
-	void (*read)(struct follow *follow, usec_t asked_at); /* may be NULL */
+	void (*on_read)(struct follow *follow, usec_t asked_at); /* may be NULL */
 } follow_ops_t;
 
 typedef struct follow {
@@ -50,35 +50,35 @@
 	const run_clock_t *clock;
 	timer_set_t *timers;
 	const char *prefix;
-	bool held;     /* the first reading waits for follow_release(), or for a peer */
-	usec_t gather; /* 0, or FOLLOW_GATHER */
-	void *parent;  /* of what it keeps */
-	uint64_t random;
+	bool read_deferred;   /* the first reading waits for follow_release(), or for a peer */
+	usec_t coalesce_time; /* 0, or FOLLOW_GATHER */
+	void *parent;	      /* of what it keeps */
+	uint64_t random_state;
 	list_t keys; /* of those told as there */
 	struct known *by_key;
-	int64_t revision;   /* watched from here on; 0: has to be read first */
-	list_t gone;	    /* keys that were told as gone of late, for follow_changes() */
-	int64_t told;	    /* the newest revision of which a peer can be told */
-	int64_t whole_from; /* everything since that revision is known; 0: nothing is */
-	char *packed;	    /* by follow_pack() */
-	int64_t packed_at;  /* told, as it was then */
+	int64_t revision;	/* watched from here on; 0: has to be read first */
+	list_t removed;		/* keys that were told as gone of late, for follow_changes() */
+	int64_t as_of;		/* the newest revision of which a peer can be told */
+	int64_t complete_since; /* everything since that revision is known; 0: nothing is */
+	char *packed;		/* by follow_pack() */
+	int64_t packed_as_of;	/* told, as it was then */
 	int64_t packed_since;
-	bool fed;	  /* a peer tells what changes; the store is not watched */
-	follow_way_t way; /* of the change that is being told */
+	bool from_peer;	     /* a peer tells what changes; the store is not watched */
+	follow_way_t source; /* of the change that is being told */
 	/* A whole reading, which can go on beside a watch. */
 	bool reading;
-	bool page_asked;
-	usec_t read_began;    /* when the first page was asked for */
-	usec_t unanswered_at; /* readings are not answered since then; 0: they are */
-	bool paging;	      /* a page is being taken */
-	uint64_t round;
-	int64_t round_revision; /* of its first page */
-	char *last_key;		/* of the page before */
+	bool page_in_flight;
+	usec_t read_started_at;	 /* when the first page was asked for */
+	usec_t unanswered_since; /* readings are not answered since then; 0: they are */
+	bool applying_page;	 /* a page is being taken */
+	uint64_t read_round;
+	int64_t read_revision; /* of its first page */
+	char *last_key;	       /* of the page before */
 	bool watching;
 	/* Apart: a watch can't go through a peer, a reading can. */
 	follow_retry_t page_retry;
 	follow_retry_t watch_retry; /* its timer also waits for more changes, see gather */
-	run_timer_t sweep;
+	run_timer_t removal_timer;
 } follow_t;
 
 void follow_start(follow_t *follow, void *parent);
@@ -97,7 +97,7 @@
 
 /* What a follower that was told everything up to since lacks. */
 typedef struct follow_changes {
-	bool whole;		/* these are all, not only those that changed */
+	bool complete;		/* these are all, not only those that changed */
 	int64_t as_of;		/* for the receiver's next question */
 	const kv_item_t *items; /* value NULL: it is missing */
 	size_t count;
--- a/pooler/forward.c
+++ b/pooler/forward.c
@@ -45,13 +45,13 @@
 		.database = caller->database,
 		.customer = caller->customer,
 		/* So that a refusal, which promises something, comes before we give up. */
-		.left = left > RESULT_WAYS ? left - RESULT_WAYS : left,
+		.time_left = left > RESULT_WAYS ? left - RESULT_WAYS : left,
 		.statement = statement,
 		.variables = &caller->variables,
 		.has_commit = caller->has_commit,
 		.commit = caller->commit,
-		.session = caller->remote,
-		.begins = !caller->tx_ran,
+		.transaction = caller->remote,
+		.begins_transaction = !caller->tx_ran,
 		.read_only = caller->tx_read_only,
 	};
 	peer_message_t message = {.kind = PEER_REQUEST, .request = &request};
--- a/pooler/hold.c
+++ b/pooler/hold.c
@@ -46,13 +46,13 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	if (!sync->holding)
+	if (!sync->leading)
 		return;
-	sync->holding = false;
-	sync->acquire_after = now_of(pooler) + ACQUIRE_BACKOFF;
+	sync->leading = false;
+	sync->acquire_not_before = now_of(pooler) + ACQUIRE_BACKOFF;
 	counter_set(&duty_held, 0);
 	LOG_EVENT(LOG_WARN, "duty lost", LOG_STR("reason", reason),
-		  LOG_INT("fence", (int64_t)sync->own_fence));
+		  LOG_INT("fence", (int64_t)sync->own_token));
 	duty_abandon(pooler);
 }
 
@@ -79,7 +79,7 @@
 	if (result->status != KV_OK)
 		pooler->sync.former_lease = 0;
 	/* The next reading shows that the duty is vacant. */
-	pooler->sync.behind = true;
+	pooler->sync.roster_maybe_stale = true;
 }
 
 void hold_end_former(pooler_t *pooler, uint64_t lease)
@@ -98,10 +98,10 @@
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
 
-	sync->holding = true;
-	sync->past_fence = sync->own_fence;
-	sync->own_fence = fence;
-	sync->held_since = now;
+	sync->leading = true;
+	sync->former_token = sync->own_token;
+	sync->own_token = fence;
+	sync->leading_since = now;
 	sync->renew_next = now;
 	counter_set(&duty_held, 1);
 	sync_set_holder(pooler, pooler->config.name, pooler->config.address, fence);
@@ -116,12 +116,12 @@
 
 	sync->acquiring = false;
 	/* The answer may come after the hold has ended and gone to another. */
-	if (result->status == KV_OK && now < sync->hold_until &&
-	    (uint64_t)result->as_of >= sync->fence) {
+	if (result->status == KV_OK && now < sync->lease_until &&
+	    (uint64_t)result->as_of >= sync->fencing_token) {
 		take_up(pooler, (uint64_t)result->as_of);
 		return;
 	}
-	sync->acquire_after = now + ACQUIRE_BACKOFF;
+	sync->acquire_not_before = now + ACQUIRE_BACKOFF;
 	/* Unanswered, it may have been won: the next read shows whose key is there. */
 	if (result->status != KV_LOST)
 		end_lease(pooler);
@@ -131,8 +131,8 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	if (sync->holding || sync->lease == 0 || incarnation != pooler->config.incarnation ||
-	    now_of(pooler) >= sync->hold_until || fence < sync->fence)
+	if (sync->leading || sync->lease == 0 || incarnation != pooler->config.incarnation ||
+	    now_of(pooler) >= sync->lease_until || fence < sync->fencing_token)
 		return;
 	LOG_EVENT(LOG_INFO, "duty won, though no answer came", LOG_INT("fence", (int64_t)fence));
 	take_up(pooler, fence);
@@ -149,7 +149,7 @@
 
 	if (result->status != KV_OK) {
 		sync->acquiring = false;
-		sync->acquire_after = now_of(pooler) + ACQUIRE_BACKOFF;
+		sync->acquire_not_before = now_of(pooler) + ACQUIRE_BACKOFF;
 		return;
 	}
 	sync->lease = result->lease;
@@ -177,7 +177,7 @@
 
 	sync->acquiring = true;
 	/* The lease runs from the call's arrival, which is no earlier than its sending. */
-	sync->hold_until = now + duty_ttl(pooler) - DUTY_MARGIN;
+	sync->lease_until = now + duty_ttl(pooler) - DUTY_MARGIN;
 	kv->ops->lease_create(kv, (int64_t)(duty_ttl(pooler) / USEC_PER_MSEC), on_lease, pooler);
 }
 
@@ -198,19 +198,19 @@
 static void consider_acquiring(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
-	bool vacant = sync->last_read_ok != 0 && sync->holder == NULL &&
-		      now < sync->last_read_ok + VACANT_BELIEVED;
+	bool vacant = sync->last_read_at != 0 && sync->leader == NULL &&
+		      now < sync->last_read_at + VACANT_BELIEVED;
 
-	if (!vacant || sync->acquiring || sync->holding || pooler->draining ||
+	if (!vacant || sync->acquiring || sync->leading || pooler->draining ||
 	    (!permit_is_registered(pooler) && !restore_is_due(pooler)))
 		return;
-	if (sync->acquire_after < sync->last_read_ok) {
-		sync->acquire_after = now + pooler_random(pooler, ACQUIRE_JITTER);
+	if (sync->acquire_not_before < sync->last_read_at) {
+		sync->acquire_not_before = now + pooler_random(pooler, ACQUIRE_JITTER);
 		if (is_stronger_listed(pooler) || restore_yields(pooler))
-			sync->acquire_after += WEAKER_WAITS;
+			sync->acquire_not_before += WEAKER_WAITS;
 		return;
 	}
-	if (now >= sync->acquire_after)
+	if (now >= sync->acquire_not_before)
 		acquire(pooler, now);
 }
 
@@ -228,16 +228,16 @@
 	usec_t now = now_of(pooler);
 
 	sync->renewing = false;
-	if (sync->holding && sync->lease == renewal->lease) {
+	if (sync->leading && sync->lease == renewal->lease) {
 		if (result->status == KV_OK) {
 			/* While it is held nobody else changes a group; see sync_commit(). */
 			sync_confirm(pooler, renewal->sent_at);
-			sync->hold_until = renewal->sent_at + duty_ttl(pooler) - DUTY_MARGIN;
+			sync->lease_until = renewal->sent_at + duty_ttl(pooler) - DUTY_MARGIN;
 			sync->renew_next = now + RENEW_INTERVAL;
 		} else if (result->status == KV_NOT_FOUND) {
 			if (result->era > sync->lease_era)
 				restore_on_lease_ended(pooler);
-			sync->behind = true;
+			sync->roster_maybe_stale = true;
 			hold_lose(pooler, "the lease ended");
 		} else {
 			sync->renew_next = result->status == KV_LOST ? now : now + RENEW_RETRY;
@@ -263,9 +263,9 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	if (!sync->holding)
+	if (!sync->leading)
 		return;
-	if (now >= sync->hold_until)
+	if (now >= sync->lease_until)
 		hold_lose(pooler, "the lease was not renewed in time");
 	else if (now >= sync->renew_next && !sync->renewing)
 		renew(pooler, now);
@@ -273,7 +273,7 @@
 
 bool hold_is_ours(const pooler_t *pooler, usec_t now)
 {
-	return pooler->sync.holding && now < pooler->sync.hold_until;
+	return pooler->sync.leading && now < pooler->sync.lease_until;
 }
 
 void hold_release(pooler_t *pooler)
--- a/pooler/home.c
+++ b/pooler/home.c
@@ -59,7 +59,7 @@
 bool home_applies(const service_t *service)
 {
 	return !service->pooler->config.alone &&
-	       service->pooler->sync.proxies * 100 >
+	       service->pooler->sync.proxy_count * 100 >
 		       (size_t)service->max_connections * DIRECT_PERCENT;
 }
 
@@ -112,7 +112,7 @@
 static zone_pick_t *pick_zones(const service_t *service, void *parent, size_t *count)
 {
 	const pooler_t *pooler = service->pooler;
-	zone_pick_t *picks = talloc_array(parent, zone_pick_t, pooler->sync.proxies);
+	zone_pick_t *picks = talloc_array(parent, zone_pick_t, pooler->sync.proxy_count);
 	uint64_t hash = XXH64(service->name, strlen(service->name), 0);
 
 	*count = 0;
@@ -223,7 +223,7 @@
 	if (node == NULL || strcmp(name, pooler->config.name) == 0)
 		return true;
 	report = exchange_get_report(pooler, name);
-	if (!report->ponged && *links > 0 && now >= report->pinged_at + PING_INTERVAL_MOST) {
+	if (!report->ping_answered && *links > 0 && now >= report->pinged_at + PING_INTERVAL_MOST) {
 		(*links)--;
 		/* The first only makes our link; the one that gets there makes theirs. */
 		if (exchange_ping(pooler, node))
@@ -231,7 +231,7 @@
 		else
 			report->pinged_at = now + PING_INTERVAL - PING_INTERVAL_MOST;
 	}
-	return report->ponged;
+	return report->ping_answered;
 }
 
 /*
@@ -287,7 +287,7 @@
 {
 	const roster_node_t *node = roster_node(pooler->sync.roster, report->name);
 
-	return node == NULL || node->incarnation <= report->drained_as;
+	return node == NULL || node->incarnation <= report->drained_incarnation;
 }
 
 static bool is_usable(const pooler_t *pooler, const char *name, usec_t now)
@@ -330,8 +330,8 @@
 
 	if (report->unanswered_since == 0)
 		report->unanswered_since = now;
-	if (list_empty(&report->awaited))
-		list_add_tail(&pooler->sync.awaited, &report->awaited);
+	if (list_empty(&report->unanswered_node))
+		list_add_tail(&pooler->sync.unanswered_reports, &report->unanswered_node);
 	pooler_hasten(pooler);
 }
 
@@ -412,12 +412,12 @@
 void home_tick(pooler_t *pooler, usec_t now)
 {
 	warm_up_all(pooler, now);
-	list_for_each_safe (it, &pooler->sync.awaited) {
-		peer_report_t *report = list_entry(it, peer_report_t, awaited);
+	list_for_each_safe (it, &pooler->sync.unanswered_reports) {
+		peer_report_t *report = list_entry(it, peer_report_t, unanswered_node);
 		const roster_node_t *node;
 
 		if (report->unanswered_since == 0) {
-			list_del(&report->awaited);
+			list_del(&report->unanswered_node);
 			continue;
 		}
 		if (now < report->unanswered_since + PING_AFTER)
--- a/pooler/job.c
+++ b/pooler/job.c
@@ -71,7 +71,8 @@
 		caller_t *caller = list_entry(it, caller_t, node);
 		const job_t *job = caller->job;
 
-		if (job != NULL && job->session != 0 && job->session == message->request->session &&
+		if (job != NULL && job->session != 0 &&
+		    job->session == message->request->transaction &&
 		    job->incarnation == message->incarnation &&
 		    strcmp(job->from, message->from) == 0)
 			return caller;
@@ -99,8 +100,8 @@
 	job->from = talloc_strdup(job, message->from);
 	job->address = talloc_strdup(job, message->address);
 	job->incarnation = message->incarnation;
-	job->session = request->session;
-	if (request->session != 0)
+	job->session = request->transaction;
+	if (request->transaction != 0)
 		caller_begin(caller, request->read_only);
 	return caller;
 }
@@ -118,7 +119,7 @@
 {
 	counter_add(&jobs_total, 1);
 	caller->job->number = request->number;
-	caller->job->left = request->left;
+	caller->job->left = request->time_left;
 	give_session(caller, request);
 	mark_served(caller);
 	caller_on_statement(caller, request->statement);
@@ -127,14 +128,14 @@
 void job_on_request(pooler_t *pooler, const peer_message_t *message)
 {
 	const forward_request_t *request = message->request;
-	caller_t *caller = request->session != 0 ? find(pooler, message) : NULL;
+	caller_t *caller = request->transaction != 0 ? find(pooler, message) : NULL;
 
 	if (request->statement->kind == STATEMENT_ROLLBACK) {
 		if (caller != NULL)
 			caller_on_gone(caller);
 		return;
 	}
-	if (caller == NULL && (request->session == 0 || request->begins)) {
+	if (caller == NULL && (request->transaction == 0 || request->begins_transaction)) {
 		caller = open(pooler, message);
 		if (caller == NULL)
 			decline(pooler, message);
--- a/pooler/join.c
+++ b/pooler/join.c
@@ -58,12 +58,12 @@
 
 static bool goes_by_hubs(const pooler_t *pooler)
 {
-	return pooler->sync.proxies > DIRECT_FLEET;
+	return pooler->sync.proxy_count > DIRECT_FLEET;
 }
 
 static usec_t added_within(const pooler_t *pooler)
 {
-	usec_t all = pooler->sync.proxies * ADDED_WITHIN_EACH;
+	usec_t all = pooler->sync.proxy_count * ADDED_WITHIN_EACH;
 
 	return all > ADDED_WITHIN ? all : ADDED_WITHIN;
 }
@@ -127,15 +127,15 @@
 	sync_t *sync = &pooler->sync;
 
 	sync->registering = false;
-	sync->join_began = 0;
-	sync->join_tries = 0;
-	sync->join_failed = result->status == KV_CONFLICT;
+	sync->join_started_at = 0;
+	sync->join_requests = 0;
+	sync->join_conflict = result->status == KV_CONFLICT;
 	/* Whoever made the other write lives, which the holder has not shown. */
-	sync->join_asked = sync->join_failed;
+	sync->join_requested = sync->join_conflict;
 	if (result->status == KV_OK) {
 		tell_added(pooler);
 		LOG_EVENT(LOG_INFO, "on the roster", LOG_INT("roster", sync->roster->revision));
-	} else if (sync->join_failed)
+	} else if (sync->join_conflict)
 		join_run(pooler, now_of(pooler));
 }
 
@@ -182,7 +182,7 @@
 	const sync_t *sync = &pooler->sync;
 	const roster_node_t *writer;
 
-	if (!sync->join_failed || !is_other(pooler, sync->roster->writer))
+	if (!sync->join_conflict || !is_other(pooler, sync->roster->writer))
 		return NULL;
 	writer = roster_node(sync->roster, sync->roster->writer);
 	return writer != NULL && !writer->gone ? writer : NULL;
@@ -193,7 +193,7 @@
 {
 	const sync_t *sync = &pooler->sync;
 
-	return sync->former_lease != 0 || (sync->holder != NULL && !is_other(pooler, sync->holder));
+	return sync->former_lease != 0 || (sync->leader != NULL && !is_other(pooler, sync->leader));
 }
 
 /*
@@ -205,11 +205,11 @@
 	const sync_t *sync = &pooler->sync;
 	const roster_node_t *writer;
 
-	*name = sync->holder;
-	*address = sync->holder_address;
-	if (!sync->join_asked && !was_holder(pooler) &&
+	*name = sync->leader;
+	*address = sync->leader_address;
+	if (!sync->join_requested && !was_holder(pooler) &&
 	    (goes_by_hubs(pooler) ? upstream_find(pooler, now, name, address)
-				  : is_other(pooler, sync->holder)))
+				  : is_other(pooler, sync->leader)))
 		return true;
 	writer = find_writer(pooler);
 	if (writer == NULL)
@@ -233,15 +233,15 @@
 		return false;
 	outgrow_last_life(pooler);
 	/* The first message makes the link; it is tried again with the next tick. */
-	if (!ask_peer(pooler, name, address) && now < sync->join_began + LINK_WITHIN)
+	if (!ask_peer(pooler, name, address) && now < sync->join_started_at + LINK_WITHIN)
 		return true;
-	sync->join_asked = true;
-	sync->join_failed = false;
-	sync->join_answered = false;
-	sync->join_asked_at = now;
-	sync->join_tries++;
-	talloc_free(sync->join_asked_of);
-	sync->join_asked_of = talloc_strdup(pooler, name);
+	sync->join_requested = true;
+	sync->join_conflict = false;
+	sync->join_target_answered = false;
+	sync->join_requested_at = now;
+	sync->join_requests++;
+	talloc_free(sync->join_target);
+	sync->join_target = talloc_strdup(pooler, name);
 	return true;
 }
 
@@ -254,8 +254,9 @@
 	const sync_t *sync = &pooler->sync;
 	usec_t silence = goes_by_hubs(pooler) ? HUB_ANSWERS : ADDED_WITHIN;
 
-	return sync->join_asked &&
-	       now < sync->join_asked_at + (sync->join_answered ? added_within(pooler) : silence);
+	return sync->join_requested &&
+	       now < sync->join_requested_at +
+			       (sync->join_target_answered ? added_within(pooler) : silence);
 }
 
 /*
@@ -266,11 +267,11 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	if (!sync->join_asked || !goes_by_hubs(pooler) || sync->join_tries >= ADDERS_ASKED)
+	if (!sync->join_requested || !goes_by_hubs(pooler) || sync->join_requests >= ADDERS_ASKED)
 		return;
-	upstream_avoid(pooler, sync->join_asked_of, now);
-	sync->join_asked = false;
-	sync->join_began = now;
+	upstream_avoid(pooler, sync->join_target, now);
+	sync->join_requested = false;
+	sync->join_started_at = now;
 }
 
 /* A proxy that is not on the roster uses no primary. */
@@ -282,8 +283,8 @@
 	    restore_is_due(pooler) || pooler->draining || permit_is_registered(pooler) ||
 	    is_being_added(pooler, now))
 		return;
-	if (sync->join_began == 0)
-		sync->join_began = now;
+	if (sync->join_started_at == 0)
+		sync->join_started_at = now;
 	ask_another(pooler, now);
 	if (!ask_adder(pooler, now))
 		write_own_entry(pooler);
@@ -335,7 +336,7 @@
 	const sync_t *sync = &pooler->sync;
 
 	return goes_by_hubs(pooler) && !hold_is_ours(pooler, now) &&
-	       is_other(pooler, sync->holder) && now < sync->holder_heard + HOLDER_SILENT;
+	       is_other(pooler, sync->leader) && now < sync->leader_seen_at + HOLDER_SILENT;
 }
 
 /*
@@ -360,7 +361,7 @@
 	if (!put_joiner(pooler, message, !is_crowded(pooler)))
 		return;
 	if (passes_on(pooler, now))
-		pooler->sync.ask_next = 0;
+		pooler->sync.query_next = 0;
 	join_run(pooler, now);
 }
 
@@ -368,8 +369,8 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	sync->join_answered |=
-		sync->join_asked_of != NULL && strcmp(sync->join_asked_of, from) == 0;
+	sync->join_target_answered |=
+		sync->join_target != NULL && strcmp(sync->join_target, from) == 0;
 }
 
 void join_on_report(pooler_t *pooler, const peer_message_t *report)
@@ -408,7 +409,7 @@
 {
 	pooler_t *pooler = data;
 
-	pooler->sync.adding = false;
+	pooler->sync.adding_joiners = false;
 	tell_added(pooler);
 	/* Another write was first: once more on top of it. Without an answer they try themselves.
 	 */
@@ -441,7 +442,7 @@
 	sync_t *sync = &pooler->sync;
 	roster_t *roster;
 
-	if (sync->adding || list_empty(&sync->joiners) || !permit_is_registered(pooler) ||
+	if (sync->adding_joiners || list_empty(&sync->joiners) || !permit_is_registered(pooler) ||
 	    restore_is_due(pooler))
 		return;
 	if (passes_on(pooler, now)) {
@@ -454,7 +455,7 @@
 		tell_added(pooler);
 		return;
 	}
-	sync->adding = true;
+	sync->adding_joiners = true;
 	sync_commit(pooler, roster, on_added, pooler);
 	talloc_free(roster);
 }
--- a/pooler/kv.h
+++ b/pooler/kv.h
@@ -39,9 +39,9 @@
 	const char *key;
 	const char *value; /* NULL in an event that tells of a deletion */
 	size_t len;
-	int64_t revision; /* of its last change */
-	int64_t created;  /* revision of its creation */
-	uint64_t lease;	  /* that it ends with; 0: none, or not told */
+	int64_t revision;	 /* of its last change */
+	int64_t create_revision; /* revision of its creation */
+	uint64_t lease;		 /* that it ends with; 0: none, or not told */
 } kv_item_t;
 
 typedef enum {
@@ -73,12 +73,12 @@
 	const char *value; /* NULL: delete the key */
 	int64_t expected;  /* revision that it must have; 0: it must not exist */
 	uint64_t lease;	   /* 0: none */
-	bool only_check;   /* nothing is written, but the key must be as expected */
+	bool check_only;   /* nothing is written, but the key must be as expected */
 } kv_write_t;
 
 typedef struct kv {
 	const struct kv_ops *ops;
-	int64_t patience_ms; /* of a call that is no watch; 0: the implementation's own */
+	int64_t timeout_ms; /* of a call that is no watch; 0: the implementation's own */
 } kv_t;
 
 typedef struct kv_ops {
--- a/pooler/member.c
+++ b/pooler/member.c
@@ -321,7 +321,7 @@
 /* Proxies that have connections to the service's members in normal times. */
 static size_t sharers(service_t *service)
 {
-	return home_applies(service) ? home_count(service) : service->pooler->sync.proxies;
+	return home_applies(service) ? home_count(service) : service->pooler->sync.proxy_count;
 }
 
 size_t member_share(const member_t *member)
--- a/pooler/metrics.c
+++ b/pooler/metrics.c
@@ -22,7 +22,7 @@
 	usec_t end = permit_end(pooler);
 
 	head(out, "roster_proxies", "Proxies on the roster.");
-	fprintf(out, "cyclamenspan_roster_proxies %zu\n", sync->proxies);
+	fprintf(out, "cyclamenspan_roster_proxies %zu\n", sync->proxy_count);
 	head(out, "permission_seconds", "Time for which primaries may still be used.");
 	fprintf(out, "cyclamenspan_permission_seconds %g\n", now < end ? seconds(end - now) : 0.0);
 	/* Without a first confirmation there is no age. */
--- a/pooler/outbox.c
+++ b/pooler/outbox.c
@@ -61,7 +61,7 @@
 static bool send_answer(const outbox_t *outbox, const char *to, const char *address,
 			const quota_answer_t *answer)
 {
-	peer_message_t message = {.kind = PEER_TAKEN, .taken = answer};
+	peer_message_t message = {.kind = PEER_TAKEN, .quota_answer = answer};
 
 	return send_now(outbox, to, address, &message);
 }
--- a/pooler/permit.c
+++ b/pooler/permit.c
@@ -26,8 +26,8 @@
 void permit_on_agreed(pooler_t *pooler)
 {
 	sync_t *sync = &pooler->sync;
-	size_t needed = permit_quorum(sync->proxies);
-	usec_t *times = talloc_array(NULL, usec_t, sync->proxies);
+	size_t needed = permit_quorum(sync->proxy_count);
+	usec_t *times = talloc_array(NULL, usec_t, sync->proxy_count);
 	size_t count = 0;
 
 	list_for_each (it, &sync->roster->nodes) {
@@ -47,9 +47,9 @@
 {
 	const sync_t *sync = &pooler->sync;
 
-	if (permit_quorum(sync->proxies) <= 1)
+	if (permit_quorum(sync->proxy_count) <= 1)
 		return now_of(pooler);
-	return sync->agreed_told > sync->agreed_at ? sync->agreed_told : sync->agreed_at;
+	return sync->peers_agreed_at > sync->agreed_at ? sync->peers_agreed_at : sync->agreed_at;
 }
 
 usec_t permit_end(const pooler_t *pooler)
@@ -112,8 +112,8 @@
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
 		const peer_report_t *report = exchange_report(pooler, node->name);
 
-		if (holds(node, report, revision) && report->fleet > (int64_t)fleet)
-			fleet = (size_t)report->fleet;
+		if (holds(node, report, revision) && report->fleet_size > (int64_t)fleet)
+			fleet = (size_t)report->fleet_size;
 	}
 	return fleet;
 }
--- a/pooler/pooler.c
+++ b/pooler/pooler.c
@@ -466,7 +466,7 @@
 	talloc_free(pooler->routes);
 	pooler->routes = talloc_steal(pooler, routes);
 	counter_set(&config_version, routes->version);
-	pooler->sync.config_news = true;
+	pooler->sync.config_push_pending = true;
 	list_for_each (it, &routes->services) {
 		const service_limits_t *limits = list_entry(it, service_limits_t, node);
 
@@ -565,7 +565,7 @@
 			 (json_int_t)(sync->confirmed_at != USEC_NEVER
 					      ? (now - sync->confirmed_at) / USEC_PER_MSEC
 					      : 0),
-			 "holder", sync->holder != NULL ? sync->holder : "", "fence",
-			 (json_int_t)sync->fence, "holding", hold_is_ours(pooler, now), "callers",
-			 (int)list_length(&pooler->callers), "services", services);
+			 "holder", sync->leader != NULL ? sync->leader : "", "fence",
+			 (json_int_t)sync->fencing_token, "holding", hold_is_ours(pooler, now),
+			 "callers", (int)list_length(&pooler->callers), "services", services);
 }
--- a/pooler/push.c
+++ b/pooler/push.c
@@ -45,11 +45,11 @@
 {
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
-	push_t wanted = sync->push_wanted;
+	push_t wanted = sync->push_pending;
 
 	if (wanted == PUSH_NONE || now < sync->push_next)
 		return;
-	sync->push_wanted = PUSH_NONE;
+	sync->push_pending = PUSH_NONE;
 	sync->push_next = now + push_spacing(pooler);
 	if (wanted == PUSH_ALL)
 		tell_all(pooler);
@@ -59,21 +59,21 @@
 
 usec_t push_spacing(const pooler_t *pooler)
 {
-	usec_t spacing = pooler->sync.proxies * SPACING_EACH;
+	usec_t spacing = pooler->sync.proxy_count * SPACING_EACH;
 
 	return spacing >= SPACING_LEAST ? spacing : 0;
 }
 
 void push_fleet(pooler_t *pooler)
 {
-	pooler->sync.push_wanted = PUSH_ALL;
+	pooler->sync.push_pending = PUSH_ALL;
 	push_now(pooler);
 }
 
 void push_listeners(pooler_t *pooler)
 {
-	if (pooler->sync.push_wanted == PUSH_NONE)
-		pooler->sync.push_wanted = PUSH_LISTENERS;
+	if (pooler->sync.push_pending == PUSH_NONE)
+		pooler->sync.push_pending = PUSH_LISTENERS;
 	push_now(pooler);
 }
 
@@ -82,10 +82,11 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	if (!sync->config_news || (sync->config_pushed_at != 0 &&
-				   now < sync->config_pushed_at + refresh_config_spacing(pooler)))
+	if (!sync->config_push_pending ||
+	    (sync->config_pushed_at != 0 &&
+	     now < sync->config_pushed_at + refresh_config_spacing(pooler)))
 		return;
-	sync->config_news = false;
+	sync->config_push_pending = false;
 	sync->config_pushed_at = now;
 	if (hold_is_ours(pooler, now))
 		push_fleet(pooler);
--- a/pooler/quota.c
+++ b/pooler/quota.c
@@ -197,8 +197,8 @@
 			  LOG_STR("proxy", name != NULL ? name : ""),
 			  LOG_INT("seat", allowance->seat));
 		if (name != NULL)
-			exchange_get_report(allowance->quota->pooler, name)->passed_over_until =
-				now + PASSED_OVER_FOR;
+			exchange_get_report(allowance->quota->pooler, name)
+				->shard_owner_avoided_until = now + PASSED_OVER_FOR;
 		allowance->question = 0;
 	}
 	ask_next(allowance, now);
@@ -222,10 +222,10 @@
 	quota_request_t request = {
 		.number = pooler_next_number(quota->pooler),
 		.customer = allowance->customer,
-		.seat = seat,
+		.shard = seat,
 		.wanted = (unsigned)list_length(&allowance->waiting),
 	};
-	peer_message_t message = {.kind = PEER_TAKE, .take = &request};
+	peer_message_t message = {.kind = PEER_TAKE, .quota_request = &request};
 	quota_answer_t answer;
 
 	if (keeper == NULL)
@@ -236,7 +236,7 @@
 	if (strcmp(name, pooler->config.name) == 0) {
 		answer = seats_take(quota->seats, &request, now);
 		message.kind = PEER_TAKEN;
-		message.taken = &answer;
+		message.quota_answer = &answer;
 		quota_on_answer(pooler, &message);
 		return true;
 	}
@@ -265,8 +265,8 @@
 	const char *name = keeper_of(allowance, seat);
 	const peer_report_t *report = name != NULL ? exchange_report(pooler, name) : NULL;
 
-	return report != NULL &&
-	       (now < report->passed_over_until || home_is_suspect(pooler, report->name, now));
+	return report != NULL && (now < report->shard_owner_avoided_until ||
+				  home_is_suspect(pooler, report->name, now));
 }
 
 static bool may_ask(const allowance_t *allowance, unsigned seat, usec_t now)
@@ -353,8 +353,9 @@
 	timers_cancel(allowance->quota->pooler->timers, &allowance->timer);
 	if (answer->granted == 0)
 		allowance->tried |= 1u << seat;
-	if (!answer->vacant)
-		allowance->empty_until[seat] = answer->wait != 0 ? now + answer->wait : 0;
+	if (!answer->not_owner)
+		allowance->empty_until[seat] =
+			answer->retry_after != 0 ? now + answer->retry_after : 0;
 	admit(allowance, answer->granted);
 	/* A round is over when somebody was admitted: the next ones may ask every keeper again. */
 	if (answer->granted != 0)
@@ -364,7 +365,7 @@
 
 void quota_on_answer(pooler_t *pooler, const peer_message_t *message)
 {
-	const quota_answer_t *answer = message->taken;
+	const quota_answer_t *answer = message->quota_answer;
 	allowance_t *allowance = find_allowance(pooler->quota, answer->customer);
 
 	if (answer->release) {
@@ -379,9 +380,10 @@
 void quota_on_request(pooler_t *pooler, const peer_message_t *message)
 {
 	seats_t *seats = pooler->quota->seats;
-	quota_answer_t answer = message->take->release
-					? seats_release(seats, message->take, message->revision)
-					: seats_take(seats, message->take, now_of(pooler));
+	quota_answer_t answer =
+		message->quota_request->release
+			? seats_release(seats, message->quota_request, message->revision)
+			: seats_take(seats, message->quota_request, now_of(pooler));
 
 	outbox_answer(&pooler->outbox, message->from, message->address, &answer);
 }
--- a/pooler/refresh.c
+++ b/pooler/refresh.c
@@ -83,14 +83,14 @@
 
 static void refresh_config(pooler_t *pooler, usec_t now)
 {
-	pooler->sync.config_due = now + config_interval(pooler);
+	pooler->sync.config_read_due = now + config_interval(pooler);
 	pooler->env->ops->refresh_config(pooler->env);
 }
 
 static void refresh_members(pooler_t *pooler, usec_t now)
 {
-	pooler->sync.members_due = now + members_interval(pooler);
-	pooler->sync.members_differ = 0;
+	pooler->sync.members_read_due = now + members_interval(pooler);
+	pooler->sync.members_mismatches = 0;
 	pooler->env->ops->refresh_members(pooler->env);
 }
 
@@ -115,9 +115,9 @@
 {
 	const sync_t *sync = &pooler->sync;
 
-	if (sync->holding)
+	if (sync->leading)
 		return holder_age(pooler);
-	return sync->directory_at != 0 ? now - sync->directory_at : USEC_NEVER;
+	return sync->directory_as_of != 0 ? now - sync->directory_as_of : USEC_NEVER;
 }
 
 static usec_t stale_after(pooler_t *pooler)
@@ -134,11 +134,11 @@
 {
 	const sync_t *sync = &pooler->sync;
 
-	if (sync->holding)
+	if (sync->leading)
 		return false;
 	if (pooler->config_follow == NULL)
-		return sync->holder != NULL && now < sync->holder_heard + HOLDER_SILENT;
-	return pooler->members_follow->held || now < pooler->started + START_GRACE ||
+		return sync->leader != NULL && now < sync->leader_seen_at + HOLDER_SILENT;
+	return pooler->members_follow->read_deferred || now < pooler->started + START_GRACE ||
 	       directory_age(pooler, now) < stale_after(pooler);
 }
 
@@ -146,27 +146,28 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	if (pooler->config_follow == NULL || pooler->config_follow->fed == fed)
+	if (pooler->config_follow == NULL || pooler->config_follow->from_peer == fed)
 		return;
 	follow_set_fed(pooler->config_follow, fed);
 	follow_set_fed(pooler->members_follow, fed);
-	LOG_EVENT(LOG_INFO, fed ? "directory told by a peer" : "directory read from the store",
-		  LOG_INT("holding", sync->holding),
-		  LOG_INT("age_ms", sync->directory_at != 0
-					    ? (int64_t)((now - sync->directory_at) / USEC_PER_MSEC)
-					    : -1));
+	LOG_EVENT(
+		LOG_INFO, fed ? "directory told by a peer" : "directory read from the store",
+		LOG_INT("holding", sync->leading),
+		LOG_INT("age_ms", sync->directory_as_of != 0
+					  ? (int64_t)((now - sync->directory_as_of) / USEC_PER_MSEC)
+					  : -1));
 	/* Watching brings what was missed; all of it is read when a watch may have failed. */
-	sync->config_due = now + config_interval(pooler);
-	sync->members_due = now + members_interval(pooler);
+	sync->config_read_due = now + config_interval(pooler);
+	sync->members_read_due = now + members_interval(pooler);
 }
 
 /* True if a process that has just started may still be told what it would read. */
 static bool waits_to_be_told(pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
-	bool large = sync->proxies > TOLD_FLEET;
+	bool large = sync->proxy_count > TOLD_FLEET;
 
-	if (sync->last_read_ok == 0)
+	if (sync->last_read_at == 0)
 		return now < pooler->started + START_GRACE;
 	/* Of an earlier life: the size of the fleet is known. */
 	if (!large && roster_node(sync->roster, pooler->config.name) != NULL)
@@ -174,7 +175,7 @@
 	if (now >= pooler->started + TOLD_WITHIN)
 		return false;
 	return !permit_is_registered(pooler) ||
-	       (large && !sync->holding && !upstream_is_hub(pooler));
+	       (large && !sync->leading && !upstream_is_hub(pooler));
 }
 
 static void release(pooler_t *pooler)
@@ -185,7 +186,7 @@
 
 void refresh_begin(pooler_t *pooler, usec_t now)
 {
-	if (pooler->config_follow != NULL && pooler->members_follow->held &&
+	if (pooler->config_follow != NULL && pooler->members_follow->read_deferred &&
 	    !waits_to_be_told(pooler, now))
 		release(pooler);
 }
@@ -198,12 +199,12 @@
 	refresh_begin(pooler, now);
 	told = is_told(pooler, now);
 	set_fed(pooler, told, now);
-	if (now >= sync->config_due &&
+	if (now >= sync->config_read_due &&
 	    (!told || proof_wants_news(&pooler->config_proof, now + KEYS_AHEAD)))
 		refresh_config(pooler, now);
 	if (told)
 		return;
-	if (now >= sync->members_due)
+	if (now >= sync->members_read_due)
 		refresh_members(pooler, now);
 }
 
@@ -248,13 +249,14 @@
 /* True if it was told to read what it lacks since then, and should have by now. */
 static bool reading_is_overdue(const reading_hint_t *hint, int64_t since, usec_t now)
 {
-	return hint->at != 0 && hint->since == since && now >= hint->at + READING_PATIENCE;
+	return hint->first_sent_at != 0 && hint->as_of == since &&
+	       now >= hint->first_sent_at + READING_PATIENCE;
 }
 
 static void note_hint(reading_hint_t *hint, int64_t since, usec_t now)
 {
-	if (hint->at == 0 || hint->since != since)
-		*hint = (reading_hint_t){.at = now, .since = since};
+	if (hint->first_sent_at == 0 || hint->as_of != since)
+		*hint = (reading_hint_t){.first_sent_at = now, .as_of = since};
 }
 
 /* All that the proxy lacks as one text; NULL: it is to read that, and is expected to. */
@@ -280,7 +282,7 @@
 	follow_news_t news;
 
 	if (follow == NULL || pooler->routes == NULL ||
-	    (report->config_told_at != 0 && now < report->config_told_at + spacing))
+	    (report->config_sent_at != 0 && now < report->config_sent_at + spacing))
 		return;
 	news = changes_since(follow, since, parent, &message->config_changes);
 	if (news == FOLLOW_TOO_MUCH) {
@@ -289,7 +291,7 @@
 		message->read_directory = message->config_packed == NULL;
 	}
 	if (message->config_changes != NULL || message->config_packed != NULL)
-		report->config_told_at = now;
+		report->config_sent_at = now;
 }
 
 static void describe_members(pooler_t *pooler, peer_report_t *report, int64_t since,
@@ -299,23 +301,23 @@
 	usec_t now = now_of(pooler);
 
 	if (changes_since(follow, since, parent, &message->members_changes) != FOLLOW_TOO_MUCH ||
-	    (report->members_packed_at != 0 && now < report->members_packed_at + PACKED_ON_ITS_WAY))
+	    (report->members_sent_at != 0 && now < report->members_sent_at + PACKED_ON_ITS_WAY))
 		return;
 	message->members_packed =
 		pack_or_hint(pooler, follow, report, &report->members_hint, since);
 	message->read_directory |= message->members_packed == NULL;
-	report->members_packed_at = now;
+	report->members_sent_at = now;
 }
 
 void refresh_describe(pooler_t *pooler, const char *name, const peer_message_t *ask,
 		      peer_message_t *message, void *parent)
 {
 	peer_report_t *report = exchange_get_report(pooler, name);
-	int64_t config_at = ask != NULL ? ask->config_at : report->config_at;
-	int64_t members_at = ask != NULL ? ask->members_at : report->members_at;
+	int64_t config_at = ask != NULL ? ask->config_as_of : report->config_as_of;
+	int64_t members_at = ask != NULL ? ask->members_as_of : report->members_as_of;
 
 	message->directory_age = directory_age(pooler, now_of(pooler));
-	message->keys_age = proof_age(&pooler->config_proof, now_of(pooler));
+	message->key_proof_age = proof_age(&pooler->config_proof, now_of(pooler));
 	/* Who is told without having asked may have no need of all of it. */
 	if (ask != NULL || config_at != 0)
 		describe_config(pooler, report, config_at, message, parent);
@@ -332,15 +334,15 @@
 	sync_t *sync = &pooler->sync;
 	int64_t version = pooler->routes != NULL ? pooler->routes->version : 0;
 	/* Both are told by a peer, or none; see set_fed(). */
-	bool fed = pooler->config_follow != NULL && pooler->config_follow->fed;
+	bool fed = pooler->config_follow != NULL && pooler->config_follow->from_peer;
 	unsigned most = fed ? FED_DIFFER_MAX : MEMBERS_DIFFER_MAX;
 
 	if (message->config_version > version && (!fed || message->read_directory) &&
-	    now + config_interval(pooler) / 2 >= sync->config_due)
+	    now + config_interval(pooler) / 2 >= sync->config_read_due)
 		refresh_config(pooler, now);
 	if (message->members_digest == refresh_members_digest(pooler))
-		sync->members_differ = 0;
-	else if (++sync->members_differ >= most && now >= sync->members_due)
+		sync->members_mismatches = 0;
+	else if (++sync->members_mismatches >= most && now >= sync->members_read_due)
 		refresh_members(pooler, now);
 }
 
@@ -350,10 +352,11 @@
  */
 static void take_proof(pooler_t *pooler, const peer_message_t *message)
 {
-	if (pooler->routes == NULL || message->echo == 0 || message->keys_age >= message->echo ||
+	if (pooler->routes == NULL || message->echo == 0 ||
+	    message->key_proof_age >= message->echo ||
 	    message->config_version > pooler->routes->version)
 		return;
-	proof_extend(&pooler->config_proof, message->echo - message->keys_age);
+	proof_extend(&pooler->config_proof, message->echo - message->key_proof_age);
 }
 
 void refresh_on_state(pooler_t *pooler, const peer_message_t *message, usec_t now)
@@ -377,6 +380,6 @@
 	/* Only an answer says how old it is: it was given after the question was sent. */
 	if (message->echo != 0 && message->directory_age < message->echo &&
 	    message->config_version <= version &&
-	    message->echo - message->directory_age > sync->directory_at)
-		sync->directory_at = message->echo - message->directory_age;
+	    message->echo - message->directory_age > sync->directory_as_of)
+		sync->directory_as_of = message->echo - message->directory_age;
 }
--- a/pooler/relay.c
+++ b/pooler/relay.c
@@ -94,7 +94,7 @@
 
 static usec_t probe_interval(const relay_t *relay)
 {
-	usec_t interval = relay->pooler->sync.proxies * PROBE_INTERVAL_EACH;
+	usec_t interval = relay->pooler->sync.proxy_count * PROBE_INTERVAL_EACH;
 
 	return usec_clamp(interval, PROBE_INTERVAL, PROBE_INTERVAL_MOST);
 }
@@ -110,8 +110,8 @@
 		follow_retry_now(pooler->config_follow);
 		follow_retry_now(pooler->members_follow);
 	}
-	if (pooler->sync.read_after > now)
-		pooler->sync.read_after = now;
+	if (pooler->sync.read_not_before > now)
+		pooler->sync.read_not_before = now;
 }
 
 static void note_access(relay_t *relay, kv_status_t status)
@@ -145,7 +145,7 @@
 		relay->response =
 			(relay->response * (RESPONSE_WEIGHT - 1) + took) / RESPONSE_WEIGHT;
 	patience = usec_clamp(relay->response * PATIENCE_FACTOR, PATIENCE_LEAST, PATIENCE_MOST);
-	relay->direct->patience_ms = (int64_t)(patience / USEC_PER_MSEC);
+	relay->direct->timeout_ms = (int64_t)(patience / USEC_PER_MSEC);
 }
 
 static void make_call(kv_t *kv, const store_request_t *request, kv_done_t done, void *data)
@@ -182,13 +182,14 @@
 
 static bool can_help(const peer_report_t *report, usec_t now)
 {
-	return report != NULL && !report->cut_off && report->access_at != 0 &&
-	       now < report->access_at + ACCESS_VALID;
+	return report != NULL && !report->cut_off && report->access_reported_at != 0 &&
+	       now < report->access_reported_at + ACCESS_VALID;
 }
 
 static bool is_avoided(const peer_report_t *report, usec_t now)
 {
-	return report != NULL && report->cut_off && now < report->access_at + CANDIDATE_AVOIDED;
+	return report != NULL && report->cut_off &&
+	       now < report->access_reported_at + CANDIDATE_AVOIDED;
 }
 
 /* The nodes of the roster in a circle. */
@@ -231,10 +232,10 @@
 		const peer_report_t *report = exchange_report(pooler, node->name);
 
 		if (node->gone || strcmp(node->name, pooler->config.name) == 0 ||
-		    !can_help(report, now) || report->access_at <= latest)
+		    !can_help(report, now) || report->access_reported_at <= latest)
 			continue;
 		best = node;
-		latest = report->access_at;
+		latest = report->access_reported_at;
 	}
 	return best;
 }
@@ -250,7 +251,7 @@
 
 static void send_call(call_t *call, const roster_node_t *helper)
 {
-	peer_message_t message = {.kind = PEER_STORE, .store = &call->request};
+	peer_message_t message = {.kind = PEER_STORE, .store_request = &call->request};
 
 	call->sent = send_to(call->relay, helper->name, helper->address, &message);
 }
@@ -329,14 +330,14 @@
 	peer_report_t *report = exchange_get_report(call->relay->pooler, call->helper);
 
 	report->cut_off = true;
-	report->access_at = now_of(call->relay->pooler);
+	report->access_reported_at = now_of(call->relay->pooler);
 	if ((status == KV_LOST && !is_repeatable(call)) || !relay_to_peer(call))
 		finish(call, &result);
 }
 
 void relay_on_answer(relay_t *relay, const peer_message_t *message)
 {
-	const store_answer_t *answer = message->stored;
+	const store_answer_t *answer = message->store_answer;
 
 	list_for_each (it, &relay->calls) {
 		call_t *call = list_entry(it, call_t, node);
@@ -381,7 +382,7 @@
 
 void relay_tick(relay_t *relay, usec_t now)
 {
-	usec_t patience = (usec_t)relay->direct->patience_ms * USEC_PER_MSEC + WAYS;
+	usec_t patience = (usec_t)relay->direct->timeout_ms * USEC_PER_MSEC + WAYS;
 
 	list_for_each_safe (it, &relay->calls) {
 		call_t *call = list_entry(it, call_t, node);
@@ -403,7 +404,7 @@
 		   const kv_result_t *result)
 {
 	store_answer_t stored = {.number = number, .result = *result};
-	peer_message_t message = {.kind = PEER_STORED, .stored = &stored};
+	peer_message_t message = {.kind = PEER_STORED, .store_answer = &stored};
 
 	send_to(relay, to, address, &message);
 }
@@ -421,7 +422,7 @@
 void relay_on_request(relay_t *relay, const peer_message_t *message)
 {
 	static const kv_result_t refused = {.status = KV_REFUSED};
-	const store_request_t *request = message->store;
+	const store_request_t *request = message->store_request;
 	relay_job_t *job;
 
 	if (relay->cut_off || relay->pooler->draining || relay->jobs >= JOBS_MAX) {
@@ -548,7 +549,7 @@
 	 * Until the store has answered once it is asked again as soon as if it were quick: a call
 	 * that an outage has lost would be waited for beyond its end.
 	 */
-	direct->patience_ms = PATIENCE_LEAST / USEC_PER_MSEC;
+	direct->timeout_ms = PATIENCE_LEAST / USEC_PER_MSEC;
 	return relay;
 }
 
--- a/pooler/restore.c
+++ b/pooler/restore.c
@@ -16,7 +16,7 @@
 
 bool restore_is_due(const pooler_t *pooler)
 {
-	return pooler->sync.restored != 0;
+	return pooler->sync.backup_revision != 0;
 }
 
 /*
@@ -27,12 +27,13 @@
 {
 	const sync_t *sync = &pooler->sync;
 
-	return sync->own_fence != 0 && sync->own_fence == sync->fence && now < sync->led_until;
+	return sync->own_token != 0 && sync->own_token == sync->fencing_token &&
+	       now < sync->lost_lease_until;
 }
 
 void restore_on_lease_ended(pooler_t *pooler)
 {
-	pooler->sync.led_until = pooler->sync.hold_until;
+	pooler->sync.lost_lease_until = pooler->sync.lease_until;
 }
 
 void restore_on_copy(pooler_t *pooler, roster_t *copy, int64_t revision)
@@ -40,19 +41,19 @@
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
 
-	if (sync->restored == revision) {
+	if (sync->backup_revision == revision) {
 		talloc_free(copy);
 		return;
 	}
 	counter_add(&copies_total, 1);
-	sync->restored = revision;
+	sync->backup_revision = revision;
 	if (hold_is_ours(pooler, now))
-		sync->led_until = sync->hold_until;
-	sync->groups_known = knows_groups(pooler, now);
+		sync->lost_lease_until = sync->lease_until;
+	sync->groups_current = knows_groups(pooler, now);
 	LOG_EVENT(LOG_WARN, "store holds a copy of the roster", LOG_INT("era", kv_era(revision)),
 		  LOG_INT("written_in", copy->era), LOG_INT("copy", kv_number(revision)),
 		  LOG_INT("ours", kv_number(sync->roster->revision)),
-		  LOG_INT("groups_known", sync->groups_known));
+		  LOG_INT("groups_known", sync->groups_current));
 	hold_lose(pooler, "the store came back from a copy");
 	/* A process that has just started learns who the others are, in the order of that era. */
 	if (sync->roster->revision == 0) {
@@ -65,7 +66,7 @@
 
 bool restore_yields(const pooler_t *pooler)
 {
-	return restore_is_due(pooler) && !pooler->sync.groups_known;
+	return restore_is_due(pooler) && !pooler->sync.groups_current;
 }
 
 static void mark_groups(const pooler_t *pooler, roster_t *roster)
@@ -75,7 +76,7 @@
 
 		/* No holder has this token, so the change counts as an earlier one's. */
 		roster_put_group(roster, group->service, group->primary, true, group->term,
-				 (uint64_t)pooler->sync.restored);
+				 (uint64_t)pooler->sync.backup_revision);
 	}
 }
 
@@ -84,11 +85,11 @@
 	pooler_t *pooler = data;
 	sync_t *sync = &pooler->sync;
 
-	sync->restoring = false;
+	sync->rewriting_roster = false;
 	LOG_EVENT(LOG_WARN, "roster written again", LOG_INT("status", result->status),
 		  LOG_INT("era", kv_era(sync->roster->revision)),
-		  LOG_INT("groups_known", sync->groups_known),
-		  LOG_INT("proxies", (int64_t)sync->proxies));
+		  LOG_INT("groups_known", sync->groups_current),
+		  LOG_INT("proxies", (int64_t)sync->proxy_count));
 }
 
 void restore_run(pooler_t *pooler, usec_t now)
@@ -96,15 +97,15 @@
 	sync_t *sync = &pooler->sync;
 	roster_t *roster;
 
-	if (!restore_is_due(pooler) || sync->restoring || !hold_is_ours(pooler, now))
+	if (!restore_is_due(pooler) || sync->rewriting_roster || !hold_is_ours(pooler, now))
 		return;
-	sync->restoring = true;
+	sync->rewriting_roster = true;
 	roster = roster_copy(NULL, sync->roster);
 	if (!permit_is_registered(pooler))
 		roster_put_node(roster, pooler->config.name, pooler->config.address,
 				pooler->config.zone, pooler->config.incarnation)
 			->capacity = pooler->config.capacity;
-	if (!sync->groups_known)
+	if (!sync->groups_current)
 		mark_groups(pooler, roster);
 	sync_commit(pooler, roster, on_written, pooler);
 	talloc_free(roster);
--- a/pooler/roster.c
+++ b/pooler/roster.c
@@ -93,7 +93,7 @@
 	roster->changing_count += (size_t)changing - (size_t)group->changing;
 	group->changing = changing;
 	group->term = term;
-	group->fence = fence;
+	group->fencing_token = fence;
 }
 
 roster_t *roster_copy(void *parent, const roster_t *roster)
@@ -113,7 +113,7 @@
 		const roster_group_t *group = list_entry(it, roster_group_t, node);
 
 		roster_put_group(copy, group->service, group->primary, group->changing, group->term,
-				 group->fence);
+				 group->fencing_token);
 	}
 	return copy;
 }
@@ -139,7 +139,7 @@
 {
 	return json_pack("{s:s, s:b, s:I, s:I}", "primary", group->primary, "changing",
 			 group->changing, "term", (json_int_t)group->term, "fence",
-			 (json_int_t)group->fence);
+			 (json_int_t)group->fencing_token);
 }
 
 /* What has changed after that revision; -1: everything. */
@@ -151,13 +151,13 @@
 	list_for_each (it, &roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
 
-		if (node->changed > since)
+		if (node->changed_revision > since)
 			json_object_set_new(nodes, node->name, encode_node(node));
 	}
 	list_for_each (it, &roster->groups) {
 		const roster_group_t *group = list_entry(it, roster_group_t, node);
 
-		if (group->changed > since)
+		if (group->changed_revision > since)
 			json_object_set_new(groups, group->service, encode_group(group));
 	}
 	return json_pack("{s:o, s:o, s:s, s:I}", "nodes", nodes, "groups", groups, "writer",
@@ -187,7 +187,7 @@
 	json_t *root;
 	json_t *removed;
 
-	if (roster->whole_from == 0 || since < roster->whole_from)
+	if (roster->changes_complete_since == 0 || since < roster->changes_complete_since)
 		return roster_text(roster);
 	if (roster->changes != NULL && roster->changes_since == since)
 		return roster->changes;
@@ -195,7 +195,7 @@
 	list_for_each (it, &roster->removals) {
 		const roster_removal_t *removal = list_entry(it, roster_removal_t, node);
 
-		if (removal->changed > since)
+		if (removal->removed_revision > since)
 			json_array_append_new(removed, json_string(removal->name));
 	}
 	root = encode_since(roster, since);
@@ -308,7 +308,7 @@
 static bool same_group(const roster_group_t *a, const roster_group_t *b)
 {
 	return strcmp(a->primary, b->primary) == 0 && a->changing == b->changing &&
-	       a->term == b->term && a->fence == b->fence;
+	       a->term == b->term && a->fencing_token == b->fencing_token;
 }
 
 static void forget_removal(roster_removal_t *removal)
@@ -322,12 +322,12 @@
 	roster_removal_t *removal = talloc_zero(roster, roster_removal_t);
 
 	removal->name = talloc_strdup(removal, name);
-	removal->changed = roster->revision;
+	removal->removed_revision = roster->revision;
 	list_add_tail(&roster->removals, &removal->node);
 	if (list_length(&roster->removals) <= REMOVALS_MAX)
 		return;
 	removal = list_entry(roster->removals.next, roster_removal_t, node);
-	roster->whole_from = removal->changed;
+	roster->changes_complete_since = removal->removed_revision;
 	forget_removal(removal);
 }
 
@@ -357,7 +357,7 @@
 			       newer->incarnation);
 	node->gone = newer->gone;
 	node->capacity = newer->capacity;
-	node->changed = roster->revision;
+	node->changed_revision = roster->revision;
 	if (!same_place)
 		roster->nodes_revision = roster->revision;
 	end_removal(roster, node->name);
@@ -376,9 +376,9 @@
 		change.was_changing = was->changing;
 	}
 	roster_put_group(roster, newer->service, newer->primary, newer->changing, newer->term,
-			 newer->fence);
+			 newer->fencing_token);
 	change.group = roster_group(roster, newer->service);
-	change.group->changed = roster->revision;
+	change.group->changed_revision = roster->revision;
 	diff->groups[diff->group_count++] = change;
 }
 
@@ -429,7 +429,7 @@
 	diff->removed_nodes = talloc_array(diff, char *, removals);
 	diff->removed_groups = talloc_array(diff, char *, removed_groups);
 	if (roster->revision == 0)
-		roster->whole_from = newer->revision;
+		roster->changes_complete_since = newer->revision;
 	roster->revision = newer->revision;
 	roster->era = newer->era;
 	if (newer->writer != NULL)
--- a/pooler/roster.h
+++ b/pooler/roster.h
@@ -24,28 +24,28 @@
 	uint64_t hash; /* of the name */
 	char *address; /* for messages between proxies */
 	char *zone;
-	uint64_t incarnation; /* of its process */
-	bool gone;	      /* not heard of: it may use no primary, and is removed later */
-	int64_t capacity;     /* its processor share in percent of a core; 0: not told */
-	int64_t changed;      /* revision of a roster no older than its last change */
+	uint64_t incarnation;	  /* of its process */
+	bool gone;		  /* not heard of: it may use no primary, and is removed later */
+	int64_t capacity;	  /* its processor share in percent of a core; 0: not told */
+	int64_t changed_revision; /* revision of a roster no older than its last change */
 } roster_node_t;
 
 typedef struct roster_group {
 	list_t node;
 	UT_hash_handle hh; /* in roster_t.by_service */
 	char *service;
-	char *primary;	/* id of the member that may be written to */
-	bool changing;	/* another member is about to be promoted */
-	uint64_t term;	/* that it leads; 0: the first primary, whose term was not asked */
-	uint64_t fence; /* of the holder that wrote this */
-	int64_t changed;
+	char *primary;		/* id of the member that may be written to */
+	bool changing;		/* another member is about to be promoted */
+	uint64_t term;		/* that it leads; 0: the first primary, whose term was not asked */
+	uint64_t fencing_token; /* of the holder that wrote this */
+	int64_t changed_revision;
 } roster_group_t;
 
 /* A proxy that was taken off. */
 typedef struct roster_removal {
 	list_t node;
 	char *name;
-	int64_t changed;
+	int64_t removed_revision;
 } roster_removal_t;
 
 typedef struct roster {
@@ -60,7 +60,7 @@
 	size_t node_count;
 	size_t changing_count; /* groups with a change under way */
 	/* What this process knows of how it came about; not part of the document. */
-	int64_t whole_from;	/* every change since that revision is marked; 0: none is */
+	int64_t changes_complete_since; /* every change since that revision is marked; 0: none is */
 	int64_t nodes_revision; /* the proxies that live, and their zones, are these since */
 	list_t removals;	/* roster_removal_t */
 	char *changes;		/* encoded as roster_changes() last was */
@@ -100,7 +100,7 @@
 
 typedef struct roster_node_change {
 	const roster_node_t *node;
-	bool entered; /* it lives, and is of another process than the entry before */
+	bool registered; /* it lives, and is of another process than the entry before */
 } roster_node_change_t;
 
 typedef struct roster_group_change {
--- a/pooler/seat.c
+++ b/pooler/seat.c
@@ -79,7 +79,7 @@
 
 static seat_t *get_seat(seats_t *seats, const quota_request_t *request, usec_t since, usec_t now)
 {
-	char *name = talloc_asprintf(seats, "%u %s", request->seat, request->customer);
+	char *name = talloc_asprintf(seats, "%u %s", request->shard, request->customer);
 	seat_t *seat;
 
 	HASH_FIND_STR(seats->by_name, name, seat);
@@ -131,14 +131,14 @@
 {
 	pooler_t *pooler = seats->pooler;
 	const char *name =
-		keepers_before(pooler->keepers, pooler->config.name, from->customer, from->seat);
+		keepers_before(pooler->keepers, pooler->config.name, from->customer, from->shard);
 	const roster_node_t *node = name != NULL ? roster_node(pooler->sync.roster, name) : NULL;
 	quota_request_t request = {
 		.customer = from->customer,
-		.seat = from->seat,
+		.shard = from->shard,
 		.release = true,
 	};
-	peer_message_t message = {.kind = PEER_TAKE, .take = &request};
+	peer_message_t message = {.kind = PEER_TAKE, .quota_request = &request};
 
 	if (node == NULL || node->gone || now < seat->asked_at + RELEASE_INTERVAL)
 		return;
@@ -157,7 +157,7 @@
 		.number = request->number,
 		.customer = request->customer,
 		.release = true,
-		.vacant = true,
+		.not_owner = true,
 		/* Only who gave tokens knows that nobody else still does. */
 		.released = seat->in_force,
 	};
@@ -213,10 +213,10 @@
 /* Since when this proxy keeps the seat that is asked for; USEC_NEVER: it does not. */
 static usec_t kept_since(const pooler_t *pooler, const quota_request_t *request)
 {
-	if (request->seat >= LIMIT_SEATS)
+	if (request->shard >= LIMIT_SEATS)
 		return USEC_NEVER;
 	return keepers_since(pooler->keepers, pooler->config.name, request->customer,
-			     request->seat);
+			     request->shard);
 }
 
 quota_answer_t seats_take(seats_t *seats, const quota_request_t *request, usec_t now)
@@ -231,7 +231,7 @@
 	limit_share_t share;
 	seat_t *seat;
 
-	answer.vacant = true;
+	answer.not_owner = true;
 	if (customer == NULL || since == USEC_NEVER)
 		return answer;
 	seat = get_seat(seats, request, since, now);
@@ -241,12 +241,12 @@
 			ask_predecessor(seats, seat, request, now);
 		return answer;
 	}
-	answer.vacant = false;
+	answer.not_owner = false;
 	share = limit_share(customer, &pooler->config.slack);
 	enter_into_force(pooler, seat, &share, now);
 	answer.granted = bucket_take(&seat->bucket, request->wanted, now);
 	counter_add(&granted_total, answer.granted);
 	if (answer.granted < request->wanted)
-		answer.wait = wait_of(seat, now);
+		answer.retry_after = wait_of(seat, now);
 	return answer;
 }
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -287,8 +287,8 @@
 
 /* A proxy was told to read from the store what it lacks. */
 typedef struct reading_hint {
-	usec_t at;     /* the first time; 0: it was not */
-	int64_t since; /* what it knew then, see peer_report_t.config_at */
+	usec_t first_sent_at; /* the first time; 0: it was not */
+	int64_t as_of;	      /* what it knew then, see peer_report_t.config_at */
 } reading_hint_t;
 
 typedef struct peer_report {
@@ -296,42 +296,43 @@
 	UT_hash_handle hh; /* in sync_t.by_name */
 	char *name;
 	uint64_t incarnation;
-	usec_t heard_at;
-	int64_t revision; /* of the roster it holds */
-	int64_t fleet;	  /* proxies on it for PERMIT_TOGETHER, as that proxy knows */
+	usec_t received_at;
+	int64_t revision;   /* of the roster it holds */
+	int64_t fleet_size; /* proxies on it for PERMIT_TOGETHER, as that proxy knows */
 	char *down;
 	char *alive;
 	char *failing;
 	char *in_use;
-	uint64_t drained_as;	 /* its last process that said it shuts down; 0: none did */
-	bool cut_off;		 /* the store does not serve it, as it said */
-	usec_t access_at;	 /* when it said so, or the contrary; 0: never */
-	usec_t unanswered_since; /* it was handed a statement, and not heard since; 0: none */
-	list_t awaited;		 /* in sync_t.awaited, since then */
+	uint64_t drained_incarnation; /* its last process that said it shuts down; 0: none did */
+	bool cut_off;		      /* the store does not serve it, as it said */
+	usec_t access_reported_at;    /* when it said so, or the contrary; 0: never */
+	usec_t unanswered_since;      /* it was handed a statement, and not heard since; 0: none */
+	list_t unanswered_node;	      /* in sync_t.awaited, since then */
 	usec_t pinged_at;
-	bool ponged; /* it has answered, so there are links both ways */
+	bool ping_answered; /* it has answered, so there are links both ways */
 	usec_t declined_until;
 	bool suspected;	       /* as was logged */
 	usec_t listed_since;   /* when the roster was first seen to name it */
-	usec_t entered_at;     /* when it was last seen to have put itself there */
+	usec_t registered_at;  /* when it was last seen to have put itself there */
 	usec_t agreed_at;      /* when it was asked and knew no newer roster than ours */
-	usec_t gone_seen;      /* when the roster was first seen to call it gone; 0: it does not */
+	usec_t gone_seen_at;   /* when the roster was first seen to call it gone; 0: it does not */
 	int64_t gone_revision; /* of the roster seen then */
-	usec_t asked_us_at;    /* its last question to this proxy; see upstream.h */
-	usec_t asked_us_from;  /* the first of a row of them; 0: it need not be called */
-	bool called;	       /* since it fell silent */
-	int64_t config_at;     /* what it has been told of the directory, as it said then */
-	int64_t members_at;
-	usec_t config_told_at; /* when it was last told a configuration */
+	usec_t last_query_at;  /* its last question to this proxy; see upstream.h */
+	usec_t querying_since; /* the first of a row of them; 0: it need not be called */
+	bool pinged_silent;    /* since it fell silent */
+	int64_t config_as_of;  /* what it has been told of the directory, as it said then */
+	int64_t members_as_of;
+	usec_t config_sent_at; /* when it was last told a configuration */
 	reading_hint_t config_hint;
 	reading_hint_t members_hint;
-	usec_t members_packed_at; /* when it was last told all members as one text; 0: never */
-	int64_t roster_told;	  /* the revision of the roster that it was last told */
-	usec_t roster_told_at;	  /* when */
-	usec_t asked_since;	  /* the first question to it that it has not answered; 0: none */
-	usec_t avoided_until;	  /* as a hub */
-	usec_t passed_over_until; /* as a keeper; see quota.h */
-	usec_t gone_known;	  /* when enough proxies knew that roster; 0: not yet */
+	usec_t members_sent_at;	       /* when it was last told all members as one text; 0: never */
+	int64_t roster_sent_revision;  /* the revision of the roster that it was last told */
+	usec_t roster_sent_at;	       /* when */
+	usec_t query_unanswered_since; /* the first question to it that it has not answered; 0: none
+					*/
+	usec_t hub_avoided_until;      /* as a hub */
+	usec_t shard_owner_avoided_until; /* as a keeper; see quota.h */
+	usec_t gone_agreed_at;		  /* when enough proxies knew that roster; 0: not yet */
 } peer_report_t;
 
 /* The hubs of the fleet; see upstream.h. */
@@ -347,82 +348,85 @@
 typedef enum { PUSH_NONE, PUSH_LISTENERS, PUSH_ALL } push_t;
 
 typedef struct sync {
-	roster_t *roster;    /* the newest known */
-	size_t proxies;	     /* on it */
-	bool changing;	     /* it has a primary that is about to change */
-	usec_t adopted_at;   /* when it came */
-	bool groups_changed; /* by it */
-	usec_t agreed_at;    /* enough proxies knew no newer roster then; see permit_on_agreed() */
-	usec_t agreed_told;  /* the same, as another proxy knows it */
-	usec_t confirmed_at; /* the store held it when asked at this time; USEC_NEVER: never */
+	roster_t *roster;      /* the newest known */
+	size_t proxy_count;    /* on it */
+	bool primary_changing; /* it has a primary that is about to change */
+	usec_t adopted_at;     /* when it came */
+	bool groups_changed;   /* by it */
+	usec_t agreed_at; /* enough proxies knew no newer roster then; see permit_on_agreed() */
+	usec_t peers_agreed_at; /* the same, as another proxy knows it */
+	usec_t confirmed_at;	/* the store held it when asked at this time; USEC_NEVER: never */
 	bool reading;
-	usec_t read_sent;
-	usec_t read_after; /* back-off */
-	bool behind;	   /* the store may hold a newer roster than ours */
-	int64_t era;	   /* newest of the store that is known */
-	int64_t restored;  /* revision of the copy that the store holds; 0: none; see restore.h */
-	bool restoring;	   /* the roster is being written in the new era */
-	bool groups_known; /* no other proxy can know newer ones */
-	usec_t led_until;  /* when our lease would have ended that went with its era */
-	usec_t last_read_ok;
+	usec_t read_sent_at;
+	usec_t read_not_before;	 /* back-off */
+	bool roster_maybe_stale; /* the store may hold a newer roster than ours */
+	int64_t era;		 /* newest of the store that is known */
+	int64_t backup_revision; /* revision of the copy that the store holds; 0: none; see
+				    restore.h */
+	bool rewriting_roster;	 /* the roster is being written in the new era */
+	bool groups_current;	 /* no other proxy can know newer ones */
+	usec_t lost_lease_until; /* when our lease would have ended that went with its era */
+	usec_t last_read_at;
 	usec_t read_jitter;
 	bool registering;
-	bool join_asked; /* the holder was asked to add us, and our own write comes next */
-	usec_t join_began;
-	bool join_failed; /* our own write to get on the roster met another one */
-	usec_t join_asked_at;
-	char *join_asked_of;
-	bool join_answered;  /* by that proxy, since then */
-	unsigned join_tries; /* proxies asked since our last own write */
-	bool storing;	     /* groups are being written */
-	usec_t store_next;   /* the next such write */
-	bool adding;	     /* others to the roster */
-	list_t joiners;	     /* that have asked for it; see join.c */
+	bool join_requested; /* the holder was asked to add us, and our own write comes next */
+	usec_t join_started_at;
+	bool join_conflict; /* our own write to get on the roster met another one */
+	usec_t join_requested_at;
+	char *join_target;
+	bool join_target_answered; /* by that proxy, since then */
+	unsigned join_requests;	   /* proxies asked since our last own write */
+	bool writing_groups;	   /* groups are being written */
+	usec_t groups_write_next;  /* the next such write */
+	bool adding_joiners;	   /* others to the roster */
+	list_t joiners;		   /* that have asked for it; see join.c */
 	size_t joiner_count;
-	usec_t ask_next;
-	unsigned ask_unsent; /* questions in a row that were not sent, for want of a link */
-	uint64_t told; /* digest of what the last question reported, to report changes at once */
-	char *holder;  /* who holds the duty */
-	char *holder_address;
-	uint64_t fence;
-	usec_t holder_heard; /* its last answer */
-	unsigned next_peer;
+	usec_t query_next;
+	unsigned queries_unsent;  /* questions in a row that were not sent, for want of a link */
+	uint64_t reported_digest; /* digest of what the last question reported, to report changes at
+				     once */
+	char *leader;		  /* who holds the duty */
+	char *leader_address;
+	uint64_t fencing_token;
+	usec_t leader_seen_at; /* its last answer */
+	unsigned next_peer_index;
 	char *contact; /* who was heard last while no roster is known; NULL: nobody */
 	char *contact_address;
-	usec_t call_next; /* to listeners that have fallen silent; see upstream.h */
+	usec_t ping_silent_next; /* to listeners that have fallen silent; see upstream.h */
 	hubs_t hubs;
 	usec_t config_pushed_at;
-	push_t push_wanted;
+	push_t push_pending;
 	usec_t push_next;
-	bool config_news;    /* those that ask this proxy are to be told at once */
-	char *upstream;	     /* who was asked last */
-	usec_t directory_at; /* configuration and members were known to be current then */
+	bool config_push_pending; /* those that ask this proxy are to be told at once */
+	char *upstream;		  /* who was asked last */
+	usec_t directory_as_of;	  /* configuration and members were known to be current then */
 	/* Our own hold on the duty. */
 	bool acquiring;
 	uint64_t lease;
 	int64_t lease_era;     /* of the store that granted it */
 	uint64_t former_lease; /* of an earlier life of this process, that was ended; 0: none */
-	bool holding;
-	uint64_t own_fence;    /* of our hold */
-	uint64_t past_fence;   /* of our hold before */
-	usec_t foreign_change; /* when another holder last wrote a group to the roster */
-	usec_t hold_until;     /* by our clock, from the sending of the last renewal */
-	usec_t held_since;
-	usec_t unused_next; /* when one more primary that nobody uses may be asked; see verdict.c */
-	uint64_t votes_count; /* counts of votes so far */
-	usec_t votes_due;     /* the next one */
-	bool votes_differ;    /* it is due now, since somebody reports trouble */
-	list_t *watched_last; /* of the services, by the holder; see duty.c */
+	bool leading;
+	uint64_t own_token;	      /* of our hold */
+	uint64_t former_token;	      /* of our hold before */
+	usec_t other_leader_wrote_at; /* when another holder last wrote a group to the roster */
+	usec_t lease_until;	      /* by our clock, from the sending of the last renewal */
+	usec_t leading_since;
+	usec_t unused_probe_next;     /* when one more primary that nobody uses may be asked; see
+					 verdict.c */
+	uint64_t vote_round;	      /* counts of votes so far */
+	usec_t votes_due;	      /* the next one */
+	bool votes_changed;	      /* it is due now, since somebody reports trouble */
+	list_t *last_checked_service; /* of the services, by the holder; see duty.c */
 	bool renewing;
 	usec_t renew_next;
-	usec_t acquire_after;
-	list_t reports; /* peer_report_t */
-	list_t awaited; /* of these, those with unanswered statements */
-	peer_report_t *by_name;
+	usec_t acquire_not_before;
+	list_t reports;		   /* peer_report_t */
+	list_t unanswered_reports; /* of these, those with unanswered statements */
+	peer_report_t *reports_by_name;
 	/* Reading the directory again, since a watch can miss changes without a sign. */
-	usec_t config_due;
-	usec_t members_due;
-	unsigned members_differ; /* answers in a row with another list than ours */
+	usec_t config_read_due;
+	usec_t members_read_due;
+	unsigned members_mismatches; /* answers in a row with another list than ours */
 } sync_t;
 
 struct pooler {
--- a/pooler/sweep.c
+++ b/pooler/sweep.c
@@ -34,27 +34,27 @@
 static entry_end_t judge(pooler_t *pooler, const roster_node_t *node, usec_t now)
 {
 	peer_report_t *report = exchange_get_report(pooler, node->name);
-	usec_t heard = report->heard_at;
+	usec_t heard = report->received_at;
 
 	if (strcmp(node->name, pooler->config.name) == 0)
 		return ENTRY_STAYS;
 	if (!node->gone) {
-		report->gone_seen = 0;
-		if (heard < pooler->sync.held_since)
-			heard = pooler->sync.held_since;
+		report->gone_seen_at = 0;
+		if (heard < pooler->sync.leading_since)
+			heard = pooler->sync.leading_since;
 		/* A proxy that was cut off may be back in the store before its messages come. */
-		if (heard < report->entered_at)
-			heard = report->entered_at;
+		if (heard < report->registered_at)
+			heard = report->registered_at;
 		return now < heard + NODE_SILENT ? ENTRY_STAYS : ENTRY_GONE;
 	}
-	if (report->gone_seen == 0) {
-		report->gone_seen = now;
+	if (report->gone_seen_at == 0) {
+		report->gone_seen_at = now;
 		report->gone_revision = pooler->sync.roster->revision;
-		report->gone_known = 0;
+		report->gone_agreed_at = 0;
 	}
-	if (report->gone_known == 0 && permit_is_known(pooler, report->gone_revision))
-		report->gone_known = now;
-	return now < report->gone_seen + NODE_REMOVE ? ENTRY_STAYS : ENTRY_REMOVED;
+	if (report->gone_agreed_at == 0 && permit_is_known(pooler, report->gone_revision))
+		report->gone_agreed_at = now;
+	return now < report->gone_seen_at + NODE_REMOVE ? ENTRY_STAYS : ENTRY_REMOVED;
 }
 
 static void change_entry(roster_t *roster, const char *name, entry_end_t end)
@@ -71,10 +71,10 @@
 {
 	usec_t now = now_of(pooler);
 
-	if (report->gone_seen == 0)
+	if (report->gone_seen_at == 0)
 		return false;
-	return now >= report->gone_seen + PERMIT_TOGETHER ||
-	       (report->gone_known != 0 && now >= report->gone_known + PERMIT_ALONE);
+	return now >= report->gone_seen_at + PERMIT_TOGETHER ||
+	       (report->gone_agreed_at != 0 && now >= report->gone_agreed_at + PERMIT_ALONE);
 }
 
 void sweep_tick(pooler_t *pooler, usec_t now)
--- a/pooler/sync.c
+++ b/pooler/sync.c
@@ -64,13 +64,13 @@
 	sync->confirmed_at = USEC_NEVER;
 	sync->roster = roster_create(pooler);
 	list_init(&sync->reports);
-	list_init(&sync->awaited);
+	list_init(&sync->unanswered_reports);
 	list_init(&sync->joiners);
 }
 
 void sync_destroy(pooler_t *pooler)
 {
-	HASH_CLEAR(hh, pooler->sync.by_name);
+	HASH_CLEAR(hh, pooler->sync.reports_by_name);
 	talloc_free(pooler->sync.roster);
 }
 
@@ -94,20 +94,20 @@
 void sync_set_holder(pooler_t *pooler, const char *name, const char *address, uint64_t fence)
 {
 	sync_t *sync = &pooler->sync;
-	bool known = sync->holder != NULL && fence == sync->fence;
+	bool known = sync->leader != NULL && fence == sync->fencing_token;
 
-	if (known || fence < sync->fence)
+	if (known || fence < sync->fencing_token)
 		return;
 	/* Two with one token must never promote, however we hear of the other. */
-	if (sync->holding && fence > sync->own_fence)
+	if (sync->leading && fence > sync->own_token)
 		hold_lose(pooler, "another proxy holds it");
-	talloc_free(sync->holder);
-	talloc_free(sync->holder_address);
-	sync->holder = talloc_strdup(pooler, name);
-	sync->holder_address = talloc_strdup(pooler, address);
-	sync->fence = fence;
-	sync->holder_heard = now_of(pooler);
-	sync->ask_next = 0;
+	talloc_free(sync->leader);
+	talloc_free(sync->leader_address);
+	sync->leader = talloc_strdup(pooler, name);
+	sync->leader_address = talloc_strdup(pooler, address);
+	sync->fencing_token = fence;
+	sync->leader_seen_at = now_of(pooler);
+	sync->query_next = 0;
 	LOG_EVENT(LOG_INFO, "duty holder", LOG_STR("holder", name),
 		  LOG_INT("fence", (int64_t)fence));
 }
@@ -116,10 +116,10 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	talloc_free(sync->holder);
-	talloc_free(sync->holder_address);
-	sync->holder = NULL;
-	sync->holder_address = NULL;
+	talloc_free(sync->leader);
+	talloc_free(sync->leader_address);
+	sync->leader = NULL;
+	sync->leader_address = NULL;
 }
 
 /* What the store says of the holder; item NULL: there is none. */
@@ -133,7 +133,7 @@
 
 	if (item == NULL) {
 		/* A read that was sent before we got hold of it proves nothing. */
-		if (sync->holding && asked_at > sync->held_since)
+		if (sync->leading && asked_at > sync->leading_since)
 			hold_lose(pooler, "the store no longer has the key");
 		forget_holder(pooler);
 		return;
@@ -142,11 +142,12 @@
 	if (json_unpack(value, "{s:s, s:s, s:I}", "name", &name, "address", &address, "incarnation",
 			&incarnation) == 0) {
 		if (strcmp(name, pooler->config.name) == 0) {
-			hold_on_own_key(pooler, (uint64_t)incarnation, (uint64_t)item->created);
+			hold_on_own_key(pooler, (uint64_t)incarnation,
+					(uint64_t)item->create_revision);
 			if ((uint64_t)incarnation < pooler->config.incarnation)
 				hold_end_former(pooler, item->lease);
 		}
-		sync_set_holder(pooler, name, address, (uint64_t)item->created);
+		sync_set_holder(pooler, name, address, (uint64_t)item->create_revision);
 	}
 	json_decref(value);
 }
@@ -182,15 +183,15 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	if (sync->last_read_ok != 0 && sync->read_after > sync->last_read_ok)
+	if (sync->last_read_at != 0 && sync->read_not_before > sync->last_read_at)
 		LOG_EVENT(LOG_INFO, "store answers again",
 			  LOG_INT("silent_ms",
-				  (int64_t)((now - sync->last_read_ok) / USEC_PER_MSEC)));
+				  (int64_t)((now - sync->last_read_at) / USEC_PER_MSEC)));
 }
 
 static usec_t read_backoff(const pooler_t *pooler)
 {
-	usec_t base = pooler->sync.proxies * READ_BACKOFF_ALL;
+	usec_t base = pooler->sync.proxy_count * READ_BACKOFF_ALL;
 
 	return usec_clamp(base, READ_BACKOFF, READ_BACKOFF_MOST);
 }
@@ -206,24 +207,24 @@
 
 	sync->reading = false;
 	if (result->status != KV_OK) {
-		if (sync->read_after <= sync->last_read_ok)
+		if (sync->read_not_before <= sync->last_read_at)
 			LOG_EVENT(LOG_WARN, "store does not answer",
 				  LOG_INT("status", result->status));
 		counter_add(&roster_failed, 1);
-		sync->read_after =
+		sync->read_not_before =
 			now + read_backoff(pooler) + pooler_random(pooler, read_backoff(pooler));
 		talloc_free(roster_key);
 		return;
 	}
 	log_store_back(pooler, now);
 	adopt_era(sync, result->as_of);
-	sync->last_read_ok = now;
+	sync->last_read_at = now;
 	item = item_named(result, roster_key);
 	if (item != NULL)
 		on_roster_item(pooler, item);
 	if ((item != NULL ? item->revision : 0) == sync->roster->revision)
-		sync_confirm(pooler, sync->read_sent);
-	on_holder_item(pooler, item_named(result, holder_key), sync->read_sent);
+		sync_confirm(pooler, sync->read_sent_at);
+	on_holder_item(pooler, item_named(result, holder_key), sync->read_sent_at);
 	talloc_free(roster_key);
 	refresh_begin(pooler, now);
 	/* At once: a fleet that starts together takes turns at this, one write after another. */
@@ -237,8 +238,8 @@
 	kv_t *kv = pooler_store(pooler);
 
 	sync->reading = true;
-	sync->behind = false;
-	sync->read_sent = now;
+	sync->roster_maybe_stale = false;
+	sync->read_sent_at = now;
 	sync->read_jitter = pooler_random(pooler, READ_JITTER);
 	counter_add(&roster_reads, 1);
 	kv->ops->range(kv, pooler->config.prefix, "", on_read, pooler);
@@ -249,16 +250,16 @@
 	const sync_t *sync = &pooler->sync;
 	usec_t most = (upstream_applies(pooler) ? READ_BELOW : READ_OTHERS) + sync->read_jitter;
 
-	if (sync->behind ||
-	    (hold_is_ours(pooler, now) && now >= sync->last_read_ok + READ_HOLDER_MOST))
+	if (sync->roster_maybe_stale ||
+	    (hold_is_ours(pooler, now) && now >= sync->last_read_at + READ_HOLDER_MOST))
 		most = 0;
 	else if (hold_is_ours(pooler, now))
 		most = READ_HOLDER;
 	/* The duty may become vacant: whoever sees that first takes it. */
-	else if (now >= sync->holder_heard + HOLDER_SILENT && !upstream_applies(pooler))
+	else if (now >= sync->leader_seen_at + HOLDER_SILENT && !upstream_applies(pooler))
 		most = READ_VACANT + sync->read_jitter / 2;
 
-	if (sync->reading || now < sync->read_after)
+	if (sync->reading || now < sync->read_not_before)
 		return false;
 	return sync->confirmed_at == USEC_NEVER || now >= sync->confirmed_at + most;
 }
@@ -288,7 +289,7 @@
 	}
 	/* Nobody has written the roster, so it is the hold that has ended. */
 	if (item->revision == commit->expected)
-		pooler->sync.behind = true;
+		pooler->sync.roster_maybe_stale = true;
 	on_roster_item(pooler, item);
 	if (item->revision == pooler->sync.roster->revision)
 		sync_confirm(pooler, commit->sent_at);
@@ -325,7 +326,7 @@
 	} else if (result->status == KV_CONFLICT) {
 		on_conflict(commit, result);
 	} else {
-		pooler->sync.behind = true;
+		pooler->sync.roster_maybe_stale = true;
 	}
 	commit->done(commit->data, result);
 	talloc_free(commit);
@@ -336,7 +337,7 @@
 	kv_t *kv = pooler_store(pooler);
 	commit_t *commit = talloc_zero(pooler, commit_t);
 	char *key = sync_key(commit, pooler, "roster");
-	int64_t expected = restore_is_due(pooler) ? pooler->sync.restored : roster->revision;
+	int64_t expected = restore_is_due(pooler) ? pooler->sync.backup_revision : roster->revision;
 	kv_write_t writes[2] = {{.key = key, .expected = expected}};
 	size_t count = 1;
 
@@ -352,10 +353,10 @@
 	 * holder takes it for granted that nobody else changes a group, and would go on telling the
 	 * fleet of the primary before.
 	 */
-	if (pooler->sync.holding)
+	if (pooler->sync.leading)
 		writes[count++] = (kv_write_t){.key = sync_key(commit, pooler, "holder"),
-					       .expected = (int64_t)pooler->sync.own_fence,
-					       .only_check = true};
+					       .expected = (int64_t)pooler->sync.own_token,
+					       .check_only = true};
 	commit->done = done;
 	commit->data = data;
 	kv->ops->commit(kv, writes, count, on_committed, commit);
--- a/pooler/upstream.c
+++ b/pooler/upstream.c
@@ -35,7 +35,7 @@
 
 bool upstream_applies(const pooler_t *pooler)
 {
-	return pooler->sync.proxies >= UPSTREAM_FLEET;
+	return pooler->sync.proxy_count >= UPSTREAM_FLEET;
 }
 
 /* --- who is a hub --- */
@@ -95,7 +95,7 @@
 
 static ranked_t *rank_all(const pooler_t *pooler, size_t *count)
 {
-	ranked_t *ranked = talloc_array(NULL, ranked_t, pooler->sync.proxies);
+	ranked_t *ranked = talloc_array(NULL, ranked_t, pooler->sync.proxy_count);
 
 	*count = 0;
 	list_for_each (it, &pooler->sync.roster->nodes) {
@@ -176,7 +176,7 @@
 {
 	const peer_report_t *report = exchange_report(pooler, name);
 
-	return report != NULL && now < report->avoided_until;
+	return report != NULL && now < report->hub_avoided_until;
 }
 
 /*
@@ -213,15 +213,15 @@
 
 	if (upstream_applies(pooler) && !upstream_is_hub(pooler)) {
 		hub = find_hub(pooler, pooler->config.zone, now);
-		if (hub == NULL && sync->holder != NULL && is_avoided(pooler, sync->holder, now))
+		if (hub == NULL && sync->leader != NULL && is_avoided(pooler, sync->leader, now))
 			hub = find_hub(pooler, NULL, now);
 	}
 	if (hub != NULL) {
 		*name = hub->name;
 		*address = hub->address;
-	} else if (sync->holder != NULL) {
-		*name = sync->holder;
-		*address = sync->holder_address;
+	} else if (sync->leader != NULL) {
+		*name = sync->leader;
+		*address = sync->leader_address;
 	} else {
 		*name = sync->contact;
 		*address = sync->contact_address;
@@ -247,34 +247,34 @@
 void upstream_on_question(peer_report_t *report, usec_t now)
 {
 	if (!upstream_listens(report, now))
-		report->asked_us_from = now;
-	report->asked_us_at = now;
-	report->called = false;
+		report->querying_since = now;
+	report->last_query_at = now;
+	report->pinged_silent = false;
 }
 
 void upstream_on_pong(peer_report_t *report, usec_t now)
 {
 	if (!upstream_listens(report, now))
-		report->asked_us_from = 0;
+		report->querying_since = 0;
 }
 
 /* Not who has only tried us in turn, while it had nobody else to ask. */
 static bool is_called(const peer_report_t *report, usec_t now)
 {
-	return report->asked_us_from != 0 && !upstream_listens(report, now) &&
-	       report->asked_us_at >= report->asked_us_from + UPSTREAM_LISTENS &&
-	       now < report->asked_us_at + CALLED_FOR;
+	return report->querying_since != 0 && !upstream_listens(report, now) &&
+	       report->last_query_at >= report->querying_since + UPSTREAM_LISTENS &&
+	       now < report->last_query_at + CALLED_FOR;
 }
 
 static void call_listener(pooler_t *pooler, const roster_node_t *node, peer_report_t *report,
 			  usec_t now)
 {
-	if (!report->called)
+	if (!report->pinged_silent)
 		LOG_EVENT(LOG_INFO, "proxy no longer asks us, calling it",
 			  LOG_STR("proxy", node->name), LOG_STR("address", node->address),
 			  LOG_INT("silent_ms",
-				  (int64_t)((now - report->asked_us_at) / USEC_PER_MSEC)));
-	report->called = true;
+				  (int64_t)((now - report->last_query_at) / USEC_PER_MSEC)));
+	report->pinged_silent = true;
 	counter_add(&calls_total, 1);
 	exchange_ping(pooler, node);
 }
@@ -283,9 +283,9 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	if (now < sync->call_next)
+	if (now < sync->ping_silent_next)
 		return;
-	sync->call_next = now + CALL_INTERVAL;
+	sync->ping_silent_next = now + CALL_INTERVAL;
 	list_for_each (it, &sync->reports) {
 		peer_report_t *report = list_entry(it, peer_report_t, node);
 		const roster_node_t *node = roster_node(sync->roster, report->name);
@@ -297,7 +297,7 @@
 
 void upstream_avoid(pooler_t *pooler, const char *name, usec_t now)
 {
-	exchange_get_report(pooler, name)->avoided_until = now + HUB_AVOIDED;
+	exchange_get_report(pooler, name)->hub_avoided_until = now + HUB_AVOIDED;
 	counter_add(&avoided_total, 1);
 	LOG_EVENT(LOG_WARN, "hub does not answer", LOG_STR("proxy", name),
 		  LOG_INT("avoided_ms", (int64_t)(HUB_AVOIDED / USEC_PER_MSEC)));
@@ -305,7 +305,7 @@
 
 static bool is_holder(const sync_t *sync, const char *name)
 {
-	return sync->holder != NULL && strcmp(sync->holder, name) == 0;
+	return sync->leader != NULL && strcmp(sync->leader, name) == 0;
 }
 
 void upstream_on_asked(pooler_t *pooler, const char *name, usec_t now)
@@ -316,13 +316,13 @@
 	if (sync->upstream == NULL || strcmp(sync->upstream, name) != 0) {
 		talloc_free(sync->upstream);
 		sync->upstream = talloc_strdup(pooler, name);
-		report->asked_since = 0;
+		report->query_unanswered_since = 0;
 	}
-	if (report->asked_since == 0)
-		report->asked_since = now;
-	if (now < report->asked_since + HUB_SILENT || now == pooler->awake_since)
+	if (report->query_unanswered_since == 0)
+		report->query_unanswered_since = now;
+	if (now < report->query_unanswered_since + HUB_SILENT || now == pooler->awake_since)
 		return;
-	report->asked_since = 0;
+	report->query_unanswered_since = 0;
 	/* The holder's silence is noticed by the age of its news; as a hub it has a successor. */
 	if (is_holder(sync, name) && (!upstream_applies(pooler) || upstream_is_hub(pooler)))
 		return;
@@ -339,7 +339,7 @@
 
 bool upstream_listens(const peer_report_t *report, usec_t now)
 {
-	return report->asked_us_at != 0 && now < report->asked_us_at + UPSTREAM_LISTENS;
+	return report->last_query_at != 0 && now < report->last_query_at + UPSTREAM_LISTENS;
 }
 
 void upstream_each_listener(pooler_t *pooler, usec_t now,
--- a/pooler/verdict.c
+++ b/pooler/verdict.c
@@ -95,8 +95,8 @@
 		/* A proxy that did not know this primary yet spoke of the one before. */
 		if (service == NULL || report->revision < service->settled_revision)
 			continue;
-		if (service->reported_in != pooler->sync.votes_count) {
-			service->reported_in = pooler->sync.votes_count;
+		if (service->reported_in != pooler->sync.vote_round) {
+			service->reported_in = pooler->sync.vote_round;
 			service->reported = (votes_t){0};
 		}
 		add(service, report);
@@ -113,20 +113,20 @@
 {
 	sync_t *sync = &pooler->sync;
 
-	if (!sync->votes_differ && now < sync->votes_due)
+	if (!sync->votes_changed && now < sync->votes_due)
 		return;
-	sync->votes_count++;
+	sync->vote_round++;
 	sync->votes_due = now + COUNT_INTERVAL;
-	sync->votes_differ = false;
+	sync->votes_changed = false;
 	list_for_each (it, &sync->reports) {
 		const peer_report_t *report = list_entry(it, peer_report_t, node);
 
-		if (report->heard_at + REPORT_VALID < now)
+		if (report->received_at + REPORT_VALID < now)
 			continue;
-		sync->votes_differ |= report_has_trouble(report);
+		sync->votes_changed |= report_has_trouble(report);
 		add_votes(pooler, report, report->down, add_down);
 		add_votes(pooler, report, report->failing, add_failing);
-		if (report->heard_at + ALIVE_VALID > now)
+		if (report->received_at + ALIVE_VALID > now)
 			add_votes(pooler, report, report->alive, add_alive);
 	}
 }
@@ -138,7 +138,7 @@
 	bool failing = outlier_is_failing(&primary->outlier, now);
 	bool alive = !primary->down && primary->last_reply + ALIVE_WITHIN > now;
 
-	if (service->reported_in == service->pooler->sync.votes_count)
+	if (service->reported_in == service->pooler->sync.vote_round)
 		votes = service->reported;
 	votes.down += primary->down;
 	votes.alive += alive;
@@ -181,7 +181,7 @@
  */
 static bool is_lost(const service_t *service, const member_t *primary, votes_t votes)
 {
-	size_t proxies = service->pooler->sync.proxies;
+	size_t proxies = service->pooler->sync.proxy_count;
 
 	if (votes.down < WITNESSES_LEAST && others_live(service->pooler))
 		return false;
@@ -231,11 +231,11 @@
 {
 	usec_t rest = UNUSED_BURST * UNUSED_SPACING;
 
-	if (sync->unused_next + rest < now)
-		sync->unused_next = now - rest;
-	if (sync->unused_next > now)
+	if (sync->unused_probe_next + rest < now)
+		sync->unused_probe_next = now - rest;
+	if (sync->unused_probe_next > now)
 		return false;
-	sync->unused_next += UNUSED_SPACING;
+	sync->unused_probe_next += UNUSED_SPACING;
 	return true;
 }
 
@@ -307,7 +307,7 @@
 	votes_t votes;
 
 	if (primary == NULL)
-		return now >= service->pooler->sync.held_since + UNLISTED_TIME
+		return now >= service->pooler->sync.leading_since + UNLISTED_TIME
 			       ? "primary is not listed"
 			       : NULL;
 	if (primary->gone)
--- a/tests/fake_kv.c
+++ b/tests/fake_kv.c
@@ -287,7 +287,7 @@
 		.value = talloc_strdup(parent, item->value),
 		.len = strlen(item->value),
 		.revision = item->revision,
-		.created = item->created,
+		.create_revision = item->created,
 		.lease = item->lease,
 	};
 }
@@ -334,7 +334,7 @@
 			.value = event->value != NULL ? talloc_strdup(call, event->value) : NULL,
 			.len = event->value != NULL ? strlen(event->value) : 0,
 			.revision = event->revision,
-			.created = event->created,
+			.create_revision = event->created,
 		};
 	}
 	call->result.items = items;
@@ -374,7 +374,7 @@
 	}
 	store->revision++;
 	for (size_t i = 0; i < call->write_count; i++) {
-		if (!call->writes[i].only_check)
+		if (!call->writes[i].check_only)
 			put(store, call->writes[i].key, call->writes[i].value,
 			    call->writes[i].lease);
 	}
@@ -536,8 +536,8 @@
 	call->done = done;
 	call->data = data;
 	call->arrives = now_of(store) + store->delay;
-	call->ends = now_of(store) + (kv->patience_ms != 0 ? (usec_t)kv->patience_ms * USEC_PER_MSEC
-							   : CALL_TIMEOUT);
+	call->ends = now_of(store) +
+		     (kv->timeout_ms != 0 ? (usec_t)kv->timeout_ms * USEC_PER_MSEC : CALL_TIMEOUT);
 	list_add_tail(&store->calls, &call->node);
 	store->call_count++;
 	rearm(store);
--- a/tests/pool_directory.c
+++ b/tests/pool_directory.c
@@ -39,8 +39,8 @@
 }
 
 static const follow_ops_t config_ops = {
-	.changed = on_config, .gone = on_gone, .read = on_config_read};
-static const follow_ops_t member_ops = {.changed = on_member, .gone = on_gone};
+	.on_changed = on_config, .on_removed = on_gone, .on_read = on_config_read};
+static const follow_ops_t member_ops = {.on_changed = on_member, .on_removed = on_gone};
 
 static void start(world_node_t *node, follow_t *follow, const char *prefix, const follow_ops_t *ops)
 {
@@ -50,9 +50,9 @@
 		.clock = &node->world->clock.base,
 		.timers = &node->timers,
 		.prefix = prefix,
-		.fed = true,
-		.held = true,
-		.random = (uint64_t)(node - node->world->nodes) + 1,
+		.from_peer = true,
+		.read_deferred = true,
+		.random_state = (uint64_t)(node - node->world->nodes) + 1,
 	};
 	follow_start(follow, NULL);
 }
--- a/tests/standin_site.c
+++ b/tests/standin_site.c
@@ -111,8 +111,8 @@
 	sodium_bin2base64(text, size, (const unsigned char *)item->value, item->len,
 			  sodium_base64_VARIANT_ORIGINAL);
 	object = json_pack("{s:s, s:s, s:I, s:I, s:I}", "key", item->key, "value", text, "rev",
-			   to_wire(item->revision), "createdRev", to_wire(item->created), "lease",
-			   (json_int_t)item->lease);
+			   to_wire(item->revision), "createdRev", to_wire(item->create_revision),
+			   "lease", (json_int_t)item->lease);
 	talloc_free(text);
 	return object;
 }
@@ -221,12 +221,12 @@
 		writes[i].key = json_string_value(json_object_get(row, "key"));
 		writes[i].expected =
 			from_wire(site, json_integer_value(json_object_get(row, "rev")));
-		writes[i].only_check = !lists_key(json_object_get(body, "deletes"), writes[i].key);
+		writes[i].check_only = !lists_key(json_object_get(body, "deletes"), writes[i].key);
 		json_array_foreach (json_object_get(body, "writes"), index, write) {
 			if (strcmp(json_string_value(json_object_get(write, "key")),
 				   writes[i].key) != 0)
 				continue;
-			writes[i].only_check = false;
+			writes[i].check_only = false;
 			writes[i].value = decode_value(
 				writes, json_string_value(json_object_get(write, "value")));
 			writes[i].lease =
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -578,14 +578,14 @@
 	quota_request_t request = {.number = 1, .customer = "ada", .wanted = 1};
 	int64_t successor = pooler->sync.roster->revision + 5;
 
-	request.seat = seat_of_first(world);
+	request.shard = seat_of_first(world);
 	g_assert_cmpuint(seats_take(seats, &request, now_in(world)).granted, ==, 1);
 	g_assert_true(seats_release(seats, &request, successor).released);
-	g_assert_true(seats_take(seats, &request, now_in(world)).vacant);
+	g_assert_true(seats_take(seats, &request, now_in(world)).not_owner);
 	world_run(world, 5 * SEC);
-	g_assert_true(seats_take(seats, &request, now_in(world)).vacant);
+	g_assert_true(seats_take(seats, &request, now_in(world)).not_owner);
 	pooler->sync.roster->revision = successor + 1;
-	g_assert_true(seats_take(seats, &request, now_in(world)).vacant);
+	g_assert_true(seats_take(seats, &request, now_in(world)).not_owner);
 	world_run(world, 100 * MSEC);
 	pooler->sync.roster->revision = successor + 1;
 	pooler->sync.confirmed_at = now_in(world) + 3 * SEC;
--- a/tests/test_pooler_config.c
+++ b/tests/test_pooler_config.c
@@ -209,9 +209,9 @@
 		.incarnation = world->nodes[holder].incarnation,
 		.config_version = world->config_version,
 		.echo = clock_now(&world->clock.base),
-		.age = USEC_NEVER,
+		.roster_age = USEC_NEVER,
 		.quorum_age = USEC_NEVER,
-		.holder_age = USEC_NEVER,
+		.leader_age = USEC_NEVER,
 	};
 
 	world_kill(world, plain);
@@ -221,11 +221,11 @@
 	world_start(world, plain);
 	pooler = world->nodes[plain].pooler;
 	exchange_on_message(world->nodes[plain].pooler, &state);
-	g_assert_cmpuint(pooler->sync.directory_at, ==, 0);
+	g_assert_cmpuint(pooler->sync.directory_as_of, ==, 0);
 	/* Of a VM that has started anew since, with a clock that was ahead. */
 	state.echo = clock_now(&world->clock.base) + 60 * SEC;
 	exchange_on_message(world->nodes[plain].pooler, &state);
-	g_assert_cmpuint(pooler->sync.directory_at, ==, 0);
+	g_assert_cmpuint(pooler->sync.directory_as_of, ==, 0);
 	world_destroy(world);
 }
 
@@ -306,7 +306,7 @@
 static void describe(const pool_world_t *world, size_t node, const char *to, int64_t known,
 		     peer_message_t *state, void *parent)
 {
-	peer_message_t ask = {.kind = PEER_ASK, .config_at = known, .members_at = known};
+	peer_message_t ask = {.kind = PEER_ASK, .config_as_of = known, .members_as_of = known};
 
 	*state = (peer_message_t){.kind = PEER_STATE};
 	refresh_describe(world->nodes[node].pooler, to, &ask, state, parent);
@@ -346,7 +346,7 @@
 static void test_told_if_not_read(void)
 {
 	pool_world_t *world = start(LARGE);
-	int64_t known = world->nodes[find_holder(world)].config.told;
+	int64_t known = world->nodes[find_holder(world)].config.as_of;
 
 	world_write_config(world);
 	world_run(world, 100 * MSEC);
@@ -359,7 +359,7 @@
 {
 	pool_world_t *world = start(SMALL);
 	world_node_t *holder = &world->nodes[find_holder(world)];
-	int64_t known = holder->members.told;
+	int64_t known = holder->members.as_of;
 
 	/* Slow, so that so many do not fit. */
 	holder->pooler->config.link = LARGE;
@@ -381,7 +381,7 @@
 		world->nodes[i].kv.cut_prefix = world->nodes[i].members.prefix;
 	follow_refresh(&world->nodes[holder].members);
 	world_run(world, 600 * MSEC);
-	g_assert_true(world->nodes[holder].pooler->sync.holding);
+	g_assert_true(world->nodes[holder].pooler->sync.leading);
 	describe(world, holder, "new", 1, &state, parent);
 	g_assert_cmpuint(state.directory_age, >=, 500 * MSEC);
 	talloc_free(parent);
@@ -402,7 +402,7 @@
 		world->nodes[i].kv.cut = true;
 	follow_refresh(&world->nodes[holder].config);
 	world_run(world, 600 * MSEC);
-	g_assert_true(world->nodes[holder].pooler->sync.holding);
+	g_assert_true(world->nodes[holder].pooler->sync.leading);
 	describe(world, holder, "new", 1, &state, parent);
 	g_assert_cmpuint(state.directory_age, >=, 500 * MSEC);
 	talloc_free(parent);
--- a/tests/test_pooler_faults.c
+++ b/tests/test_pooler_faults.c
@@ -145,9 +145,9 @@
 			i, (long)pooler->sync.roster->revision, group->primary, group->changing,
 			seconds(pooler->sync.confirmed_at), seconds(permit_end(pooler)),
 			play->world->nodes[i].kv.cut, play->world->nodes[i].cut_from_peers,
-			play->world->nodes[i].frozen, pooler->sync.holding,
-			pooler->sync.holder != NULL ? pooler->sync.holder : "none",
-			(unsigned long)pooler->sync.fence, permit_is_registered(pooler),
+			play->world->nodes[i].frozen, pooler->sync.leading,
+			pooler->sync.leader != NULL ? pooler->sync.leader : "none",
+			(unsigned long)pooler->sync.fencing_token, permit_is_registered(pooler),
 			pooler->sync.registering, pooler->sync.reading);
 	}
 	for (size_t i = 0; i < play->world->promote_count; i++) {
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -159,18 +159,18 @@
 
 	world_settle(world);
 	holder = find_holder(world);
-	fence = world->nodes[holder].pooler->sync.own_fence;
+	fence = world->nodes[holder].pooler->sync.own_token;
 	world->nodes[holder].kv.cut = true;
 	fake_kv_revoke(world->kv, "fleet/holder");
 	world_run(world, 1500 * MSEC);
 	world->nodes[holder].kv.cut = false;
 	world_run(world, 3 * SEC);
 	for (size_t i = 0; i < 3; i++)
-		holders += world->nodes[i].pooler->sync.holding;
+		holders += world->nodes[i].pooler->sync.leading;
 	g_assert_cmpuint(holders, ==, 1);
 	/* It may have got hold of the duty anew, with another token. */
-	g_assert_true(!world->nodes[holder].pooler->sync.holding ||
-		      world->nodes[holder].pooler->sync.own_fence > fence);
+	g_assert_true(!world->nodes[holder].pooler->sync.leading ||
+		      world->nodes[holder].pooler->sync.own_token > fence);
 	world_destroy(world);
 }
 
@@ -182,8 +182,8 @@
 
 	world_settle(world);
 	holder = world->nodes[find_holder(world)].pooler;
-	g_assert_true(hold_is_ours(holder, holder->sync.hold_until - 1));
-	g_assert_false(hold_is_ours(holder, holder->sync.hold_until));
+	g_assert_true(hold_is_ours(holder, holder->sync.lease_until - 1));
+	g_assert_false(hold_is_ours(holder, holder->sync.lease_until));
 	world_destroy(world);
 }
 
@@ -191,8 +191,9 @@
 static void test_ends_by_whole_names(void)
 {
 	pool_world_t *world = world_create(2, NULL);
-	peer_message_t message = {
-		.kind = PEER_STATE, .age = USEC_NEVER, .ends = "encore:9000 core:100 "};
+	peer_message_t message = {.kind = PEER_STATE,
+				  .roster_age = USEC_NEVER,
+				  .change_ends = "encore:9000 core:100 "};
 	const world_node_t *other;
 	pooler_t *pooler;
 	service_t *service;
@@ -218,7 +219,7 @@
 	pool_world_t *world = world_create(3, NULL);
 	const world_node_t *other;
 	pooler_t *holder;
-	peer_message_t message = {.kind = PEER_STATE, .age = USEC_NEVER};
+	peer_message_t message = {.kind = PEER_STATE, .roster_age = USEC_NEVER};
 
 	world_settle(world);
 	holder = world->nodes[find_holder(world)].pooler;
@@ -226,11 +227,11 @@
 	message.from = other->name;
 	message.address = other->address;
 	message.incarnation = other->incarnation;
-	message.holder = other->name;
-	message.holder_address = other->address;
-	message.fence = holder->sync.own_fence + 1;
+	message.leader = other->name;
+	message.leader_address = other->address;
+	message.fencing_token = holder->sync.own_token + 1;
 	pooler_on_message(holder, &message);
-	g_assert_false(holder->sync.holding);
+	g_assert_false(holder->sync.leading);
 	world_destroy(world);
 }
 
@@ -248,13 +249,13 @@
 
 	world_settle(world);
 	holder = find_holder(world);
-	fence = world->nodes[holder].pooler->sync.own_fence;
+	fence = world->nodes[holder].pooler->sync.own_token;
 	for (int i = 0; i < 5; i++) {
 		world->kv->lose_keeps = 3;
 		world_run(world, 2 * SEC);
 	}
 	g_assert_true(holds_duty(world, holder));
-	g_assert_cmpuint(world->nodes[holder].pooler->sync.own_fence, ==, fence);
+	g_assert_cmpuint(world->nodes[holder].pooler->sync.own_token, ==, fence);
 	world_destroy(world);
 }
 
@@ -531,7 +532,7 @@
 				  .address = "10.0.9.9:1",
 				  .zone = "a",
 				  .incarnation = 1,
-				  .age = USEC_NEVER};
+				  .roster_age = USEC_NEVER};
 	const pooler_t *pooler;
 
 	world_settle(world);
--- a/tests/test_pooler_parts.c
+++ b/tests/test_pooler_parts.c
@@ -135,7 +135,7 @@
 	g_hash_table_remove(self->seen, key);
 }
 
-static const follow_ops_t follow_ops = {.changed = on_changed, .gone = on_gone};
+static const follow_ops_t follow_ops = {.on_changed = on_changed, .on_removed = on_gone};
 
 static void pass(followed_t *self, usec_t by)
 {
@@ -216,7 +216,7 @@
 	followed_t *self = followed_create();
 	size_t before;
 
-	self->follow.gather = FOLLOW_GATHER;
+	self->follow.coalesce_time = FOLLOW_GATHER;
 	before = self->store->call_count;
 	for (int i = 0; i < 20; i++) {
 		char *key = g_strdup_printf("servers/m%d", i);
@@ -295,8 +295,8 @@
 				  .clock = &self->clock.base,
 				  .timers = &self->timers,
 				  .prefix = "servers/",
-				  .fed = true,
-				  .held = held};
+				  .from_peer = true,
+				  .read_deferred = held};
 	self->store->down = true;
 	follow_start(&self->follow, NULL);
 	return self;
@@ -314,7 +314,7 @@
 	int64_t known;
 
 	pass(self, 100 * USEC_PER_MSEC);
-	known = self->follow.told;
+	known = self->follow.as_of;
 	fake_kv_put(self->store, "servers/a", "2");
 	fake_kv_compact(self->store);
 	/* The watch has ended, the reading that follows is on its way. */
@@ -341,10 +341,10 @@
 
 	follow_take(&self->follow, &told);
 	g_assert_cmpstr(seen(self, "servers/b"), ==, "2");
-	g_assert_cmpint(self->follow.told, ==, 0);
-	told.whole = true;
+	g_assert_cmpint(self->follow.as_of, ==, 0);
+	told.complete = true;
 	follow_take(&self->follow, &told);
-	g_assert_cmpint(self->follow.told, ==, 50);
+	g_assert_cmpint(self->follow.as_of, ==, 50);
 	followed_destroy(self);
 }
 
@@ -354,7 +354,7 @@
 {
 	followed_t *self = followed_create();
 	const kv_item_t item = {.key = "servers/b", .value = "2", .len = 1, .revision = 50};
-	follow_changes_t told = {.whole = true, .as_of = 50, .items = &item, .count = 1};
+	follow_changes_t told = {.complete = true, .as_of = 50, .items = &item, .count = 1};
 
 	pass(self, 100 * USEC_PER_MSEC);
 	g_assert_cmpuint(follow_unanswered(&self->follow), ==, 0);
@@ -414,7 +414,7 @@
 	void *parent = talloc_new(NULL);
 	follow_changes_t changes;
 	bool told =
-		follow_changes(&peer->follow, to->follow.told, parent, &changes) == FOLLOW_CHANGED;
+		follow_changes(&peer->follow, to->follow.as_of, parent, &changes) == FOLLOW_CHANGED;
 
 	if (told)
 		follow_take(&to->follow, &changes);
@@ -471,13 +471,13 @@
 	/* Changes, with what is missing, and not all of it again. */
 	fake_kv_put(peer->store, "servers/a", NULL);
 	pass(peer, 100 * MSEC);
-	packed = follow_pack(&peer->follow, fed->follow.told);
+	packed = follow_pack(&peer->follow, fed->follow.as_of);
 	g_assert_cmpuint(strlen(packed), <, 200);
 	g_assert_true(follow_open(&fed->follow, packed));
 	g_assert_cmpstr(seen(fed, "servers/b"), ==, "1");
 	pass(fed, 3 * SEC);
 	g_assert_null(seen(fed, "servers/a"));
-	g_assert_cmpint(fed->follow.told, ==, peer->follow.told);
+	g_assert_cmpint(fed->follow.as_of, ==, peer->follow.as_of);
 	followed_destroy(fed);
 	followed_destroy(peer);
 }
@@ -585,7 +585,7 @@
 	follow_stop(&second->follow);
 	g_hash_table_remove_all(second->seen);
 	second->follow.revision = 0;
-	second->follow.told = 0;
+	second->follow.as_of = 0;
 	second->follow.watching = false;
 	follow_start(&second->follow, NULL);
 	pass(second, 100 * MSEC);
--- a/tests/test_pooler_relay.c
+++ b/tests/test_pooler_relay.c
@@ -50,7 +50,7 @@
 
 	world_settle(world);
 	holder = find_holder(world);
-	fence = world->nodes[holder].pooler->sync.own_fence;
+	fence = world->nodes[holder].pooler->sync.own_token;
 	world->db->members[0].leaving = true;
 	while (step_of(world, holder) != CHANGE_RELEASING)
 		world_run(world, MSEC);
@@ -58,7 +58,7 @@
 	g_assert_cmpuint(time_to_change(world), <, 2 * SEC);
 	world_run(world, 10 * SEC);
 	g_assert_true(holds_duty(world, holder));
-	g_assert_cmpuint(world->nodes[holder].pooler->sync.own_fence, ==, fence);
+	g_assert_cmpuint(world->nodes[holder].pooler->sync.own_token, ==, fence);
 	world_destroy(world);
 }
 
@@ -256,7 +256,7 @@
 		{.key = "a", .value = "x\"y", .expected = 7, .lease = 9},
 		{.key = "b", .expected = 3}};
 	static const kv_item_t items[] = {
-		{.key = "c", .value = "\xff\0z", .len = 3, .revision = 5, .created = 4}};
+		{.key = "c", .value = "\xff\0z", .len = 3, .revision = 5, .create_revision = 4}};
 	store_request_t request = {
 		.number = 1, .op = STORE_COMMIT, .writes = writes, .count = G_N_ELEMENTS(writes)};
 	store_answer_t answer = {
@@ -266,27 +266,27 @@
 				  .from = "p",
 				  .address = "q",
 				  .cut_off = true,
-				  .store = &request};
+				  .store_request = &request};
 	void *parent = talloc_new(NULL);
 	char *text = fleet_encode(&message);
 	const peer_message_t *back = fleet_decode(parent, text, strlen(text));
 
 	g_assert_true(back->cut_off);
-	g_assert_cmpuint(back->store->count, ==, 2);
-	g_assert_cmpstr(back->store->writes[0].value, ==, "x\"y");
-	g_assert_cmpint(back->store->writes[0].expected, ==, 7);
-	g_assert_cmpuint(back->store->writes[0].lease, ==, 9);
-	g_assert_null(back->store->writes[1].value);
+	g_assert_cmpuint(back->store_request->count, ==, 2);
+	g_assert_cmpstr(back->store_request->writes[0].value, ==, "x\"y");
+	g_assert_cmpint(back->store_request->writes[0].expected, ==, 7);
+	g_assert_cmpuint(back->store_request->writes[0].lease, ==, 9);
+	g_assert_null(back->store_request->writes[1].value);
 	free(text);
 	message = (peer_message_t){
-		.kind = PEER_STORED, .from = "p", .address = "q", .stored = &answer};
+		.kind = PEER_STORED, .from = "p", .address = "q", .store_answer = &answer};
 	text = fleet_encode(&message);
 	back = fleet_decode(parent, text, strlen(text));
-	g_assert_cmpint(back->stored->result.status, ==, KV_CONFLICT);
-	g_assert_cmpint(back->stored->result.as_of, ==, 8);
-	g_assert_cmpmem(back->stored->result.items[0].value, back->stored->result.items[0].len,
-			"\xff\0z", 3);
-	g_assert_cmpint(back->stored->result.items[0].created, ==, 4);
+	g_assert_cmpint(back->store_answer->result.status, ==, KV_CONFLICT);
+	g_assert_cmpint(back->store_answer->result.as_of, ==, 8);
+	g_assert_cmpmem(back->store_answer->result.items[0].value,
+			back->store_answer->result.items[0].len, "\xff\0z", 3);
+	g_assert_cmpint(back->store_answer->result.items[0].create_revision, ==, 4);
 	free(text);
 	talloc_free(parent);
 }
--- a/tests/test_pooler_roster.c
+++ b/tests/test_pooler_roster.c
@@ -107,7 +107,7 @@
 	changes = roster_changes(teller, 10);
 	diff = roster_take(NULL, listener, changes, strlen(changes), 11);
 	g_assert_cmpuint(diff->node_count, ==, 1);
-	g_assert_true(diff->nodes[0].entered);
+	g_assert_true(diff->nodes[0].registered);
 	g_assert_cmpuint(diff->group_count, ==, 1);
 	g_assert_cmpstr(diff->groups[0].was_primary, ==, "i-1");
 	g_assert_cmpuint(listener->changing_count, ==, 1);
--- a/tests/test_pooler_scale.c
+++ b/tests/test_pooler_scale.c
@@ -81,7 +81,7 @@
 		g_autofree char *name = g_strdup_printf("elsewhere-%d", i);
 		peer_report_t *report = exchange_get_report(pooler, name);
 
-		report->heard_at = now_of(pooler);
+		report->received_at = now_of(pooler);
 		report->revision = pooler->sync.roster->revision;
 		report->alive = talloc_strdup(report, "");
 		for (int j = 0; j < SERVICES_EACH; j++)
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -126,7 +126,7 @@
 	g_assert_cmpstr(pooler->sync.upstream, ==, world->nodes[hub].name);
 	world->nodes[plain].kv.cut = true;
 	sync_set_holder(pooler, world->nodes[hub].name, world->nodes[hub].address,
-			pooler->sync.fence + 1);
+			pooler->sync.fencing_token + 1);
 	world_freeze(world, hub);
 	world_run(world, 1 * SEC);
 	g_assert_cmpstr(pooler->sync.upstream, !=, world->nodes[hub].name);
@@ -211,13 +211,13 @@
 {
 	pool_world_t *world = make_fleet();
 	pooler_t *pooler = world->nodes[find_plain(world, FLEET)].pooler;
-	usec_t next = pooler->sync.ask_next;
+	usec_t next = pooler->sync.query_next;
 
 	g_assert_cmpuint(next, >, now_of(pooler));
 	adopt_changed(pooler, add_proxy);
-	g_assert_cmpuint(pooler->sync.ask_next, ==, next);
+	g_assert_cmpuint(pooler->sync.query_next, ==, next);
 	adopt_changed(pooler, begin_change);
-	g_assert_cmpuint(pooler->sync.ask_next, ==, 0);
+	g_assert_cmpuint(pooler->sync.query_next, ==, 0);
 	world_destroy(world);
 }
 
@@ -300,7 +300,7 @@
 /* What a proxy that knows no configuration is told; false: none. */
 static bool is_told(pooler_t *pooler, const char *name)
 {
-	peer_message_t ask = {.kind = PEER_ASK, .config_at = 1};
+	peer_message_t ask = {.kind = PEER_ASK, .config_as_of = 1};
 	peer_message_t state = {.kind = PEER_STATE};
 	void *parent = talloc_new(NULL);
 
@@ -317,7 +317,7 @@
  */
 static void test_configurations_are_spaced(void)
 {
-	static const follow_ops_t ops = {.changed = ignore_item, .gone = ignore_gone};
+	static const follow_ops_t ops = {.on_changed = ignore_item, .on_removed = ignore_gone};
 	pool_world_t *world = world_create(3, NULL);
 	pooler_t *pooler;
 	follow_t config = {.ops = &ops,
@@ -360,7 +360,7 @@
 	size_t before;
 	size_t each;
 
-	holder->pooler->sync.proxies = LARGE_FLEET;
+	holder->pooler->sync.proxy_count = LARGE_FLEET;
 	before = holder->messages;
 	push_fleet(holder->pooler);
 	each = holder->messages - before;
@@ -370,7 +370,7 @@
 	g_assert_cmpuint(holder->messages - before, ==, each);
 	g_assert_cmpuint(push_spacing(holder->pooler), ==, 100 * MSEC);
 	world_run(world, 160 * MSEC);
-	g_assert_cmpint(holder->pooler->sync.push_wanted, ==, PUSH_NONE);
+	g_assert_cmpint(holder->pooler->sync.push_pending, ==, PUSH_NONE);
 	g_assert_cmpuint(holder->messages - before, >=, 2 * each);
 	world_destroy(world);
 }
