--- a/links/wire.c
+++ b/links/wire.c
@@ -75,7 +75,7 @@
 
 /* --- encoding --- */
 
-static void pack_text(msgpack_packer *pk, const char *text)
+static void pack_compress(msgpack_packer *pk, const char *text)
 {
 	size_t len = strlen(text);
 
@@ -104,10 +104,10 @@
 {
 	const char *at = (const char *)base + field->offset;
 
-	pack_text(pk, field->key);
+	pack_compress(pk, field->key);
 	switch (field->type) {
 	case WIRE_TEXT:
-		pack_text(pk, *(char *const *)at);
+		pack_compress(pk, *(char *const *)at);
 		break;
 	case WIRE_NUMBER:
 		msgpack_pack_uint64(pk, *(const uint64_t *)at);
@@ -147,7 +147,7 @@
 
 static void pack_entries(msgpack_packer *pk, const message_t *message)
 {
-	pack_text(pk, "entries");
+	pack_compress(pk, "entries");
 	msgpack_pack_array(pk, message->entry_count);
 	for (size_t i = 0; i < message->entry_count; i++)
 		pack_map(pk, entry_fields, COUNT_OF(entry_fields), &message->entries[i]);
@@ -163,17 +163,17 @@
 	count += message->answer != NULL;
 	count += message->entry_count != 0;
 	msgpack_pack_map(&pk, count);
-	pack_text(&pk, "v");
+	pack_compress(&pk, "v");
 	msgpack_pack_int(&pk, WIRE_VERSION);
-	pack_text(&pk, "from");
-	pack_text(&pk, from);
+	pack_compress(&pk, "from");
+	pack_compress(&pk, from);
 	pack_fields(&pk, message_fields, COUNT_OF(message_fields), message);
 	if (message->query != NULL) {
-		pack_text(&pk, "query");
+		pack_compress(&pk, "query");
 		pack_map(&pk, query_fields, COUNT_OF(query_fields), message->query);
 	}
 	if (message->answer != NULL) {
-		pack_text(&pk, "answer");
+		pack_compress(&pk, "answer");
 		pack_map(&pk, answer_fields, COUNT_OF(answer_fields), message->answer);
 	}
 	if (message->entry_count != 0)
--- a/pooler/active.c
+++ b/pooler/active.c
@@ -77,7 +77,7 @@
 {
 	const sync_t *sync = &pooler->sync;
 
-	return sync->leading || upstream_is_hub(pooler) || !upstream_applies(pooler) ||
+	return sync->leading || upstream_is_hub(pooler) || !upstream_uses_hubs(pooler) ||
 	       !permit_is_registered(pooler) || sync->joiner_count != 0 ||
 	       relay_is_cut_off(pooler->relay) || now >= sync->confirmed_at + NEWS_USUAL;
 }
--- a/pooler/adopt.c
+++ b/pooler/adopt.c
@@ -124,19 +124,19 @@
 	note_groups(pooler, diff);
 	talloc_free(diff);
 	/* Whoever waits for us to let go hears it at once. */
-	if (ask_tells_revision(pooler))
+	if (ask_must_report_revision(pooler))
 		sync->query_next = 0;
 }
 
 void adopt_roster(pooler_t *pooler, roster_t *newer)
 {
-	on_adopted(pooler, roster_merge(pooler, pooler->sync.roster, newer));
+	on_adopted(pooler, roster_update(pooler, pooler->sync.roster, newer));
 	talloc_free(newer);
 }
 
-bool adopt_text(pooler_t *pooler, const char *text, size_t len, int64_t revision)
+bool adopt_roster_text(pooler_t *pooler, const char *text, size_t len, int64_t revision)
 {
-	roster_diff_t *diff = roster_take(pooler, pooler->sync.roster, text, len, revision);
+	roster_diff_t *diff = roster_apply_text(pooler, pooler->sync.roster, text, len, revision);
 
 	if (diff == NULL)
 		return false;
--- a/pooler/adopt.h
+++ b/pooler/adopt.h
@@ -10,7 +10,7 @@
 void adopt_roster(pooler_t *pooler, roster_t *newer);
 
 /* The same from its text, whole or changes; false if it can't be taken. */
-bool adopt_text(pooler_t *pooler, const char *text, size_t len, int64_t revision);
+bool adopt_roster_text(pooler_t *pooler, const char *text, size_t len, int64_t revision);
 
 /* The store was in the era of that revision. */
 void adopt_era(sync_t *sync, int64_t revision);
--- a/pooler/ask.c
+++ b/pooler/ask.c
@@ -25,17 +25,17 @@
 #define LINK_TRIES 3
 
 /* With news so old the permission is prolonged only by agreement with the other proxies. */
-bool ask_news_is_old(const pooler_t *pooler, usec_t now)
+bool ask_roster_is_unconfirmed(const pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
 
 	return sync->confirmed_at == USEC_NEVER || now >= sync->confirmed_at + ASK_ALL_AFTER;
 }
 
-bool ask_tells_revision(const pooler_t *pooler)
+bool ask_must_report_revision(const pooler_t *pooler)
 {
-	return !upstream_applies(pooler) || pooler->sync.primary_changing ||
-	       ask_news_is_old(pooler, now_of(pooler));
+	return !upstream_uses_hubs(pooler) || pooler->sync.primary_changing ||
+	       ask_roster_is_unconfirmed(pooler, now_of(pooler));
 }
 
 /* --- what a question reports --- */
@@ -73,7 +73,8 @@
  */
 static uint64_t news_digest(const pooler_t *pooler, usec_t now)
 {
-	uint64_t digest = ask_tells_revision(pooler) ? (uint64_t)pooler->sync.roster->revision : 0;
+	uint64_t digest =
+		ask_must_report_revision(pooler) ? (uint64_t)pooler->sync.roster->revision : 0;
 
 	list_for_each (it, &pooler->active_services) {
 		const service_t *service = list_entry(it, service_t, active);
@@ -119,13 +120,13 @@
 
 /* --- who is asked --- */
 
-bool ask_peer(const pooler_t *pooler, const char *name, const char *address)
+bool ask_send_query(const pooler_t *pooler, const char *name, const char *address)
 {
-	peer_message_t message = {.kind = PEER_ASK, .echo = now_of(pooler)};
+	peer_message_t message = {.kind = PEER_QUERY, .echo = now_of(pooler)};
 	void *parent = talloc_new(NULL);
 	bool sent;
 
-	exchange_fill(pooler, &message);
+	exchange_fill_sender(pooler, &message);
 	describe(pooler, message.echo, &message, parent);
 	sent = exchange_send(pooler, name, address, &message);
 	talloc_free(parent);
@@ -170,15 +171,16 @@
 /* What those that ask this hub have reported, for whom it asks itself. */
 static void add_reports(const pooler_t *pooler, usec_t now, peer_message_t *message, void *parent)
 {
-	peer_message_t *reports = talloc_zero_array(
-		parent, peer_message_t, list_length(&pooler->sync.reports) + join_count(pooler));
+	peer_message_t *reports =
+		talloc_zero_array(parent, peer_message_t,
+				  list_length(&pooler->sync.reports) + join_pending_count(pooler));
 
 	message->reports = reports;
-	message->report_count = join_describe(pooler, reports);
+	message->report_count = join_fill_reports(pooler, reports);
 	list_for_each (it, &pooler->sync.reports) {
 		const peer_report_t *report = list_entry(it, peer_report_t, node);
 
-		if (!upstream_listens(report, now))
+		if (!upstream_is_downstream(report, now))
 			continue;
 		reports[message->report_count++] = (peer_message_t){
 			.from = report->name,
@@ -205,19 +207,19 @@
  */
 static void ask_together(pooler_t *pooler, usec_t now, peer_message_t *message)
 {
-	if (!upstream_applies(pooler)) {
+	if (!upstream_uses_hubs(pooler)) {
 		ask_part(pooler, message);
 		return;
 	}
 	/* A question that they asked proves nothing of now. */
-	upstream_each_listener(pooler, now, put_question, message);
-	upstream_each_hub(pooler, put_question, message);
+	upstream_for_each_downstream(pooler, now, put_question, message);
+	upstream_for_each_hub(pooler, put_question, message);
 }
 
 /* False if it leaves the agreement without the store to the hubs of a large fleet. */
 static bool agrees_by_itself(pooler_t *pooler, usec_t now)
 {
-	return !upstream_applies(pooler) || upstream_is_hub(pooler) || hold_is_ours(pooler, now);
+	return !upstream_uses_hubs(pooler) || upstream_is_hub(pooler) || hold_is_ours(pooler, now);
 }
 
 static size_t index_on_roster(const pooler_t *pooler, const char *name)
@@ -268,7 +270,7 @@
 static void ask_other(pooler_t *pooler, const peer_message_t *message)
 {
 	const roster_node_t *other =
-		upstream_applies(pooler) ? spread_peer(pooler) : other_peer(pooler);
+		upstream_uses_hubs(pooler) ? spread_peer(pooler) : other_peer(pooler);
 
 	if (other != NULL)
 		exchange_send(pooler, other->name, other->address, message);
@@ -282,7 +284,7 @@
 
 	if (exchange_send(pooler, name, address, message))
 		sync->queries_unsent = 0;
-	else if (sync->queries_unsent++ < LINK_TRIES && !ask_news_is_old(pooler, now))
+	else if (sync->queries_unsent++ < LINK_TRIES && !ask_roster_is_unconfirmed(pooler, now))
 		sync->query_next = now;
 }
 
@@ -293,31 +295,31 @@
 	const char *name;
 	const char *address;
 
-	if (ask_news_is_old(pooler, now) && agrees_by_itself(pooler, now))
+	if (ask_roster_is_unconfirmed(pooler, now) && agrees_by_itself(pooler, now))
 		ask_together(pooler, now, message);
-	else if (sync->leader == NULL || now >= sync->leader_seen_at + HOLDER_SILENT)
+	else if (sync->leader == NULL || now >= sync->leader_seen_at + LEADER_SILENT_AFTER)
 		ask_other(pooler, message);
 	if (!upstream_find(pooler, now, &name, &address))
 		return;
 	if (upstream_is_hub(pooler))
 		add_reports(pooler, now, message, parent);
-	upstream_on_asked(pooler, name, now);
+	upstream_on_query_sent(pooler, name, now);
 	put_first_question(pooler, now, name, address, message);
 }
 
 static void ask(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
-	peer_message_t message = {.kind = PEER_ASK, .echo = now};
+	peer_message_t message = {.kind = PEER_QUERY, .echo = now};
 	uint64_t news = news_digest(pooler, now);
 	void *parent;
 
 	if (now < sync->query_next && news == sync->reported_digest)
 		return;
 	sync->reported_digest = news;
-	sync->query_next = now + ASK_INTERVAL;
+	sync->query_next = now + ASK_QUERY_INTERVAL;
 	parent = talloc_new(NULL);
-	exchange_fill(pooler, &message);
+	exchange_fill_sender(pooler, &message);
 	describe(pooler, now, &message, parent);
 	ask_now(pooler, now, &message, parent);
 	talloc_free(parent);
@@ -326,6 +328,6 @@
 void ask_tick(pooler_t *pooler, usec_t now)
 {
 	/* The holder knows what the others ask it for. */
-	if (!hold_is_ours(pooler, now) || ask_news_is_old(pooler, now))
+	if (!hold_is_ours(pooler, now) || ask_roster_is_unconfirmed(pooler, now))
 		ask(pooler, now);
 }
--- a/pooler/dispatch.c
+++ b/pooler/dispatch.c
@@ -426,7 +426,7 @@
 							    : USEC_NEVER;
 	if (!permit_is_registered(service->pooler))
 		return now + REGISTER_USUAL;
-	group = roster_group(sync->roster, service->name);
+	group = roster_find_group(sync->roster, service->name);
 	primary = group != NULL ? member_find(service->pooler, group->primary) : NULL;
 	if (primary != NULL && primary->down)
 		return primary->silent_since + DETECTION_USUAL + CHANGE_USUAL;
--- a/pooler/duty.c
+++ b/pooler/duty.c
@@ -145,8 +145,8 @@
 		return;
 	pooler->sync.writing_groups = true;
 	/* Each is told to the whole fleet. */
-	pooler->sync.groups_write_next = now + push_spacing(pooler);
-	sync_commit(pooler, roster, on_stored, pooler);
+	pooler->sync.groups_write_next = now + push_interval(pooler);
+	sync_commit_roster(pooler, roster, on_stored, pooler);
 	talloc_free(roster);
 }
 
@@ -326,13 +326,13 @@
 
 static bool has_released(const service_t *service, const roster_node_t *node)
 {
-	const peer_report_t *report = exchange_report(service->pooler, node->name);
+	const peer_report_t *report = exchange_find_report(service->pooler, node->name);
 
 	if (node->gone)
 		return report != NULL && sweep_has_ended(service->pooler, report);
 	return report != NULL && report->incarnation == node->incarnation &&
 	       report->revision >= service->change.marked_revision &&
-	       !exchange_lists(report->in_use, service->name);
+	       !exchange_list_contains(report->in_use, service->name);
 }
 
 /* Proxies that have not let go yet. */
@@ -458,8 +458,9 @@
 
 void duty_on_promoted(service_t *service, promote_status_t status)
 {
-	static const char *const names[] = {
-		[PROMOTE_OK] = "ok", [PROMOTE_REFUSED] = "refused", [PROMOTE_LOST] = "lost"};
+	static const char *const names[] = {[PROMOTE_OK] = "ok",
+					    [PROMOTE_REFUSED] = "refused",
+					    [PROMOTE_OUTCOME_UNKNOWN] = "lost"};
 	usec_t now = now_of(service->pooler);
 	member_t *target;
 
@@ -589,7 +590,7 @@
 
 void duty_tick(pooler_t *pooler, usec_t now)
 {
-	if (!hold_is_ours(pooler, now) || restore_is_due(pooler))
+	if (!hold_is_ours(pooler, now) || restore_is_pending(pooler))
 		return;
 	sweep_tick(pooler, now);
 	verdict_count(pooler, now);
--- a/pooler/env.h
+++ b/pooler/env.h
@@ -49,21 +49,21 @@
 } member_request_t;
 
 typedef enum {
-	PEER_ASK,
+	PEER_QUERY,
 	PEER_STATE,
-	PEER_REQUEST,
-	PEER_RESULT,
+	PEER_FORWARD_REQUEST,
+	PEER_FORWARD_RESULT,
 	PEER_PING,
 	PEER_PONG,
-	PEER_STORE,
-	PEER_STORED,
-	PEER_TAKE,
-	PEER_TAKEN,
+	PEER_STORE_REQUEST,
+	PEER_STORE_ANSWER,
+	PEER_QUOTA_REQUEST,
+	PEER_QUOTA_ANSWER,
 } peer_message_kind_t;
 
 /*
- * PEER_REQUEST: a statement that the sender can't get to a member. In a transaction, ROLLBACK is
- * its end, which has no result.
+ * PEER_FORWARD_REQUEST: a statement that the sender can't get to a member. In a transaction,
+ * ROLLBACK is its end, which has no result.
  */
 typedef struct forward_request {
 	uint64_t number; /* the sender's, comes back with the result */
@@ -80,7 +80,7 @@
 	bool read_only;
 } forward_request_t;
 
-/* PEER_RESULT: what came of it. */
+/* PEER_FORWARD_RESULT: what came of it. */
 typedef struct forward_result {
 	uint64_t number;
 	bool is_raw; /* a member's reply; else code and text say why there is none */
@@ -103,7 +103,7 @@
 	STORE_LEASE_END,
 } store_op_t;
 
-/* PEER_STORE: a call to the store that does not serve the sender. */
+/* PEER_STORE_REQUEST: a call to the store that does not serve the sender. */
 typedef struct store_request {
 	uint64_t number; /* the sender's, comes back with the answer */
 	store_op_t op;
@@ -115,13 +115,14 @@
 	int64_t ttl_ms;		  /* LEASE_CREATE */
 } store_request_t;
 
-/* PEER_STORED: the store's answer to it; KV_REFUSED if the receiver can't make the call either. */
+/* PEER_STORE_ANSWER: the store's answer to it; KV_REFUSED if the receiver can't make the call
+ * either. */
 typedef struct store_answer {
 	uint64_t number;
 	kv_result_t result;
 } store_answer_t;
 
-/* PEER_TAKE: operations of a customer that are about to begin; see quota.h. */
+/* PEER_QUOTA_REQUEST: operations of a customer that are about to begin; see quota.h. */
 typedef struct quota_request {
 	uint64_t number; /* the sender's, comes back with the answer */
 	const char *customer;
@@ -130,7 +131,7 @@
 	bool release; /* the sender is the seat's keeper now: give nothing more for it */
 } quota_request_t;
 
-/* PEER_TAKEN: how many of them may. */
+/* PEER_QUOTA_ANSWER: how many of them may. */
 typedef struct quota_answer {
 	uint64_t number;
 	const char *customer;
@@ -172,7 +173,7 @@
 	/* STATE: what it lacks; NULL: nothing. */
 	const follow_changes_t *config_changes;
 	const follow_changes_t *members_changes;
-	/* STATE: the same where it is much, by follow_pack(); NULL: it is not. */
+	/* STATE: the same where it is much, by follow_pack_changes(); NULL: it is not. */
 	const char *config_packed;
 	const char *members_packed;
 	bool read_directory; /* STATE: what the receiver lacks is too much to be told */
@@ -201,14 +202,14 @@
 	bool draining;	      /* the sender shuts down and takes no statements of others */
 } peer_message_t;
 
-typedef enum { PROMOTE_OK, PROMOTE_REFUSED, PROMOTE_LOST } promote_status_t;
+typedef enum { PROMOTE_OK, PROMOTE_REFUSED, PROMOTE_OUTCOME_UNKNOWN } promote_status_t;
 
 /* What came of closing a caller's session. */
 typedef enum {
 	CLOSE_DONE,
-	CLOSE_UNREAD, /* the caller has sent something that was not handed in yet */
-	CLOSE_PART,   /* the caller has sent a part of a statement */
-	CLOSE_UNSENT, /* an answer to it has not left yet; caller_on_sent() follows */
+	CLOSE_INPUT_UNREAD,  /* the caller has sent something that was not handed in yet */
+	CLOSE_INPUT_PARTIAL, /* the caller has sent a part of a statement */
+	CLOSE_OUTPUT_UNSENT, /* an answer to it has not left yet; caller_on_sent() follows */
 } close_result_t;
 
 typedef struct env_ops {
--- a/pooler/exchange.c
+++ b/pooler/exchange.c
@@ -26,7 +26,7 @@
 #include "log.h"
 
 /* A roster that was told is believed to be on its way for so long. */
-#define ROSTER_ON_ITS_WAY (2 * ASK_INTERVAL)
+#define ROSTER_ON_ITS_WAY (2 * ASK_QUERY_INTERVAL)
 
 const char *exchange_next_word(const char **list, size_t *len)
 {
@@ -39,7 +39,7 @@
 	return word;
 }
 
-bool exchange_lists(const char *list, const char *word)
+bool exchange_list_contains(const char *list, const char *word)
 {
 	size_t wanted = strlen(word);
 	const char *next;
@@ -52,7 +52,7 @@
 	return false;
 }
 
-void exchange_fill(const pooler_t *pooler, peer_message_t *message)
+void exchange_fill_sender(const pooler_t *pooler, peer_message_t *message)
 {
 	message->from = pooler->config.name;
 	message->address = pooler->config.address;
@@ -125,13 +125,13 @@
 	char *agreed;
 
 	message->quorum_age = at != 0 ? now - at : USEC_NEVER;
-	if (!upstream_applies(pooler) || !ask_news_is_old(pooler, now))
+	if (!upstream_uses_hubs(pooler) || !ask_roster_is_unconfirmed(pooler, now))
 		return;
 	agreed = talloc_strdup(parent, "");
 	list_for_each (it, &sync->reports) {
 		const peer_report_t *report = list_entry(it, peer_report_t, node);
 
-		if (upstream_listens(report, now) && report->agreed_at != 0)
+		if (upstream_is_downstream(report, now) && report->agreed_at != 0)
 			agreed = talloc_asprintf_append(agreed, "%s:%" PRIu64 " ", report->name,
 							(now - report->agreed_at) / USEC_PER_MSEC);
 	}
@@ -153,7 +153,7 @@
 		known = report->roster_sent_revision;
 	if (known >= pooler->sync.roster->revision)
 		return NULL;
-	return roster_changes(pooler->sync.roster, known);
+	return roster_encode_changes(pooler->sync.roster, known);
 }
 
 /* ask: what is answered; NULL: nobody has asked. */
@@ -167,7 +167,7 @@
 	usec_t now = now_of(pooler);
 	bool sent;
 
-	exchange_fill(pooler, &message);
+	exchange_fill_sender(pooler, &message);
 	message.members_digest = refresh_members_digest(pooler);
 	message.roster_age =
 		sync->confirmed_at != USEC_NEVER ? now - sync->confirmed_at : USEC_NEVER;
@@ -180,7 +180,7 @@
 	message.fencing_token = sync->fencing_token;
 	message.leader_age = holder_age(pooler, now);
 	describe_agreement(pooler, now, &message, parent);
-	refresh_describe(pooler, name, ask, &message, parent);
+	refresh_fill_state(pooler, name, ask, &message, parent);
 	sent = exchange_send(pooler, name, address, &message);
 	if (sent && message.roster != NULL) {
 		report->roster_sent_revision = sync->roster->revision;
@@ -190,16 +190,16 @@
 	return sent;
 }
 
-bool exchange_tell(pooler_t *pooler, const char *name, const char *address)
+bool exchange_send_state(pooler_t *pooler, const char *name, const char *address)
 {
 	return send_state(pooler, name, address, NULL);
 }
 
-bool exchange_ping(const pooler_t *pooler, const roster_node_t *peer)
+bool exchange_send_ping(const pooler_t *pooler, const roster_node_t *peer)
 {
 	peer_message_t message = {.kind = PEER_PING};
 
-	exchange_fill(pooler, &message);
+	exchange_fill_sender(pooler, &message);
 	return exchange_send(pooler, peer->name, peer->address, &message);
 }
 
@@ -207,7 +207,7 @@
 {
 	peer_message_t pong = {.kind = PEER_PONG};
 
-	exchange_fill(pooler, &pong);
+	exchange_fill_sender(pooler, &pong);
 	exchange_send(pooler, message->from, message->address, &pong);
 }
 
@@ -235,7 +235,7 @@
 	return report;
 }
 
-const peer_report_t *exchange_report(const pooler_t *pooler, const char *name)
+const peer_report_t *exchange_find_report(const pooler_t *pooler, const char *name)
 {
 	const peer_report_t *report;
 
@@ -278,7 +278,7 @@
 		report->roster_sent_revision = 0;
 	report->incarnation = message->incarnation;
 	report->received_at = heard_at;
-	news = report->revision != message->revision && ask_tells_revision(pooler);
+	news = report->revision != message->revision && ask_must_report_revision(pooler);
 	report->revision = message->revision;
 	report->fleet_size = message->fleet_size;
 	news |= replace(report, &report->down, message->down);
@@ -293,7 +293,7 @@
 {
 	peer_report_t *report = exchange_get_report(pooler, message->from);
 
-	upstream_on_question(report, now);
+	upstream_on_query(report, now);
 	report->config_as_of = message->config_as_of;
 	report->members_as_of = message->members_as_of;
 	note_access(report, message, now);
@@ -317,9 +317,9 @@
 	note_listener(pooler, message, now);
 	if (message->revision > pooler->sync.roster->revision)
 		pooler->sync.roster_maybe_stale = true;
-	if (join_answers(pooler, message->from))
+	if (join_can_answer(pooler, message->from))
 		send_state(pooler, message->from, message->address, message);
-	join_on_ask(pooler, message);
+	join_on_query(pooler, message);
 	/* Only what a change may wait for: with 75 proxies four questions a second each come in. */
 	if (news && hold_is_ours(pooler, now))
 		duty_tick(pooler, now);
@@ -357,7 +357,7 @@
 	sync_t *sync = &pooler->sync;
 
 	if (message->leader != NULL && message->fencing_token > sync->fencing_token)
-		sync_set_holder(pooler, message->leader, message->leader_address,
+		sync_set_leader(pooler, message->leader, message->leader_address,
 				message->fencing_token);
 	if (sync->leader == NULL)
 		return;
@@ -371,11 +371,11 @@
 static void take_roster(pooler_t *pooler, const peer_message_t *message, usec_t now)
 {
 	if (message->roster == NULL || message->revision <= pooler->sync.roster->revision ||
-	    !adopt_text(pooler, message->roster, strlen(message->roster), message->revision))
+	    !adopt_roster_text(pooler, message->roster, strlen(message->roster), message->revision))
 		return;
 	/* In a large fleet a changed proxy is heard of with the next answer, a primary at once. */
-	if (upstream_is_hub(pooler) && (pooler->sync.groups_changed || push_spacing(pooler) == 0))
-		push_listeners(pooler);
+	if (upstream_is_hub(pooler) && (pooler->sync.groups_changed || push_interval(pooler) == 0))
+		push_downstream(pooler);
 	/* At once: while the store is away it is agreed on anew. */
 	exchange_tick(pooler, now);
 }
@@ -404,15 +404,15 @@
 	 * store was sent no earlier than that less its age. Nobody's clock is compared.
 	 */
 	if (agrees && message->roster_age < message->echo)
-		sync_confirm(pooler, message->echo - message->roster_age);
+		sync_confirm_roster(pooler, message->echo - message->roster_age);
 	if (agrees)
 		take_agreement(pooler, message);
 	if (message->change_ends != NULL)
 		take_ends(pooler, message->change_ends, now);
-	if (message->doubted_primaries != NULL && upstream_is(pooler, message->from))
+	if (message->doubted_primaries != NULL && upstream_is_trusted(pooler, message->from))
 		verdict_on_doubts(pooler, message->doubted_primaries, now);
 	refresh_on_state(pooler, message, now);
-	sync_run_services(pooler);
+	sync_dispatch_waiting(pooler);
 }
 
 static void on_state(pooler_t *pooler, const peer_message_t *message)
@@ -445,19 +445,19 @@
 		note_draining(pooler, message);
 	if (message->config_version > pooler->config_heard)
 		pooler->config_heard = message->config_version;
-	if (message->kind != PEER_RESULT)
+	if (message->kind != PEER_FORWARD_RESULT)
 		forward_on_heard(pooler, message->from);
 	switch (message->kind) {
-	case PEER_ASK:
+	case PEER_QUERY:
 		on_ask(pooler, message);
 		break;
 	case PEER_STATE:
 		on_state(pooler, message);
 		break;
-	case PEER_REQUEST:
+	case PEER_FORWARD_REQUEST:
 		job_on_request(pooler, message);
 		break;
-	case PEER_RESULT:
+	case PEER_FORWARD_RESULT:
 		forward_on_result(pooler, message);
 		break;
 	case PEER_PING:
@@ -466,16 +466,16 @@
 	case PEER_PONG:
 		on_pong(pooler, message);
 		break;
-	case PEER_STORE:
+	case PEER_STORE_REQUEST:
 		relay_on_request(pooler->relay, message);
 		break;
-	case PEER_STORED:
+	case PEER_STORE_ANSWER:
 		relay_on_answer(pooler->relay, message);
 		break;
-	case PEER_TAKE:
+	case PEER_QUOTA_REQUEST:
 		quota_on_request(pooler, message);
 		break;
-	case PEER_TAKEN:
+	case PEER_QUOTA_ANSWER:
 		quota_on_answer(pooler, message);
 		break;
 	}
--- a/pooler/follow.c
+++ b/pooler/follow.c
@@ -43,12 +43,12 @@
 
 static void go_on(follow_t *follow);
 
-const char *follow_way_text(follow_way_t way)
+const char *follow_source_text(follow_source_t way)
 {
 	static const char *const texts[] = {
-		[FOLLOW_BY_READING] = "reading",
-		[FOLLOW_BY_WATCH] = "watch",
-		[FOLLOW_BY_PEER] = "peer",
+		[FOLLOW_SOURCE_READ] = "reading",
+		[FOLLOW_SOURCE_WATCH] = "watch",
+		[FOLLOW_SOURCE_PEER] = "peer",
 	};
 
 	return texts[way];
@@ -186,7 +186,7 @@
 }
 
 /* Log the failure, and try again after the back-off. */
-static void retry_later(follow_t *follow, follow_retry_t *retry, follow_way_t way,
+static void retry_later(follow_t *follow, follow_retry_t *retry, follow_source_t way,
 			kv_status_t status, timer_cb_t on_retry)
 {
 	usec_t wait = backoff(follow, retry->failures);
@@ -194,22 +194,22 @@
 	counter_add(&failures_total, 1);
 	if (retry->failures == 0)
 		LOG_EVENT(LOG_WARN, "store lost", LOG_STR("prefix", follow->prefix),
-			  LOG_STR("call", follow_way_text(way)), LOG_INT("status", status),
+			  LOG_STR("call", follow_source_text(way)), LOG_INT("status", status),
 			  LOG_INT("retry_ms", (int64_t)(wait / USEC_PER_MSEC)));
 	else
 		LOG_EVENT(LOG_INFO, "store lost still", LOG_STR("prefix", follow->prefix),
-			  LOG_STR("call", follow_way_text(way)), LOG_INT("status", status),
+			  LOG_STR("call", follow_source_text(way)), LOG_INT("status", status),
 			  LOG_INT("failures", retry->failures),
 			  LOG_INT("retry_ms", (int64_t)(wait / USEC_PER_MSEC)));
 	retry->failures++;
 	timers_arm(follow->timers, &retry->timer, clock_now(follow->clock) + wait, on_retry);
 }
 
-static void note_success(const follow_t *follow, follow_retry_t *retry, follow_way_t way)
+static void note_success(const follow_t *follow, follow_retry_t *retry, follow_source_t way)
 {
 	if (retry->failures != 0)
 		LOG_EVENT(LOG_INFO, "store back", LOG_STR("prefix", follow->prefix),
-			  LOG_STR("call", follow_way_text(way)),
+			  LOG_STR("call", follow_source_text(way)),
 			  LOG_INT("failures", retry->failures));
 	retry->failures = 0;
 }
@@ -256,11 +256,11 @@
 
 	follow->page_in_flight = false;
 	if (result->status != KV_OK) {
-		retry_later(follow, &follow->page_retry, FOLLOW_BY_READING, result->status,
+		retry_later(follow, &follow->page_retry, FOLLOW_SOURCE_READ, result->status,
 			    on_page_retry);
 		return;
 	}
-	note_success(follow, &follow->page_retry, FOLLOW_BY_READING);
+	note_success(follow, &follow->page_retry, FOLLOW_SOURCE_READ);
 	if (!follow->reading) {
 		/* A peer has told all of it meanwhile. */
 		go_on(follow);
@@ -270,7 +270,7 @@
 	if (follow->read_revision == 0)
 		follow->read_revision = result->as_of;
 	follow->applying_page = true;
-	follow->source = FOLLOW_BY_READING;
+	follow->source = FOLLOW_SOURCE_READ;
 	for (size_t i = 0; i < result->count; i++)
 		take_item(follow, &result->items[i]);
 	follow->applying_page = false;
@@ -304,7 +304,7 @@
 /* A peer may still read for us what the watch would have told. */
 static void on_watch_failure(follow_t *follow, kv_status_t status)
 {
-	retry_later(follow, &follow->watch_retry, FOLLOW_BY_WATCH, status, on_watch_retry);
+	retry_later(follow, &follow->watch_retry, FOLLOW_SOURCE_WATCH, status, on_watch_retry);
 	if (!follow->from_peer && !follow->reading)
 		start_reading(follow);
 	go_on(follow);
@@ -327,8 +327,8 @@
 		on_watch_failure(follow, result->status);
 		return;
 	}
-	note_success(follow, &follow->watch_retry, FOLLOW_BY_WATCH);
-	follow->source = FOLLOW_BY_WATCH;
+	note_success(follow, &follow->watch_retry, FOLLOW_SOURCE_WATCH);
+	follow->source = FOLLOW_SOURCE_WATCH;
 	take_events(follow, result->items, result->count);
 	follow->revision = result->as_of;
 	advance(follow, result->as_of);
@@ -360,7 +360,7 @@
 	}
 }
 
-usec_t follow_unanswered(const follow_t *follow)
+usec_t follow_unanswered_time(const follow_t *follow)
 {
 	return follow->unanswered_since != 0 ? clock_now(follow->clock) - follow->unanswered_since
 					     : 0;
@@ -380,7 +380,7 @@
 	go_on(follow);
 }
 
-void follow_retry_now(follow_t *follow)
+void follow_retry_failed(follow_t *follow)
 {
 	if (follow->page_retry.failures != 0)
 		timers_cancel(follow->timers, &follow->page_retry.timer);
@@ -391,7 +391,7 @@
 
 /* --- peers --- */
 
-void follow_set_fed(follow_t *follow, bool fed)
+void follow_set_from_peer(follow_t *follow, bool fed)
 {
 	if (follow->from_peer == fed)
 		return;
@@ -418,8 +418,8 @@
 	}
 }
 
-follow_news_t follow_changes(const follow_t *follow, int64_t since, void *parent,
-			     follow_changes_t *changes)
+follow_changes_status_t follow_collect_changes(const follow_t *follow, int64_t since, void *parent,
+					       follow_changes_t *changes)
 {
 	bool whole = since < follow->complete_since;
 	kv_item_t *items;
@@ -428,18 +428,18 @@
 
 	/* Every question asks, and nearly none lacks anything. */
 	if (follow->complete_since == 0 || follow->as_of <= since)
-		return FOLLOW_NOTHING;
+		return FOLLOW_UP_TO_DATE;
 	items = talloc_array(parent, kv_item_t,
 			     list_length(&follow->keys) + list_length(&follow->removed));
 	list_known(&follow->keys, whole ? 0 : since, items, &count, &bytes);
 	list_known(&follow->removed, whole ? 0 : since, items, &count, &bytes);
 	if (count == 0 && !whole)
-		return FOLLOW_NOTHING;
-	if (bytes > FOLLOW_CHANGES_MOST)
-		return FOLLOW_TOO_MUCH;
+		return FOLLOW_UP_TO_DATE;
+	if (bytes > FOLLOW_CHANGES_MAX_BYTES)
+		return FOLLOW_CHANGES_TOO_LARGE;
 	*changes = (follow_changes_t){
 		.complete = whole, .as_of = follow->as_of, .items = items, .count = count};
-	return FOLLOW_CHANGED;
+	return FOLLOW_HAS_CHANGES;
 }
 
 /* --- as one text --- */
@@ -466,7 +466,7 @@
 	}
 }
 
-const char *follow_pack(follow_t *follow, int64_t since)
+const char *follow_pack_changes(follow_t *follow, int64_t since)
 {
 	bool whole = since < follow->complete_since;
 	json_t *items;
@@ -488,7 +488,7 @@
 	text = json_dumps(root, JSON_COMPACT);
 	json_decref(root);
 	talloc_free(follow->packed);
-	follow->packed = pack_text(follow->parent, text, strlen(text));
+	follow->packed = pack_compress(follow->parent, text, strlen(text));
 	follow->packed_as_of = follow->as_of;
 	follow->packed_since = since;
 	free(text);
@@ -509,11 +509,11 @@
 	return item->value != NULL || json_is_null(value);
 }
 
-bool follow_open(follow_t *follow, const char *text)
+bool follow_apply_packed(follow_t *follow, const char *text)
 {
 	void *parent = talloc_new(NULL);
 	size_t len;
-	const char *plain = pack_open(parent, text, strlen(text), &len);
+	const char *plain = pack_decompress(parent, text, strlen(text), &len);
 	json_t *root = plain != NULL ? json_loadb(plain, len, JSON_ALLOW_NUL, NULL) : NULL;
 	json_t *list = json_object_get(root, "items");
 	kv_item_t *items = talloc_array(parent, kv_item_t, json_array_size(list));
@@ -527,7 +527,7 @@
 	for (size_t i = 0; ok && i < json_array_size(list); i++)
 		ok = decode_item(json_array_get(list, i), &items[changes.count++]);
 	if (ok)
-		follow_take(follow, &changes);
+		follow_apply_changes(follow, &changes);
 	else
 		LOG_EVENT(LOG_ERR, "directory told by a peer can't be read",
 			  LOG_STR("prefix", follow->prefix), LOG_INT("bytes", (int64_t)len));
@@ -551,11 +551,11 @@
  * Also while this follower reads the store itself, which may take long when the store does not
  * answer; it would be told everything with each answer until then.
  */
-void follow_take(follow_t *follow, const follow_changes_t *changes)
+void follow_apply_changes(follow_t *follow, const follow_changes_t *changes)
 {
 	if (changes->as_of <= follow->as_of)
 		return;
-	follow->source = FOLLOW_BY_PEER;
+	follow->source = FOLLOW_SOURCE_PEER;
 	if (changes->complete)
 		take_whole(follow, changes);
 	else
@@ -577,7 +577,7 @@
 	go_on(follow);
 }
 
-void follow_release(follow_t *follow)
+void follow_start_deferred(follow_t *follow)
 {
 	if (!follow->read_deferred)
 		return;
--- a/pooler/follow.h
+++ b/pooler/follow.h
@@ -17,17 +17,17 @@
  * by its silence long before its entry tells of it, and a leaving one is left alone within some
  * seconds.
  */
-#define FOLLOW_GATHER (250 * USEC_PER_MSEC)
+#define FOLLOW_COALESCE_TIME (250 * USEC_PER_MSEC)
 
 /* Values told to a peer at a time; what is more is told as one packed text, or read by everybody.
  */
-#define FOLLOW_CHANGES_MOST (24 * 1024)
+#define FOLLOW_CHANGES_MAX_BYTES (24 * 1024)
 
 /* How a follower learnt of a change. */
-typedef enum { FOLLOW_BY_READING, FOLLOW_BY_WATCH, FOLLOW_BY_PEER } follow_way_t;
+typedef enum { FOLLOW_SOURCE_READ, FOLLOW_SOURCE_WATCH, FOLLOW_SOURCE_PEER } follow_source_t;
 
 /* For logs: "reading". */
-const char *follow_way_text(follow_way_t way);
+const char *follow_source_text(follow_source_t way);
 
 /* Failed calls of one kind in a row, and the next try. */
 typedef struct follow_retry {
@@ -50,21 +50,21 @@
 	const run_clock_t *clock;
 	timer_set_t *timers;
 	const char *prefix;
-	bool read_deferred;   /* the first reading waits for follow_release(), or for a peer */
-	usec_t coalesce_time; /* 0, or FOLLOW_GATHER */
+	bool read_deferred; /* the first reading waits for follow_start_deferred(), or for a peer */
+	usec_t coalesce_time; /* 0, or FOLLOW_COALESCE_TIME */
 	void *parent;	      /* of what it keeps */
 	uint64_t random_state;
 	list_t keys; /* of those told as there */
 	struct known *by_key;
-	int64_t revision;	/* watched from here on; 0: has to be read first */
-	list_t removed;		/* keys that were told as gone of late, for follow_changes() */
-	int64_t as_of;		/* the newest revision of which a peer can be told */
+	int64_t revision; /* watched from here on; 0: has to be read first */
+	list_t removed;	  /* keys that were told as gone of late, for follow_collect_changes() */
+	int64_t as_of;	  /* the newest revision of which a peer can be told */
 	int64_t complete_since; /* everything since that revision is known; 0: nothing is */
-	char *packed;		/* by follow_pack() */
+	char *packed;		/* by follow_pack_changes() */
 	int64_t packed_as_of;	/* told, as it was then */
 	int64_t packed_since;
-	bool from_peer;	     /* a peer tells what changes; the store is not watched */
-	follow_way_t source; /* of the change that is being told */
+	bool from_peer;		/* a peer tells what changes; the store is not watched */
+	follow_source_t source; /* of the change that is being told */
 	/* A whole reading, which can go on beside a watch. */
 	bool reading;
 	bool page_in_flight;
@@ -87,13 +87,13 @@
 void follow_refresh(follow_t *follow);
 
 /* Try again at once what failed: the store answers again. */
-void follow_retry_now(follow_t *follow);
+void follow_retry_failed(follow_t *follow);
 
 /*
- * Whether a peer tells what changes, by follow_take(). A watch that is waiting goes on until it
- * ends.
+ * Whether a peer tells what changes, by follow_apply_changes(). A watch that is waiting goes on
+ * until it ends.
  */
-void follow_set_fed(follow_t *follow, bool fed);
+void follow_set_from_peer(follow_t *follow, bool fed);
 
 /* What a follower that was told everything up to since lacks. */
 typedef struct follow_changes {
@@ -104,31 +104,31 @@
 } follow_changes_t;
 
 typedef enum {
-	FOLLOW_NOTHING,	 /* the receiver lacks nothing */
-	FOLLOW_CHANGED,	 /* changes says what it lacks */
-	FOLLOW_TOO_MUCH, /* it lacks more than FOLLOW_CHANGES_MOST bytes */
-} follow_news_t;
+	FOLLOW_UP_TO_DATE,	  /* the receiver lacks nothing */
+	FOLLOW_HAS_CHANGES,	  /* changes says what it lacks */
+	FOLLOW_CHANGES_TOO_LARGE, /* it lacks more than FOLLOW_CHANGES_MAX_BYTES bytes */
+} follow_changes_status_t;
 
 /* The items are children of parent, their values belong to follow. */
-follow_news_t follow_changes(const follow_t *follow, int64_t since, void *parent,
-			     follow_changes_t *changes);
+follow_changes_status_t follow_collect_changes(const follow_t *follow, int64_t since, void *parent,
+					       follow_changes_t *changes);
 
 /*
  * What a follower that was told everything up to since lacks, packed as one text, of which a fleet
  * is told the same; it is kept. NULL if nothing is known.
  */
-const char *follow_pack(follow_t *follow, int64_t since);
+const char *follow_pack_changes(follow_t *follow, int64_t since);
 
 /* For how long a reading has been under way without an answer or news of a peer; 0: none is. */
-usec_t follow_unanswered(const follow_t *follow);
+usec_t follow_unanswered_time(const follow_t *follow);
 
 /* The same from a peer. False if the text is none. */
-bool follow_open(follow_t *follow, const char *text);
+bool follow_apply_packed(follow_t *follow, const char *text);
 
 /* The first reading, if it was held and nobody has told anything yet. */
-void follow_release(follow_t *follow);
+void follow_start_deferred(follow_t *follow);
 
 /* From a peer. */
-void follow_take(follow_t *follow, const follow_changes_t *changes);
+void follow_apply_changes(follow_t *follow, const follow_changes_t *changes);
 
 void follow_stop(follow_t *follow);
--- a/pooler/forward.c
+++ b/pooler/forward.c
@@ -54,11 +54,11 @@
 		.begins_transaction = !caller->tx_ran,
 		.read_only = caller->tx_read_only,
 	};
-	peer_message_t message = {.kind = PEER_REQUEST, .request = &request};
+	peer_message_t message = {.kind = PEER_FORWARD_REQUEST, .request = &request};
 
 	if (caller->exec != NULL)
 		request.shape = slice_of(caller->exec->shape, strlen(caller->exec->shape));
-	exchange_fill(pooler, &message);
+	exchange_fill_sender(pooler, &message);
 	return pooler->env->ops->peer_send(pooler->env, helper->name, helper->address, &message);
 }
 
@@ -113,7 +113,7 @@
 bool forward_go_on(caller_t *caller, usec_t now)
 {
 	const pooler_t *pooler = caller->pooler;
-	const roster_node_t *helper = roster_node(pooler->sync.roster, caller->helper);
+	const roster_node_t *helper = roster_find_node(pooler->sync.roster, caller->helper);
 
 	if (helper == NULL || helper->gone || home_is_suspect(pooler, caller->helper, now))
 		return false;
@@ -131,7 +131,7 @@
 
 	if (caller->remote == 0)
 		return;
-	helper = roster_node(caller->pooler->sync.roster, caller->helper);
+	helper = roster_find_node(caller->pooler->sync.roster, caller->helper);
 	/* If this is lost, the transaction ends by the limit for idle ones. */
 	if (helper != NULL)
 		send_request(caller, helper, &rollback, now_of(caller->pooler));
@@ -175,7 +175,7 @@
 
 void forward_on_heard(pooler_t *pooler, const char *peer)
 {
-	const peer_report_t *report = exchange_report(pooler, peer);
+	const peer_report_t *report = exchange_find_report(pooler, peer);
 
 	if (report != NULL && report->unanswered_since != 0)
 		home_on_heard(pooler, peer, count_at(pooler, peer), now_of(pooler));
--- a/pooler/hangup.c
+++ b/pooler/hangup.c
@@ -30,9 +30,9 @@
 
 static const char *const outcomes[] = {
 	[CLOSE_DONE] = "closed",
-	[CLOSE_UNREAD] = "unread",
-	[CLOSE_PART] = "part_of_a_statement",
-	[CLOSE_UNSENT] = "unsent",
+	[CLOSE_INPUT_UNREAD] = "unread",
+	[CLOSE_INPUT_PARTIAL] = "part_of_a_statement",
+	[CLOSE_OUTPUT_UNSENT] = "unsent",
 };
 
 COUNTER_GRID_DEFINE(ended_total, "caller_sessions_ended_total", "reason", reasons, "outcome",
@@ -43,7 +43,7 @@
 {
 	counter_grid_add(&ended_total, reason, result);
 	/* Behind each answer of a shutdown: it is closed as soon as the answer has left. */
-	if (result == CLOSE_UNSENT)
+	if (result == CLOSE_OUTPUT_UNSENT)
 		return;
 	LOG_EVENT(LOG_INFO, "session ends", LOG_STR("reason", reasons[reason]),
 		  LOG_STR("outcome", outcomes[result]), LOG_STR("database", caller->database),
@@ -84,12 +84,13 @@
 	env_t *env = caller->pooler->env;
 	close_result_t result = env->ops->caller_close(env, caller->link);
 
-	if (result == CLOSE_UNREAD ||
-	    (result == CLOSE_UNSENT && now_of(caller->pooler) < caller->idle_since + ANSWER_LEAVES))
+	if (result == CLOSE_INPUT_UNREAD ||
+	    (result == CLOSE_OUTPUT_UNSENT &&
+	     now_of(caller->pooler) < caller->idle_since + ANSWER_LEAVES))
 		return false;
 	if (result != CLOSE_DONE)
 		env->ops->caller_abort(env, caller->link);
-	report(caller, result == CLOSE_UNSENT ? END_NOT_READING : END_SHUTDOWN, CLOSE_DONE);
+	report(caller, result == CLOSE_OUTPUT_UNSENT ? END_NOT_READING : END_SHUTDOWN, CLOSE_DONE);
 	caller_on_gone(caller);
 	return true;
 }
--- a/pooler/hold.c
+++ b/pooler/hold.c
@@ -104,7 +104,7 @@
 	sync->leading_since = now;
 	sync->renew_next = now;
 	counter_set(&duty_held, 1);
-	sync_set_holder(pooler, pooler->config.name, pooler->config.address, fence);
+	sync_set_leader(pooler, pooler->config.name, pooler->config.address, fence);
 	push_fleet(pooler);
 }
 
@@ -123,7 +123,7 @@
 	}
 	sync->acquire_not_before = now + ACQUIRE_BACKOFF;
 	/* Unanswered, it may have been won: the next read shows whose key is there. */
-	if (result->status != KV_LOST)
+	if (result->status != KV_OUTCOME_UNKNOWN)
 		end_lease(pooler);
 }
 
@@ -154,7 +154,7 @@
 	}
 	sync->lease = result->lease;
 	sync->lease_era = result->era;
-	key = sync_key(NULL, pooler, "holder");
+	key = sync_make_key(NULL, pooler, "holder");
 	value = talloc_asprintf(
 		key, "{\"name\":\"%s\",\"address\":\"%s\",\"incarnation\":%" PRIu64 "}",
 		pooler->config.name, pooler->config.address, pooler->config.incarnation);
@@ -183,7 +183,7 @@
 
 static bool is_stronger_listed(const pooler_t *pooler)
 {
-	const roster_node_t *self = roster_node(pooler->sync.roster, pooler->config.name);
+	const roster_node_t *self = roster_find_node(pooler->sync.roster, pooler->config.name);
 
 	list_for_each (it, &pooler->sync.roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
@@ -202,11 +202,11 @@
 		      now < sync->last_read_at + VACANT_BELIEVED;
 
 	if (!vacant || sync->acquiring || sync->leading || pooler->draining ||
-	    (!permit_is_registered(pooler) && !restore_is_due(pooler)))
+	    (!permit_is_registered(pooler) && !restore_is_pending(pooler)))
 		return;
 	if (sync->acquire_not_before < sync->last_read_at) {
 		sync->acquire_not_before = now + pooler_random(pooler, ACQUIRE_JITTER);
-		if (is_stronger_listed(pooler) || restore_yields(pooler))
+		if (is_stronger_listed(pooler) || restore_must_yield(pooler))
 			sync->acquire_not_before += WEAKER_WAITS;
 		return;
 	}
@@ -230,8 +230,9 @@
 	sync->renewing = false;
 	if (sync->leading && sync->lease == renewal->lease) {
 		if (result->status == KV_OK) {
-			/* While it is held nobody else changes a group; see sync_commit(). */
-			sync_confirm(pooler, renewal->sent_at);
+			/* While it is held nobody else changes a group; see sync_commit_roster().
+			 */
+			sync_confirm_roster(pooler, renewal->sent_at);
 			sync->lease_until = renewal->sent_at + duty_ttl(pooler) - DUTY_MARGIN;
 			sync->renew_next = now + RENEW_INTERVAL;
 		} else if (result->status == KV_NOT_FOUND) {
@@ -240,7 +241,8 @@
 			sync->roster_maybe_stale = true;
 			hold_lose(pooler, "the lease ended");
 		} else {
-			sync->renew_next = result->status == KV_LOST ? now : now + RENEW_RETRY;
+			sync->renew_next =
+				result->status == KV_OUTCOME_UNKNOWN ? now : now + RENEW_RETRY;
 		}
 	}
 	talloc_free(renewal);
--- a/pooler/home.c
+++ b/pooler/home.c
@@ -180,7 +180,7 @@
 /* Ask a peer whether it lives, if it was not just asked; without an answer it is suspect. */
 static void ping(pooler_t *pooler, const char *name, usec_t now, usec_t interval)
 {
-	const roster_node_t *node = roster_node(pooler->sync.roster, name);
+	const roster_node_t *node = roster_find_node(pooler->sync.roster, name);
 	peer_report_t *report;
 
 	if (node == NULL || strcmp(name, pooler->config.name) == 0)
@@ -190,7 +190,7 @@
 	if (now < report->pinged_at + interval)
 		return;
 	report->pinged_at = now;
-	exchange_ping(pooler, node);
+	exchange_send_ping(pooler, node);
 }
 
 static const homes_t *homes_of(service_t *service)
@@ -219,14 +219,14 @@
 		return true;
 	homes = homes_of(service);
 	name = homes->len != 0 ? homes->names[0] : NULL;
-	node = name != NULL ? roster_node(pooler->sync.roster, name) : NULL;
+	node = name != NULL ? roster_find_node(pooler->sync.roster, name) : NULL;
 	if (node == NULL || strcmp(name, pooler->config.name) == 0)
 		return true;
 	report = exchange_get_report(pooler, name);
 	if (!report->ping_answered && *links > 0 && now >= report->pinged_at + PING_INTERVAL_MOST) {
 		(*links)--;
 		/* The first only makes our link; the one that gets there makes theirs. */
-		if (exchange_ping(pooler, node))
+		if (exchange_send_ping(pooler, node))
 			report->pinged_at = now;
 		else
 			report->pinged_at = now + PING_INTERVAL - PING_INTERVAL_MOST;
@@ -285,14 +285,14 @@
  */
 static bool is_leaving(const pooler_t *pooler, const peer_report_t *report)
 {
-	const roster_node_t *node = roster_node(pooler->sync.roster, report->name);
+	const roster_node_t *node = roster_find_node(pooler->sync.roster, report->name);
 
 	return node == NULL || node->incarnation <= report->drained_incarnation;
 }
 
 static bool is_usable(const pooler_t *pooler, const char *name, usec_t now)
 {
-	const peer_report_t *report = exchange_report(pooler, name);
+	const peer_report_t *report = exchange_find_report(pooler, name);
 
 	return report == NULL ||
 	       (now >= report->declined_until && !home_is_suspect(pooler, name, now) &&
@@ -307,7 +307,7 @@
 	for (size_t i = 0; i < homes->len; i++) {
 		if (strcmp(homes->names[i], pooler->config.name) == 0 ||
 		    is_usable(pooler, homes->names[i], now))
-			return roster_node(pooler->sync.roster, homes->names[i]);
+			return roster_find_node(pooler->sync.roster, homes->names[i]);
 	}
 	return NULL;
 }
@@ -352,7 +352,7 @@
 
 bool home_is_suspect(const pooler_t *pooler, const char *name, usec_t now)
 {
-	const peer_report_t *report = exchange_report(pooler, name);
+	const peer_report_t *report = exchange_find_report(pooler, name);
 
 	return report != NULL && report->unanswered_since != 0 &&
 	       now >= report->unanswered_since + SUSPECT_AFTER &&
@@ -423,7 +423,7 @@
 		if (now < report->unanswered_since + PING_AFTER)
 			continue;
 		suspect(pooler, report, now);
-		node = roster_node(pooler->sync.roster, report->name);
+		node = roster_find_node(pooler->sync.roster, report->name);
 		if (node == NULL || node->gone)
 			report->unanswered_since = 0;
 		else
--- a/pooler/job.c
+++ b/pooler/job.c
@@ -174,7 +174,7 @@
 static bool is_abandoned(const caller_t *caller)
 {
 	const job_t *job = caller->job;
-	const roster_node_t *node = roster_node(caller->pooler->sync.roster, job->from);
+	const roster_node_t *node = roster_find_node(caller->pooler->sync.roster, job->from);
 
 	return job->session != 0 &&
 	       (node == NULL || node->gone || node->incarnation > job->incarnation);
--- a/pooler/join.c
+++ b/pooler/join.c
@@ -72,7 +72,7 @@
 
 static bool is_on(const roster_t *roster, const joiner_t *joiner)
 {
-	const roster_node_t *node = roster_node(roster, joiner->name);
+	const roster_node_t *node = roster_find_node(roster, joiner->name);
 
 	return node != NULL && !node->gone && node->incarnation >= joiner->incarnation;
 }
@@ -114,7 +114,7 @@
 		if (!is_on(roster, joiner))
 			continue;
 		/* Without a link to it yet, once more with the next tick. */
-		if (joiner->told && !exchange_tell(pooler, joiner->name, joiner->address))
+		if (joiner->told && !exchange_send_state(pooler, joiner->name, joiner->address))
 			continue;
 		counter_add(&added_total, 1);
 		forget(sync, joiner);
@@ -146,7 +146,7 @@
  */
 static void outgrow_last_life(pooler_t *pooler)
 {
-	const roster_node_t *entry = roster_node(pooler->sync.roster, pooler->config.name);
+	const roster_node_t *entry = roster_find_node(pooler->sync.roster, pooler->config.name);
 
 	if (entry != NULL && entry->incarnation > pooler->config.incarnation)
 		pooler->config.incarnation = entry->incarnation + 1;
@@ -167,7 +167,7 @@
 			pooler->config.incarnation)
 		->capacity = pooler->config.capacity;
 	put_joiners(pooler, roster);
-	sync_commit(pooler, roster, on_registered, pooler);
+	sync_commit_roster(pooler, roster, on_registered, pooler);
 	talloc_free(roster);
 }
 
@@ -184,7 +184,7 @@
 
 	if (!sync->join_conflict || !is_other(pooler, sync->roster->writer))
 		return NULL;
-	writer = roster_node(sync->roster, sync->roster->writer);
+	writer = roster_find_node(sync->roster, sync->roster->writer);
 	return writer != NULL && !writer->gone ? writer : NULL;
 }
 
@@ -233,7 +233,7 @@
 		return false;
 	outgrow_last_life(pooler);
 	/* The first message makes the link; it is tried again with the next tick. */
-	if (!ask_peer(pooler, name, address) && now < sync->join_started_at + LINK_WITHIN)
+	if (!ask_send_query(pooler, name, address) && now < sync->join_started_at + LINK_WITHIN)
 		return true;
 	sync->join_requested = true;
 	sync->join_conflict = false;
@@ -269,7 +269,7 @@
 
 	if (!sync->join_requested || !goes_by_hubs(pooler) || sync->join_requests >= ADDERS_ASKED)
 		return;
-	upstream_avoid(pooler, sync->join_target, now);
+	upstream_avoid_hub(pooler, sync->join_target, now);
 	sync->join_requested = false;
 	sync->join_started_at = now;
 }
@@ -280,7 +280,7 @@
 	sync_t *sync = &pooler->sync;
 
 	if (sync->registering || sync->reading || sync->confirmed_at == USEC_NEVER ||
-	    restore_is_due(pooler) || pooler->draining || permit_is_registered(pooler) ||
+	    restore_is_pending(pooler) || pooler->draining || permit_is_registered(pooler) ||
 	    is_being_added(pooler, now))
 		return;
 	if (sync->join_started_at == 0)
@@ -307,7 +307,7 @@
 static bool put_joiner(pooler_t *pooler, const peer_message_t *message, bool told)
 {
 	sync_t *sync = &pooler->sync;
-	const roster_node_t *node = roster_node(pooler->sync.roster, message->from);
+	const roster_node_t *node = roster_find_node(pooler->sync.roster, message->from);
 	joiner_t *joiner;
 
 	if (pooler->draining || message->zone == NULL ||
@@ -336,7 +336,7 @@
 	const sync_t *sync = &pooler->sync;
 
 	return goes_by_hubs(pooler) && !hold_is_ours(pooler, now) &&
-	       is_other(pooler, sync->leader) && now < sync->leader_seen_at + HOLDER_SILENT;
+	       is_other(pooler, sync->leader) && now < sync->leader_seen_at + LEADER_SILENT_AFTER;
 }
 
 /*
@@ -349,12 +349,12 @@
 	return pooler->sync.joiner_count >= DIRECT_FLEET;
 }
 
-bool join_answers(const pooler_t *pooler, const char *name)
+bool join_can_answer(const pooler_t *pooler, const char *name)
 {
-	return !is_crowded(pooler) || roster_node(pooler->sync.roster, name) != NULL;
+	return !is_crowded(pooler) || roster_find_node(pooler->sync.roster, name) != NULL;
 }
 
-void join_on_ask(pooler_t *pooler, const peer_message_t *message)
+void join_on_query(pooler_t *pooler, const peer_message_t *message)
 {
 	usec_t now = now_of(pooler);
 
@@ -380,12 +380,12 @@
 		join_run(pooler, now_of(pooler));
 }
 
-size_t join_count(const pooler_t *pooler)
+size_t join_pending_count(const pooler_t *pooler)
 {
 	return pooler->sync.joiner_count;
 }
 
-size_t join_describe(const pooler_t *pooler, peer_message_t *reports)
+size_t join_fill_reports(const pooler_t *pooler, peer_message_t *reports)
 {
 	size_t count = 0;
 
@@ -443,7 +443,7 @@
 	roster_t *roster;
 
 	if (sync->adding_joiners || list_empty(&sync->joiners) || !permit_is_registered(pooler) ||
-	    restore_is_due(pooler))
+	    restore_is_pending(pooler))
 		return;
 	if (passes_on(pooler, now)) {
 		tell_added(pooler);
@@ -456,7 +456,7 @@
 		return;
 	}
 	sync->adding_joiners = true;
-	sync_commit(pooler, roster, on_added, pooler);
+	sync_commit_roster(pooler, roster, on_added, pooler);
 	talloc_free(roster);
 }
 
--- a/pooler/kv.h
+++ b/pooler/kv.h
@@ -24,13 +24,13 @@
 }
 
 /* The store's own number of a revision. */
-static inline int64_t kv_number(int64_t revision)
+static inline int64_t kv_revision_in_era(int64_t revision)
 {
 	return revision & (((int64_t)1 << KV_ERA_SHIFT) - 1);
 }
 
 /* 0, which stands for none, is 0 in every era. */
-static inline int64_t kv_in_era(int64_t era, int64_t number)
+static inline int64_t kv_make_revision(int64_t era, int64_t number)
 {
 	return number != 0 ? (era << KV_ERA_SHIFT) | number : 0;
 }
@@ -48,10 +48,10 @@
 	KV_OK,
 	/* A condition did not hold; nothing was done. May bring what its keys hold instead. */
 	KV_CONFLICT,
-	KV_NOT_FOUND, /* no such lease */
-	KV_COMPACTED, /* the history that a watch asked for is gone */
-	KV_REFUSED,   /* turned away; nothing was done */
-	KV_LOST,      /* no answer: it may have been done, or be done later */
+	KV_NOT_FOUND,	    /* no such lease */
+	KV_COMPACTED,	    /* the history that a watch asked for is gone */
+	KV_REFUSED,	    /* turned away; nothing was done */
+	KV_OUTCOME_UNKNOWN, /* no answer: it may have been done, or be done later */
 } kv_status_t;
 
 typedef struct kv_result {
--- a/pooler/outbox.c
+++ b/pooler/outbox.c
@@ -46,14 +46,14 @@
 {
 	const pooler_t *pooler = outbox->pooler;
 
-	exchange_fill(pooler, message);
+	exchange_fill_sender(pooler, message);
 	return pooler->env->ops->peer_send(pooler->env, to, address, message);
 }
 
 static bool send_result(const outbox_t *outbox, const char *to, const char *address,
 			const forward_result_t *result)
 {
-	peer_message_t message = {.kind = PEER_RESULT, .result = result};
+	peer_message_t message = {.kind = PEER_FORWARD_RESULT, .result = result};
 
 	return send_now(outbox, to, address, &message);
 }
@@ -61,7 +61,7 @@
 static bool send_answer(const outbox_t *outbox, const char *to, const char *address,
 			const quota_answer_t *answer)
 {
-	peer_message_t message = {.kind = PEER_TAKEN, .quota_answer = answer};
+	peer_message_t message = {.kind = PEER_QUOTA_ANSWER, .quota_answer = answer};
 
 	return send_now(outbox, to, address, &message);
 }
--- a/pooler/pack.c
+++ b/pooler/pack.c
@@ -20,7 +20,7 @@
 #define BASE64	sodium_base64_VARIANT_ORIGINAL
 #define LEN_MAX 24
 
-char *pack_text(void *parent, const char *text, size_t len)
+char *pack_compress(void *parent, const char *text, size_t len)
 {
 	uLongf packed_len = compressBound(len);
 	unsigned char *packed;
@@ -28,7 +28,7 @@
 	char *out;
 	int head;
 
-	if (len < PACK_LEAST)
+	if (len < PACK_MIN_BYTES)
 		return talloc_strndup(parent, text, len);
 	packed = talloc_size(NULL, packed_len);
 	/* The fastest level: one proxy packs what many read, and may have an eighth of a core. */
@@ -58,14 +58,14 @@
 	*plain_len = strtoull(text + strlen(HEAD), NULL, 10);
 	rest = len - (size_t)(blank + 1 - text);
 	packed = talloc_size(NULL, rest + 1);
-	if (*plain_len <= PACK_MOST &&
+	if (*plain_len <= PACK_MAX_BYTES &&
 	    sodium_base642bin(packed, rest, blank + 1, rest, NULL, packed_len, NULL, BASE64) == 0)
 		return packed;
 	talloc_free(packed);
 	return NULL;
 }
 
-const char *pack_open(void *parent, const char *text, size_t len, size_t *out_len)
+const char *pack_decompress(void *parent, const char *text, size_t len, size_t *out_len)
 {
 	size_t packed_len;
 	size_t plain_len;
--- a/pooler/permit.c
+++ b/pooler/permit.c
@@ -10,7 +10,7 @@
 
 bool permit_is_registered(const pooler_t *pooler)
 {
-	const roster_node_t *self = roster_node(pooler->sync.roster, pooler->config.name);
+	const roster_node_t *self = roster_find_node(pooler->sync.roster, pooler->config.name);
 
 	return self != NULL && !self->gone && self->incarnation == pooler->config.incarnation;
 }
@@ -32,7 +32,7 @@
 
 	list_for_each (it, &sync->roster->nodes) {
 		const peer_report_t *report =
-			exchange_report(pooler, list_entry(it, roster_node_t, node)->name);
+			exchange_find_report(pooler, list_entry(it, roster_node_t, node)->name);
 
 		if (report != NULL && report->agreed_at != 0)
 			times[count++] = report->agreed_at;
@@ -110,7 +110,7 @@
 
 	list_for_each (it, &pooler->sync.roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
-		const peer_report_t *report = exchange_report(pooler, node->name);
+		const peer_report_t *report = exchange_find_report(pooler, node->name);
 
 		if (holds(node, report, revision) && report->fleet_size > (int64_t)fleet)
 			fleet = (size_t)report->fleet_size;
@@ -124,7 +124,7 @@
 
 	list_for_each (it, &pooler->sync.roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
-		const peer_report_t *report = exchange_report(pooler, node->name);
+		const peer_report_t *report = exchange_find_report(pooler, node->name);
 
 		if (strcmp(node->name, pooler->config.name) == 0)
 			continue;
--- a/pooler/push.c
+++ b/pooler/push.c
@@ -18,18 +18,18 @@
 static void push_to(pooler_t *pooler, const roster_node_t *peer, void *data)
 {
 	(void)data;
-	exchange_tell(pooler, peer->name, peer->address);
+	exchange_send_state(pooler, peer->name, peer->address);
 }
 
 static void tell_listeners(pooler_t *pooler)
 {
-	upstream_each_listener(pooler, now_of(pooler), push_to, NULL);
+	upstream_for_each_downstream(pooler, now_of(pooler), push_to, NULL);
 }
 
 static void tell_all(pooler_t *pooler)
 {
-	if (upstream_applies(pooler)) {
-		upstream_each_hub(pooler, push_to, NULL);
+	if (upstream_uses_hubs(pooler)) {
+		upstream_for_each_hub(pooler, push_to, NULL);
 		tell_listeners(pooler);
 		return;
 	}
@@ -37,7 +37,7 @@
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
 
 		if (strcmp(node->name, pooler->config.name) != 0)
-			exchange_tell(pooler, node->name, node->address);
+			exchange_send_state(pooler, node->name, node->address);
 	}
 }
 
@@ -45,19 +45,19 @@
 {
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
-	push_t wanted = sync->push_pending;
+	push_scope_t wanted = sync->push_pending;
 
 	if (wanted == PUSH_NONE || now < sync->push_next)
 		return;
 	sync->push_pending = PUSH_NONE;
-	sync->push_next = now + push_spacing(pooler);
+	sync->push_next = now + push_interval(pooler);
 	if (wanted == PUSH_ALL)
 		tell_all(pooler);
 	else
 		tell_listeners(pooler);
 }
 
-usec_t push_spacing(const pooler_t *pooler)
+usec_t push_interval(const pooler_t *pooler)
 {
 	usec_t spacing = pooler->sync.proxy_count * SPACING_EACH;
 
@@ -70,10 +70,10 @@
 	push_now(pooler);
 }
 
-void push_listeners(pooler_t *pooler)
+void push_downstream(pooler_t *pooler)
 {
 	if (pooler->sync.push_pending == PUSH_NONE)
-		pooler->sync.push_pending = PUSH_LISTENERS;
+		pooler->sync.push_pending = PUSH_DOWNSTREAM;
 	push_now(pooler);
 }
 
@@ -84,14 +84,14 @@
 
 	if (!sync->config_push_pending ||
 	    (sync->config_pushed_at != 0 &&
-	     now < sync->config_pushed_at + refresh_config_spacing(pooler)))
+	     now < sync->config_pushed_at + refresh_config_interval(pooler)))
 		return;
 	sync->config_push_pending = false;
 	sync->config_pushed_at = now;
 	if (hold_is_ours(pooler, now))
 		push_fleet(pooler);
 	else if (upstream_is_hub(pooler))
-		push_listeners(pooler);
+		push_downstream(pooler);
 }
 
 void push_tick(pooler_t *pooler, usec_t now)
--- a/pooler/push.h
+++ b/pooler/push.h
@@ -9,10 +9,10 @@
 void push_fleet(pooler_t *pooler);
 
 /* Those only that ask this proxy. */
-void push_listeners(pooler_t *pooler);
+void push_downstream(pooler_t *pooler);
 
 /* Between two pushes to a large fleet; 0: none. */
-usec_t push_spacing(const pooler_t *pooler);
+usec_t push_interval(const pooler_t *pooler);
 
 /* What waited for that, and a new configuration. */
 void push_tick(pooler_t *pooler, usec_t now);
--- a/pooler/quota.c
+++ b/pooler/quota.c
@@ -218,14 +218,15 @@
 	quota_t *quota = allowance->quota;
 	pooler_t *pooler = quota->pooler;
 	const char *name = keeper_of(allowance, seat);
-	const roster_node_t *keeper = name != NULL ? roster_node(pooler->sync.roster, name) : NULL;
+	const roster_node_t *keeper =
+		name != NULL ? roster_find_node(pooler->sync.roster, name) : NULL;
 	quota_request_t request = {
 		.number = pooler_next_number(quota->pooler),
 		.customer = allowance->customer,
 		.shard = seat,
 		.wanted = (unsigned)list_length(&allowance->waiting),
 	};
-	peer_message_t message = {.kind = PEER_TAKE, .quota_request = &request};
+	peer_message_t message = {.kind = PEER_QUOTA_REQUEST, .quota_request = &request};
 	quota_answer_t answer;
 
 	if (keeper == NULL)
@@ -235,12 +236,12 @@
 	allowance->question = request.number;
 	if (strcmp(name, pooler->config.name) == 0) {
 		answer = seats_take(quota->seats, &request, now);
-		message.kind = PEER_TAKEN;
+		message.kind = PEER_QUOTA_ANSWER;
 		message.quota_answer = &answer;
 		quota_on_answer(pooler, &message);
 		return true;
 	}
-	exchange_fill(pooler, &message);
+	exchange_fill_sender(pooler, &message);
 	/* Found to be silent by all customers' questions together, and asked whether it lives. */
 	home_on_sent(pooler, keeper->name, now);
 	if (!pooler->env->ops->peer_send(pooler->env, keeper->name, keeper->address, &message)) {
@@ -263,7 +264,7 @@
 {
 	const pooler_t *pooler = allowance->quota->pooler;
 	const char *name = keeper_of(allowance, seat);
-	const peer_report_t *report = name != NULL ? exchange_report(pooler, name) : NULL;
+	const peer_report_t *report = name != NULL ? exchange_find_report(pooler, name) : NULL;
 
 	return report != NULL && (now < report->shard_owner_avoided_until ||
 				  home_is_suspect(pooler, report->name, now));
--- a/pooler/refresh.c
+++ b/pooler/refresh.c
@@ -105,8 +105,8 @@
 
 	if (pooler->config_follow == NULL)
 		return 0;
-	config = follow_unanswered(pooler->config_follow);
-	members = follow_unanswered(pooler->members_follow);
+	config = follow_unanswered_time(pooler->config_follow);
+	members = follow_unanswered_time(pooler->members_follow);
 	age = config > members ? config : members;
 	return age > READING_USUAL ? age : 0;
 }
@@ -122,7 +122,7 @@
 
 static usec_t stale_after(pooler_t *pooler)
 {
-	unsigned percent = upstream_applies(pooler) && !upstream_is_hub(pooler)
+	unsigned percent = upstream_uses_hubs(pooler) && !upstream_is_hub(pooler)
 				   ? STALE_BELOW_PERCENT
 				   : STALE_PERCENT;
 
@@ -137,7 +137,7 @@
 	if (sync->leading)
 		return false;
 	if (pooler->config_follow == NULL)
-		return sync->leader != NULL && now < sync->leader_seen_at + HOLDER_SILENT;
+		return sync->leader != NULL && now < sync->leader_seen_at + LEADER_SILENT_AFTER;
 	return pooler->members_follow->read_deferred || now < pooler->started + START_GRACE ||
 	       directory_age(pooler, now) < stale_after(pooler);
 }
@@ -148,8 +148,8 @@
 
 	if (pooler->config_follow == NULL || pooler->config_follow->from_peer == fed)
 		return;
-	follow_set_fed(pooler->config_follow, fed);
-	follow_set_fed(pooler->members_follow, fed);
+	follow_set_from_peer(pooler->config_follow, fed);
+	follow_set_from_peer(pooler->members_follow, fed);
 	LOG_EVENT(
 		LOG_INFO, fed ? "directory told by a peer" : "directory read from the store",
 		LOG_INT("holding", sync->leading),
@@ -170,7 +170,7 @@
 	if (sync->last_read_at == 0)
 		return now < pooler->started + START_GRACE;
 	/* Of an earlier life: the size of the fleet is known. */
-	if (!large && roster_node(sync->roster, pooler->config.name) != NULL)
+	if (!large && roster_find_node(sync->roster, pooler->config.name) != NULL)
 		return false;
 	if (now >= pooler->started + TOLD_WITHIN)
 		return false;
@@ -180,11 +180,11 @@
 
 static void release(pooler_t *pooler)
 {
-	follow_release(pooler->config_follow);
-	follow_release(pooler->members_follow);
+	follow_start_deferred(pooler->config_follow);
+	follow_start_deferred(pooler->members_follow);
 }
 
-void refresh_begin(pooler_t *pooler, usec_t now)
+void refresh_start_reading(pooler_t *pooler, usec_t now)
 {
 	if (pooler->config_follow != NULL && pooler->members_follow->read_deferred &&
 	    !waits_to_be_told(pooler, now))
@@ -196,7 +196,7 @@
 	sync_t *sync = &pooler->sync;
 	bool told;
 
-	refresh_begin(pooler, now);
+	refresh_start_reading(pooler, now);
 	told = is_told(pooler, now);
 	set_fed(pooler, told, now);
 	if (now >= sync->config_read_due &&
@@ -211,17 +211,17 @@
 /* --- between proxies --- */
 
 /* *told: what is to be told, or NULL. */
-static follow_news_t changes_since(const follow_t *follow, int64_t since, void *parent,
-				   const follow_changes_t **told)
+static follow_changes_status_t changes_since(const follow_t *follow, int64_t since, void *parent,
+					     const follow_changes_t **told)
 {
 	follow_changes_t *changes = talloc_zero(parent, follow_changes_t);
-	follow_news_t news = follow_changes(follow, since, parent, changes);
+	follow_changes_status_t news = follow_collect_changes(follow, since, parent, changes);
 
-	*told = news == FOLLOW_CHANGED ? changes : NULL;
+	*told = news == FOLLOW_HAS_CHANGES ? changes : NULL;
 	return news;
 }
 
-usec_t refresh_config_spacing(const pooler_t *pooler)
+usec_t refresh_config_interval(const pooler_t *pooler)
 {
 	return pooler->config.config_bound * CONFIG_SPACING_PERCENT / 100;
 }
@@ -229,8 +229,8 @@
 /* True if all that ask this proxy can be told so much. */
 static bool fits_link(const pooler_t *pooler, size_t len)
 {
-	const roster_node_t *self = roster_node(pooler->sync.roster, pooler->config.name);
-	size_t listeners = UPSTREAM_SPAN * (self != NULL ? upstream_weight(self) : 1);
+	const roster_node_t *self = roster_find_node(pooler->sync.roster, pooler->config.name);
+	size_t listeners = UPSTREAM_PROXIES_PER_WEIGHT * (self != NULL ? upstream_weight(self) : 1);
 
 	return len * listeners <= (size_t)pooler->config.link / PACKED_PART;
 }
@@ -241,27 +241,27 @@
  */
 static const char *pack(const pooler_t *pooler, follow_t *follow, int64_t since, bool cannot)
 {
-	const char *packed = follow_pack(follow, since);
+	const char *packed = follow_pack_changes(follow, since);
 
 	return packed != NULL && (cannot || fits_link(pooler, strlen(packed))) ? packed : NULL;
 }
 
 /* True if it was told to read what it lacks since then, and should have by now. */
-static bool reading_is_overdue(const reading_hint_t *hint, int64_t since, usec_t now)
+static bool reading_is_overdue(const read_hint_t *hint, int64_t since, usec_t now)
 {
 	return hint->first_sent_at != 0 && hint->as_of == since &&
 	       now >= hint->first_sent_at + READING_PATIENCE;
 }
 
-static void note_hint(reading_hint_t *hint, int64_t since, usec_t now)
+static void note_hint(read_hint_t *hint, int64_t since, usec_t now)
 {
 	if (hint->first_sent_at == 0 || hint->as_of != since)
-		*hint = (reading_hint_t){.first_sent_at = now, .as_of = since};
+		*hint = (read_hint_t){.first_sent_at = now, .as_of = since};
 }
 
 /* All that the proxy lacks as one text; NULL: it is to read that, and is expected to. */
 static const char *pack_or_hint(pooler_t *pooler, follow_t *follow, const peer_report_t *report,
-				reading_hint_t *hint, int64_t since)
+				read_hint_t *hint, int64_t since)
 {
 	usec_t now = now_of(pooler);
 	const char *packed = pack(pooler, follow, since,
@@ -277,15 +277,15 @@
 			    peer_message_t *message, void *parent)
 {
 	follow_t *follow = pooler->config_follow;
-	usec_t spacing = refresh_config_spacing(pooler);
+	usec_t spacing = refresh_config_interval(pooler);
 	usec_t now = now_of(pooler);
-	follow_news_t news;
+	follow_changes_status_t news;
 
 	if (follow == NULL || pooler->routes == NULL ||
 	    (report->config_sent_at != 0 && now < report->config_sent_at + spacing))
 		return;
 	news = changes_since(follow, since, parent, &message->config_changes);
-	if (news == FOLLOW_TOO_MUCH) {
+	if (news == FOLLOW_CHANGES_TOO_LARGE) {
 		message->config_packed =
 			pack_or_hint(pooler, follow, report, &report->config_hint, since);
 		message->read_directory = message->config_packed == NULL;
@@ -300,7 +300,8 @@
 	follow_t *follow = pooler->members_follow;
 	usec_t now = now_of(pooler);
 
-	if (changes_since(follow, since, parent, &message->members_changes) != FOLLOW_TOO_MUCH ||
+	if (changes_since(follow, since, parent, &message->members_changes) !=
+		    FOLLOW_CHANGES_TOO_LARGE ||
 	    (report->members_sent_at != 0 && now < report->members_sent_at + PACKED_ON_ITS_WAY))
 		return;
 	message->members_packed =
@@ -309,8 +310,8 @@
 	report->members_sent_at = now;
 }
 
-void refresh_describe(pooler_t *pooler, const char *name, const peer_message_t *ask,
-		      peer_message_t *message, void *parent)
+void refresh_fill_state(pooler_t *pooler, const char *name, const peer_message_t *ask,
+			peer_message_t *message, void *parent)
 {
 	peer_report_t *report = exchange_get_report(pooler, name);
 	int64_t config_at = ask != NULL ? ask->config_as_of : report->config_as_of;
@@ -365,13 +366,13 @@
 	int64_t version;
 
 	if (pooler->config_follow != NULL && message->config_changes != NULL)
-		follow_take(pooler->config_follow, message->config_changes);
+		follow_apply_changes(pooler->config_follow, message->config_changes);
 	if (pooler->members_follow != NULL && message->members_changes != NULL)
-		follow_take(pooler->members_follow, message->members_changes);
+		follow_apply_changes(pooler->members_follow, message->members_changes);
 	if (pooler->config_follow != NULL && message->config_packed != NULL)
-		follow_open(pooler->config_follow, message->config_packed);
+		follow_apply_packed(pooler->config_follow, message->config_packed);
 	if (pooler->members_follow != NULL && message->members_packed != NULL)
-		follow_open(pooler->members_follow, message->members_packed);
+		follow_apply_packed(pooler->members_follow, message->members_packed);
 	if (pooler->config_follow != NULL && message->read_directory)
 		release(pooler);
 	compare(pooler, message, now);
--- a/pooler/refresh.h
+++ b/pooler/refresh.h
@@ -18,11 +18,11 @@
  * What a state tells of the directory. ask: the question that it answers; NULL: it is told without
  * one to the proxy of that name.
  */
-void refresh_describe(pooler_t *pooler, const char *name, const peer_message_t *ask,
-		      peer_message_t *message, void *parent);
+void refresh_fill_state(pooler_t *pooler, const char *name, const peer_message_t *ask,
+			peer_message_t *message, void *parent);
 
 /* Least time between two configurations that one proxy is told. */
-usec_t refresh_config_spacing(const pooler_t *pooler);
+usec_t refresh_config_interval(const pooler_t *pooler);
 
 /* What another proxy tells of it. */
 void refresh_on_state(pooler_t *pooler, const peer_message_t *message, usec_t now);
@@ -30,4 +30,4 @@
 void refresh_tick(pooler_t *pooler, usec_t now);
 
 /* Begin to read the directory, unless a process that has just started may still be told it. */
-void refresh_begin(pooler_t *pooler, usec_t now);
+void refresh_start_reading(pooler_t *pooler, usec_t now);
--- a/pooler/relay.c
+++ b/pooler/relay.c
@@ -107,8 +107,8 @@
 	usec_t now = now_of(pooler);
 
 	if (pooler->config_follow != NULL) {
-		follow_retry_now(pooler->config_follow);
-		follow_retry_now(pooler->members_follow);
+		follow_retry_failed(pooler->config_follow);
+		follow_retry_failed(pooler->members_follow);
 	}
 	if (pooler->sync.read_not_before > now)
 		pooler->sync.read_not_before = now;
@@ -116,7 +116,7 @@
 
 static void note_access(relay_t *relay, kv_status_t status)
 {
-	bool failed = status == KV_REFUSED || status == KV_LOST;
+	bool failed = status == KV_REFUSED || status == KV_OUTCOME_UNKNOWN;
 
 	if (failed == relay->cut_off)
 		return;
@@ -139,7 +139,7 @@
 {
 	usec_t patience;
 
-	if (status == KV_LOST && took > relay->response)
+	if (status == KV_OUTCOME_UNKNOWN && took > relay->response)
 		relay->response = took;
 	else if (status == KV_OK)
 		relay->response =
@@ -205,7 +205,7 @@
 static const roster_node_t *find_candidate(relay_t *relay, usec_t now)
 {
 	const pooler_t *pooler = relay->pooler;
-	const roster_node_t *self = roster_node(pooler->sync.roster, pooler->config.name);
+	const roster_node_t *self = roster_find_node(pooler->sync.roster, pooler->config.name);
 	const roster_node_t *node = self;
 	const roster_node_t *candidates[CANDIDATES_MAX];
 	size_t count = 0;
@@ -214,7 +214,7 @@
 		node = node_after(pooler->sync.roster, node);
 		if (node == self)
 			break;
-		if (!node->gone && !is_avoided(exchange_report(pooler, node->name), now))
+		if (!node->gone && !is_avoided(exchange_find_report(pooler, node->name), now))
 			candidates[count++] = node;
 	}
 	return count != 0 ? candidates[relay->next_candidate++ % count] : NULL;
@@ -229,7 +229,7 @@
 
 	list_for_each (it, &pooler->sync.roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
-		const peer_report_t *report = exchange_report(pooler, node->name);
+		const peer_report_t *report = exchange_find_report(pooler, node->name);
 
 		if (node->gone || strcmp(node->name, pooler->config.name) == 0 ||
 		    !can_help(report, now) || report->access_reported_at <= latest)
@@ -245,13 +245,13 @@
 {
 	env_t *env = relay->pooler->env;
 
-	exchange_fill(relay->pooler, message);
+	exchange_fill_sender(relay->pooler, message);
 	return env->ops->peer_send(env, name, address, message);
 }
 
 static void send_call(call_t *call, const roster_node_t *helper)
 {
-	peer_message_t message = {.kind = PEER_STORE, .store_request = &call->request};
+	peer_message_t message = {.kind = PEER_STORE_REQUEST, .store_request = &call->request};
 
 	call->sent = send_to(call->relay, helper->name, helper->address, &message);
 }
@@ -289,8 +289,8 @@
 static void on_direct(void *data, const kv_result_t *result)
 {
 	call_t *call = data;
-	bool again =
-		result->status == KV_REFUSED || (result->status == KV_LOST && is_repeatable(call));
+	bool again = result->status == KV_REFUSED ||
+		     (result->status == KV_OUTCOME_UNKNOWN && is_repeatable(call));
 
 	note_access(call->relay, result->status);
 	/* A lost renewal must not make the next one wait longer: the hold would end meanwhile. */
@@ -331,7 +331,7 @@
 
 	report->cut_off = true;
 	report->access_reported_at = now_of(call->relay->pooler);
-	if ((status == KV_LOST && !is_repeatable(call)) || !relay_to_peer(call))
+	if ((status == KV_OUTCOME_UNKNOWN && !is_repeatable(call)) || !relay_to_peer(call))
 		finish(call, &result);
 }
 
@@ -346,7 +346,8 @@
 		    strcmp(call->helper, message->from) != 0)
 			continue;
 		list_del(&call->node);
-		if (answer->result.status == KV_REFUSED || answer->result.status == KV_LOST)
+		if (answer->result.status == KV_REFUSED ||
+		    answer->result.status == KV_OUTCOME_UNKNOWN)
 			on_no_help(call, answer->result.status);
 		else
 			finish(call, &answer->result);
@@ -374,7 +375,8 @@
 
 static void send_again(call_t *call)
 {
-	const roster_node_t *helper = roster_node(call->relay->pooler->sync.roster, call->helper);
+	const roster_node_t *helper =
+		roster_find_node(call->relay->pooler->sync.roster, call->helper);
 
 	if (helper != NULL)
 		send_call(call, helper);
@@ -393,7 +395,7 @@
 			continue;
 		list_del(&call->node);
 		counter_add(&unanswered_total, 1);
-		on_no_help(call, KV_LOST);
+		on_no_help(call, KV_OUTCOME_UNKNOWN);
 	}
 	probe(relay, now);
 }
@@ -404,7 +406,7 @@
 		   const kv_result_t *result)
 {
 	store_answer_t stored = {.number = number, .result = *result};
-	peer_message_t message = {.kind = PEER_STORED, .store_answer = &stored};
+	peer_message_t message = {.kind = PEER_STORE_ANSWER, .store_answer = &stored};
 
 	send_to(relay, to, address, &message);
 }
@@ -473,7 +475,7 @@
 	watch_t *watch = data;
 
 	/* One that is waiting may be cut while the store serves all else. */
-	if (result->status != KV_LOST)
+	if (result->status != KV_OUTCOME_UNKNOWN)
 		note_access(watch->relay, result->status);
 	watch->done(watch->data, result);
 	talloc_free(watch);
--- a/pooler/restore.c
+++ b/pooler/restore.c
@@ -14,7 +14,7 @@
 COUNTER_DEFINE(copies_total, "store_copies_total", COUNTER_SUM,
 	       "Times that the store was seen to hold an older roster in a new era.");
 
-bool restore_is_due(const pooler_t *pooler)
+bool restore_is_pending(const pooler_t *pooler)
 {
 	return pooler->sync.backup_revision != 0;
 }
@@ -36,7 +36,7 @@
 	pooler->sync.lost_lease_until = pooler->sync.lease_until;
 }
 
-void restore_on_copy(pooler_t *pooler, roster_t *copy, int64_t revision)
+void restore_on_backup(pooler_t *pooler, roster_t *copy, int64_t revision)
 {
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
@@ -51,22 +51,22 @@
 		sync->lost_lease_until = sync->lease_until;
 	sync->groups_current = knows_groups(pooler, now);
 	LOG_EVENT(LOG_WARN, "store holds a copy of the roster", LOG_INT("era", kv_era(revision)),
-		  LOG_INT("written_in", copy->era), LOG_INT("copy", kv_number(revision)),
-		  LOG_INT("ours", kv_number(sync->roster->revision)),
+		  LOG_INT("written_in", copy->era), LOG_INT("copy", kv_revision_in_era(revision)),
+		  LOG_INT("ours", kv_revision_in_era(sync->roster->revision)),
 		  LOG_INT("groups_known", sync->groups_current));
 	hold_lose(pooler, "the store came back from a copy");
 	/* A process that has just started learns who the others are, in the order of that era. */
 	if (sync->roster->revision == 0) {
-		copy->revision = kv_in_era(copy->era, kv_number(revision));
+		copy->revision = kv_make_revision(copy->era, kv_revision_in_era(revision));
 		adopt_roster(pooler, copy);
 	} else {
 		talloc_free(copy);
 	}
 }
 
-bool restore_yields(const pooler_t *pooler)
+bool restore_must_yield(const pooler_t *pooler)
 {
-	return restore_is_due(pooler) && !pooler->sync.groups_current;
+	return restore_is_pending(pooler) && !pooler->sync.groups_current;
 }
 
 static void mark_groups(const pooler_t *pooler, roster_t *roster)
@@ -92,12 +92,12 @@
 		  LOG_INT("proxies", (int64_t)sync->proxy_count));
 }
 
-void restore_run(pooler_t *pooler, usec_t now)
+void restore_write_roster(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 	roster_t *roster;
 
-	if (!restore_is_due(pooler) || sync->rewriting_roster || !hold_is_ours(pooler, now))
+	if (!restore_is_pending(pooler) || sync->rewriting_roster || !hold_is_ours(pooler, now))
 		return;
 	sync->rewriting_roster = true;
 	roster = roster_copy(NULL, sync->roster);
@@ -107,6 +107,6 @@
 			->capacity = pooler->config.capacity;
 	if (!sync->groups_current)
 		mark_groups(pooler, roster);
-	sync_commit(pooler, roster, on_written, pooler);
+	sync_commit_roster(pooler, roster, on_written, pooler);
 	talloc_free(roster);
 }
--- a/pooler/restore.h
+++ b/pooler/restore.h
@@ -13,16 +13,16 @@
 #include "state.h"
 
 /* The store holds this copy under that revision. Takes the copy over. */
-void restore_on_copy(pooler_t *pooler, roster_t *copy, int64_t revision);
+void restore_on_backup(pooler_t *pooler, roster_t *copy, int64_t revision);
 
 /* The lease of our hold ended with the era in which it was granted. */
 void restore_on_lease_ended(pooler_t *pooler);
 
 /* True while the roster of the newest era is not written; nothing else may be. */
-bool restore_is_due(const pooler_t *pooler);
+bool restore_is_pending(const pooler_t *pooler);
 
 /* True if this proxy should leave it to another one to take the duty first. */
-bool restore_yields(const pooler_t *pooler);
+bool restore_must_yield(const pooler_t *pooler);
 
 /* Write the roster, if this proxy holds the duty. */
-void restore_run(pooler_t *pooler, usec_t now);
+void restore_write_roster(pooler_t *pooler, usec_t now);
--- a/pooler/roster.c
+++ b/pooler/roster.c
@@ -29,7 +29,7 @@
 	return roster;
 }
 
-roster_node_t *roster_node(const roster_t *roster, const char *name)
+roster_node_t *roster_find_node(const roster_t *roster, const char *name)
 {
 	roster_node_t *node;
 
@@ -37,7 +37,7 @@
 	return node;
 }
 
-roster_group_t *roster_group(const roster_t *roster, const char *service)
+roster_group_t *roster_find_group(const roster_t *roster, const char *service)
 {
 	roster_group_t *group;
 
@@ -47,7 +47,7 @@
 
 void roster_remove_node(roster_t *roster, const char *name)
 {
-	roster_node_t *node = roster_node(roster, name);
+	roster_node_t *node = roster_find_node(roster, name);
 
 	if (node == NULL || roster->by_name == NULL)
 		return;
@@ -77,7 +77,7 @@
 void roster_put_group(roster_t *roster, const char *service, const char *primary, bool changing,
 		      uint64_t term, uint64_t fence)
 {
-	roster_group_t *group = roster_group(roster, service);
+	roster_group_t *group = roster_find_group(roster, service);
 	char *copy;
 
 	if (group == NULL) {
@@ -107,7 +107,7 @@
 
 		roster_put_node(copy, node->name, node->address, node->zone, node->incarnation)
 			->gone = node->gone;
-		roster_node(copy, node->name)->capacity = node->capacity;
+		roster_find_node(copy, node->name)->capacity = node->capacity;
 	}
 	list_for_each (it, &roster->groups) {
 		const roster_group_t *group = list_entry(it, roster_group_t, node);
@@ -168,27 +168,27 @@
 static char *dump_text(void *parent, json_t *root)
 {
 	char *text = json_dumps(root, JSON_COMPACT);
-	char *copy = pack_text(parent, text, strlen(text));
+	char *copy = pack_compress(parent, text, strlen(text));
 
 	free(text);
 	json_decref(root);
 	return copy;
 }
 
-const char *roster_text(roster_t *roster)
+const char *roster_encode(roster_t *roster)
 {
 	if (roster->text == NULL)
 		roster->text = dump_text(roster, encode_since(roster, -1));
 	return roster->text;
 }
 
-const char *roster_changes(roster_t *roster, int64_t since)
+const char *roster_encode_changes(roster_t *roster, int64_t since)
 {
 	json_t *root;
 	json_t *removed;
 
 	if (roster->changes_complete_since == 0 || since < roster->changes_complete_since)
-		return roster_text(roster);
+		return roster_encode(roster);
 	if (roster->changes != NULL && roster->changes_since == since)
 		return roster->changes;
 	removed = json_array();
@@ -270,7 +270,7 @@
 {
 	void *parent = talloc_new(NULL);
 	size_t plain_len;
-	const char *plain = pack_open(parent, text, len, &plain_len);
+	const char *plain = pack_decompress(parent, text, len, &plain_len);
 	json_t *root = plain != NULL ? json_loadb(plain, plain_len, 0, NULL) : NULL;
 
 	talloc_free(parent);
@@ -344,7 +344,7 @@
 
 static void merge_node(roster_diff_t *diff, roster_t *roster, const roster_node_t *newer)
 {
-	const roster_node_t *was = roster_node(roster, newer->name);
+	const roster_node_t *was = roster_find_node(roster, newer->name);
 	bool same_place = was != NULL && was->gone == newer->gone &&
 			  was->capacity == newer->capacity && strcmp(was->zone, newer->zone) == 0;
 	bool entered = !newer->gone &&
@@ -366,7 +366,7 @@
 
 static void merge_group(roster_diff_t *diff, roster_t *roster, const roster_group_t *newer)
 {
-	const roster_group_t *was = roster_group(roster, newer->service);
+	const roster_group_t *was = roster_find_group(roster, newer->service);
 	roster_group_change_t change = {0};
 
 	if (was != NULL && same_group(was, newer))
@@ -377,14 +377,14 @@
 	}
 	roster_put_group(roster, newer->service, newer->primary, newer->changing, newer->term,
 			 newer->fencing_token);
-	change.group = roster_group(roster, newer->service);
+	change.group = roster_find_group(roster, newer->service);
 	change.group->changed_revision = roster->revision;
 	diff->groups[diff->group_count++] = change;
 }
 
 static void merge_removed_node(roster_diff_t *diff, roster_t *roster, const char *name)
 {
-	if (roster_node(roster, name) == NULL)
+	if (roster_find_node(roster, name) == NULL)
 		return;
 	diff->removed_nodes[diff->removed_node_count++] = talloc_strdup(diff, name);
 	roster->nodes_revision = roster->revision;
@@ -408,13 +408,13 @@
 	list_for_each_safe (it, &roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
 
-		if (roster_node(newer, node->name) == NULL)
+		if (roster_find_node(newer, node->name) == NULL)
 			merge_removed_node(diff, roster, node->name);
 	}
 	list_for_each_safe (it, &roster->groups) {
 		roster_group_t *group = list_entry(it, roster_group_t, node);
 
-		if (roster_group(newer, group->service) == NULL)
+		if (roster_find_group(newer, group->service) == NULL)
 			merge_removed_group(diff, roster, group);
 	}
 }
@@ -443,7 +443,7 @@
 	return diff;
 }
 
-roster_diff_t *roster_merge(void *parent, roster_t *roster, const roster_t *newer)
+roster_diff_t *roster_update(void *parent, roster_t *roster, const roster_t *newer)
 {
 	roster_diff_t *diff = begin_merge(parent, roster, newer, roster->node_count,
 					  HASH_COUNT(roster->by_service));
@@ -469,8 +469,8 @@
 	return diff;
 }
 
-roster_diff_t *roster_take(void *parent, roster_t *roster, const char *text, size_t len,
-			   int64_t revision)
+roster_diff_t *roster_apply_text(void *parent, roster_t *roster, const char *text, size_t len,
+				 int64_t revision)
 {
 	json_t *root = load_text(text, len);
 	json_t *since = json_object_get(root, "since");
@@ -481,7 +481,7 @@
 	if (decode_into(newer, root) < 0)
 		LOG_EVENT(LOG_ERR, "roster can't be read", LOG_INT("revision", revision));
 	else if (since == NULL)
-		diff = roster_merge(parent, roster, newer);
+		diff = roster_update(parent, roster, newer);
 	else if (json_integer_value(since) <= roster->revision)
 		diff = merge_changes(parent, roster, newer, json_object_get(root, "removed"));
 	talloc_free(newer);
--- a/pooler/roster.h
+++ b/pooler/roster.h
@@ -63,15 +63,15 @@
 	int64_t changes_complete_since; /* every change since that revision is marked; 0: none is */
 	int64_t nodes_revision; /* the proxies that live, and their zones, are these since */
 	list_t removals;	/* roster_removal_t */
-	char *changes;		/* encoded as roster_changes() last was */
+	char *changes;		/* encoded as roster_encode_changes() last was */
 	int64_t changes_since;
 } roster_t;
 
 roster_t *roster_create(void *parent);
 roster_t *roster_copy(void *parent, const roster_t *roster);
 
-roster_node_t *roster_node(const roster_t *roster, const char *name);
-roster_group_t *roster_group(const roster_t *roster, const char *service);
+roster_node_t *roster_find_node(const roster_t *roster, const char *name);
+roster_group_t *roster_find_group(const roster_t *roster, const char *service);
 
 /* Add or replace. */
 roster_node_t *roster_put_node(roster_t *roster, const char *name, const char *address,
@@ -86,17 +86,17 @@
  * As JSON text, packed if it is large (see pack.h). It is kept, since a whole fleet is told the
  * same; no change may follow.
  */
-const char *roster_text(roster_t *roster);
+const char *roster_encode(roster_t *roster);
 
 /* NULL if text is no roster. */
 roster_t *roster_decode(void *parent, const char *text, size_t len, int64_t revision);
 
 /*
- * What has changed since that revision, as JSON text that roster_take() takes; all of it if that
- * is not known. It is kept, since a whole fleet asks for the same. A roster of 295 proxies has 32
- * KB, a change of primary 150 bytes.
+ * What has changed since that revision, as JSON text that roster_apply_text() takes; all of it if
+ * that is not known. It is kept, since a whole fleet asks for the same. A roster of 295 proxies has
+ * 32 KB, a change of primary 150 bytes.
  */
-const char *roster_changes(roster_t *roster, int64_t since);
+const char *roster_encode_changes(roster_t *roster, int64_t since);
 
 typedef struct roster_node_change {
 	const roster_node_t *node;
@@ -125,11 +125,11 @@
  * Make roster what newer is, with newer's revision. Entries that stay the same are not touched.
  * Returns the difference, as a child of parent.
  */
-roster_diff_t *roster_merge(void *parent, roster_t *roster, const roster_t *newer);
+roster_diff_t *roster_update(void *parent, roster_t *roster, const roster_t *newer);
 
 /*
  * The same from the text of a whole roster, or of changes. NULL, and roster stays as it was, if
  * text is none or starts later than roster.
  */
-roster_diff_t *roster_take(void *parent, roster_t *roster, const char *text, size_t len,
-			   int64_t revision);
+roster_diff_t *roster_apply_text(void *parent, roster_t *roster, const char *text, size_t len,
+				 int64_t revision);
--- a/pooler/seat.c
+++ b/pooler/seat.c
@@ -132,18 +132,19 @@
 	pooler_t *pooler = seats->pooler;
 	const char *name =
 		keepers_before(pooler->keepers, pooler->config.name, from->customer, from->shard);
-	const roster_node_t *node = name != NULL ? roster_node(pooler->sync.roster, name) : NULL;
+	const roster_node_t *node =
+		name != NULL ? roster_find_node(pooler->sync.roster, name) : NULL;
 	quota_request_t request = {
 		.customer = from->customer,
 		.shard = from->shard,
 		.release = true,
 	};
-	peer_message_t message = {.kind = PEER_TAKE, .quota_request = &request};
+	peer_message_t message = {.kind = PEER_QUOTA_REQUEST, .quota_request = &request};
 
 	if (node == NULL || node->gone || now < seat->asked_at + RELEASE_INTERVAL)
 		return;
 	request.number = pooler_next_number(pooler);
-	exchange_fill(pooler, &message);
+	exchange_fill_sender(pooler, &message);
 	if (!pooler->env->ops->peer_send(pooler->env, node->name, node->address, &message))
 		return;
 	seat->question = request.number;
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -286,10 +286,10 @@
 /* --- the fleet --- */
 
 /* A proxy was told to read from the store what it lacks. */
-typedef struct reading_hint {
+typedef struct read_hint {
 	usec_t first_sent_at; /* the first time; 0: it was not */
 	int64_t as_of;	      /* what it knew then, see peer_report_t.config_at */
-} reading_hint_t;
+} read_hint_t;
 
 typedef struct peer_report {
 	list_t node;
@@ -323,8 +323,8 @@
 	int64_t config_as_of;  /* what it has been told of the directory, as it said then */
 	int64_t members_as_of;
 	usec_t config_sent_at; /* when it was last told a configuration */
-	reading_hint_t config_hint;
-	reading_hint_t members_hint;
+	read_hint_t config_hint;
+	read_hint_t members_hint;
 	usec_t members_sent_at;	       /* when it was last told all members as one text; 0: never */
 	int64_t roster_sent_revision;  /* the revision of the roster that it was last told */
 	usec_t roster_sent_at;	       /* when */
@@ -345,7 +345,7 @@
 } hubs_t;
 
 /* Who is to be told news at once. */
-typedef enum { PUSH_NONE, PUSH_LISTENERS, PUSH_ALL } push_t;
+typedef enum { PUSH_NONE, PUSH_DOWNSTREAM, PUSH_ALL } push_scope_t;
 
 typedef struct sync {
 	roster_t *roster;      /* the newest known */
@@ -395,7 +395,7 @@
 	usec_t ping_silent_next; /* to listeners that have fallen silent; see upstream.h */
 	hubs_t hubs;
 	usec_t config_pushed_at;
-	push_t push_pending;
+	push_scope_t push_pending;
 	usec_t push_next;
 	bool config_push_pending; /* those that ask this proxy are to be told at once */
 	char *upstream;		  /* who was asked last */
--- a/pooler/sweep.c
+++ b/pooler/sweep.c
@@ -64,7 +64,7 @@
 		return;
 	}
 	LOG_EVENT(LOG_WARN, "proxy is gone", LOG_STR("proxy", name));
-	roster_node(roster, name)->gone = true;
+	roster_find_node(roster, name)->gone = true;
 }
 
 bool sweep_has_ended(const pooler_t *pooler, const peer_report_t *report)
@@ -96,6 +96,6 @@
 	if (changed == NULL)
 		return;
 	pooler->sweeping = true;
-	sync_commit(pooler, changed, on_swept, pooler);
+	sync_commit_roster(pooler, changed, on_swept, pooler);
 	talloc_free(changed);
 }
--- a/pooler/sync.c
+++ b/pooler/sync.c
@@ -52,7 +52,7 @@
 COUNTER_DEFINE(roster_failed, "roster_reads_failed_total", COUNTER_SUM,
 	       "Reads of the roster that failed.");
 
-char *sync_key(void *parent, const pooler_t *pooler, const char *name)
+char *sync_make_key(void *parent, const pooler_t *pooler, const char *name)
 {
 	return talloc_asprintf(parent, "%s%s", pooler->config.prefix, name);
 }
@@ -74,14 +74,14 @@
 	talloc_free(pooler->sync.roster);
 }
 
-void sync_run_services(pooler_t *pooler)
+void sync_dispatch_waiting(pooler_t *pooler)
 {
 	list_for_each (it, &pooler->active_services)
 		dispatch_run(list_entry(it, service_t, active));
 }
 
 /* The store held the revision of our roster when asked at this time, or later. */
-void sync_confirm(pooler_t *pooler, usec_t asked_at)
+void sync_confirm_roster(pooler_t *pooler, usec_t asked_at)
 {
 	sync_t *sync = &pooler->sync;
 
@@ -91,7 +91,7 @@
 
 /* --- who holds the duty --- */
 
-void sync_set_holder(pooler_t *pooler, const char *name, const char *address, uint64_t fence)
+void sync_set_leader(pooler_t *pooler, const char *name, const char *address, uint64_t fence)
 {
 	sync_t *sync = &pooler->sync;
 	bool known = sync->leader != NULL && fence == sync->fencing_token;
@@ -147,7 +147,7 @@
 			if ((uint64_t)incarnation < pooler->config.incarnation)
 				hold_end_former(pooler, item->lease);
 		}
-		sync_set_holder(pooler, name, address, (uint64_t)item->create_revision);
+		sync_set_leader(pooler, name, address, (uint64_t)item->create_revision);
 	}
 	json_decref(value);
 }
@@ -165,7 +165,7 @@
 		LOG_EVENT(LOG_ERR, "roster can't be read", LOG_STR("key", item->key),
 			  LOG_INT("revision", item->revision));
 	else if (roster->era < kv_era(item->revision))
-		restore_on_copy(pooler, roster, item->revision);
+		restore_on_backup(pooler, roster, item->revision);
 	else
 		adopt_roster(pooler, roster);
 }
@@ -201,8 +201,8 @@
 	pooler_t *pooler = data;
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
-	char *roster_key = sync_key(NULL, pooler, "roster");
-	char *holder_key = sync_key(roster_key, pooler, "holder");
+	char *roster_key = sync_make_key(NULL, pooler, "roster");
+	char *holder_key = sync_make_key(roster_key, pooler, "holder");
 	const kv_item_t *item;
 
 	sync->reading = false;
@@ -223,13 +223,13 @@
 	if (item != NULL)
 		on_roster_item(pooler, item);
 	if ((item != NULL ? item->revision : 0) == sync->roster->revision)
-		sync_confirm(pooler, sync->read_sent_at);
+		sync_confirm_roster(pooler, sync->read_sent_at);
 	on_holder_item(pooler, item_named(result, holder_key), sync->read_sent_at);
 	talloc_free(roster_key);
-	refresh_begin(pooler, now);
+	refresh_start_reading(pooler, now);
 	/* At once: a fleet that starts together takes turns at this, one write after another. */
 	join_run(pooler, now);
-	sync_run_services(pooler);
+	sync_dispatch_waiting(pooler);
 }
 
 static void read_store(pooler_t *pooler, usec_t now)
@@ -248,7 +248,7 @@
 static bool must_read(const pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
-	usec_t most = (upstream_applies(pooler) ? READ_BELOW : READ_OTHERS) + sync->read_jitter;
+	usec_t most = (upstream_uses_hubs(pooler) ? READ_BELOW : READ_OTHERS) + sync->read_jitter;
 
 	if (sync->roster_maybe_stale ||
 	    (hold_is_ours(pooler, now) && now >= sync->last_read_at + READ_HOLDER_MOST))
@@ -256,7 +256,7 @@
 	else if (hold_is_ours(pooler, now))
 		most = READ_HOLDER;
 	/* The duty may become vacant: whoever sees that first takes it. */
-	else if (now >= sync->leader_seen_at + HOLDER_SILENT && !upstream_applies(pooler))
+	else if (now >= sync->leader_seen_at + LEADER_SILENT_AFTER && !upstream_uses_hubs(pooler))
 		most = READ_VACANT + sync->read_jitter / 2;
 
 	if (sync->reading || now < sync->read_not_before)
@@ -279,7 +279,7 @@
 static void on_conflict(commit_t *commit, const kv_result_t *result)
 {
 	pooler_t *pooler = commit->pooler;
-	char *key = sync_key(commit, pooler, "roster");
+	char *key = sync_make_key(commit, pooler, "roster");
 	const kv_item_t *item = item_named(result, key);
 
 	if (item == NULL) {
@@ -292,8 +292,8 @@
 		pooler->sync.roster_maybe_stale = true;
 	on_roster_item(pooler, item);
 	if (item->revision == pooler->sync.roster->revision)
-		sync_confirm(pooler, commit->sent_at);
-	sync_run_services(pooler);
+		sync_confirm_roster(pooler, commit->sent_at);
+	sync_dispatch_waiting(pooler);
 }
 
 /* Whoever uses a primary that changes must hear of it at once. */
@@ -301,7 +301,7 @@
 {
 	list_for_each (it, &is->groups) {
 		const roster_group_t *group = list_entry(it, roster_group_t, node);
-		const roster_group_t *before = roster_group(was, group->service);
+		const roster_group_t *before = roster_find_group(was, group->service);
 
 		if (before == NULL || before->changing != group->changing ||
 		    strcmp(before->primary, group->primary) != 0)
@@ -322,7 +322,7 @@
 		adopt_roster(pooler, commit->roster);
 		if (push)
 			push_fleet(pooler);
-		sync_run_services(pooler);
+		sync_dispatch_waiting(pooler);
 	} else if (result->status == KV_CONFLICT) {
 		on_conflict(commit, result);
 	} else {
@@ -332,12 +332,13 @@
 	talloc_free(commit);
 }
 
-void sync_commit(pooler_t *pooler, const roster_t *roster, kv_done_t done, void *data)
+void sync_commit_roster(pooler_t *pooler, const roster_t *roster, kv_done_t done, void *data)
 {
 	kv_t *kv = pooler_store(pooler);
 	commit_t *commit = talloc_zero(pooler, commit_t);
-	char *key = sync_key(commit, pooler, "roster");
-	int64_t expected = restore_is_due(pooler) ? pooler->sync.backup_revision : roster->revision;
+	char *key = sync_make_key(commit, pooler, "roster");
+	int64_t expected =
+		restore_is_pending(pooler) ? pooler->sync.backup_revision : roster->revision;
 	kv_write_t writes[2] = {{.key = key, .expected = expected}};
 	size_t count = 1;
 
@@ -347,14 +348,14 @@
 	commit->roster = roster_copy(commit, roster);
 	commit->roster->era = expected != 0 ? kv_era(expected) : pooler->sync.era;
 	roster_set_writer(commit->roster, pooler->config.name);
-	writes[0].value = roster_text(commit->roster);
+	writes[0].value = roster_encode(commit->roster);
 	/*
 	 * A write of ours that reaches the store after our hold has ended must fail: the next
 	 * holder takes it for granted that nobody else changes a group, and would go on telling the
 	 * fleet of the primary before.
 	 */
 	if (pooler->sync.leading)
-		writes[count++] = (kv_write_t){.key = sync_key(commit, pooler, "holder"),
+		writes[count++] = (kv_write_t){.key = sync_make_key(commit, pooler, "holder"),
 					       .expected = (int64_t)pooler->sync.own_token,
 					       .check_only = true};
 	commit->done = done;
@@ -368,6 +369,6 @@
 {
 	if (must_read(pooler, now))
 		read_store(pooler, now);
-	restore_run(pooler, now);
+	restore_write_roster(pooler, now);
 	join_run(pooler, now);
 }
--- a/pooler/upstream.c
+++ b/pooler/upstream.c
@@ -33,9 +33,9 @@
 COUNTER_DEFINE(calls_total, "silent_listeners_called_total", COUNTER_SUM,
 	       "Pings to proxies that asked this one regularly and no longer do.");
 
-bool upstream_applies(const pooler_t *pooler)
+bool upstream_uses_hubs(const pooler_t *pooler)
 {
-	return pooler->sync.proxy_count >= UPSTREAM_FLEET;
+	return pooler->sync.proxy_count >= UPSTREAM_HUBS_FLEET_MIN;
 }
 
 /* --- who is a hub --- */
@@ -133,7 +133,7 @@
 		while (end < count && strcmp(ranked[end].node->zone, ranked[first].node->zone) == 0)
 			end++;
 		for (size_t i = first; i < end && served < end - first; i++) {
-			served += UPSTREAM_SPAN * upstream_weight(ranked[i].node);
+			served += UPSTREAM_PROXIES_PER_WEIGHT * upstream_weight(ranked[i].node);
 			add_hub(hubs, ranked[i].node);
 			hubs->is_hub |= strcmp(ranked[i].node->name, pooler->config.name) == 0;
 		}
@@ -153,17 +153,17 @@
 
 bool upstream_is_hub(pooler_t *pooler)
 {
-	return upstream_applies(pooler) && hubs_of(pooler)->is_hub;
+	return upstream_uses_hubs(pooler) && hubs_of(pooler)->is_hub;
 }
 
-void upstream_each_hub(pooler_t *pooler,
-		       void (*each)(pooler_t *pooler, const roster_node_t *hub, void *data),
-		       void *data)
+void upstream_for_each_hub(pooler_t *pooler,
+			   void (*each)(pooler_t *pooler, const roster_node_t *hub, void *data),
+			   void *data)
 {
 	const hubs_t *hubs = hubs_of(pooler);
 
 	for (size_t i = 0; i < hubs->len; i++) {
-		const roster_node_t *hub = roster_node(pooler->sync.roster, hubs->names[i]);
+		const roster_node_t *hub = roster_find_node(pooler->sync.roster, hubs->names[i]);
 
 		if (hub != NULL && strcmp(hub->name, pooler->config.name) != 0)
 			each(pooler, hub, data);
@@ -174,7 +174,7 @@
 
 static bool is_avoided(const pooler_t *pooler, const char *name, usec_t now)
 {
-	const peer_report_t *report = exchange_report(pooler, name);
+	const peer_report_t *report = exchange_find_report(pooler, name);
 
 	return report != NULL && now < report->hub_avoided_until;
 }
@@ -191,7 +191,7 @@
 	uint64_t best_hash = UINT64_MAX;
 
 	for (size_t i = 0; i < hubs->len; i++) {
-		const roster_node_t *hub = roster_node(pooler->sync.roster, hubs->names[i]);
+		const roster_node_t *hub = roster_find_node(pooler->sync.roster, hubs->names[i]);
 		uint64_t hash;
 
 		if (hub == NULL || (zone != NULL && strcmp(hub->zone, zone) != 0) ||
@@ -211,7 +211,7 @@
 	const sync_t *sync = &pooler->sync;
 	const roster_node_t *hub = NULL;
 
-	if (upstream_applies(pooler) && !upstream_is_hub(pooler)) {
+	if (upstream_uses_hubs(pooler) && !upstream_is_hub(pooler)) {
 		hub = find_hub(pooler, pooler->config.zone, now);
 		if (hub == NULL && sync->leader != NULL && is_avoided(pooler, sync->leader, now))
 			hub = find_hub(pooler, NULL, now);
@@ -244,9 +244,9 @@
 	sync->contact_address = talloc_strdup(pooler, address);
 }
 
-void upstream_on_question(peer_report_t *report, usec_t now)
+void upstream_on_query(peer_report_t *report, usec_t now)
 {
-	if (!upstream_listens(report, now))
+	if (!upstream_is_downstream(report, now))
 		report->querying_since = now;
 	report->last_query_at = now;
 	report->pinged_silent = false;
@@ -254,15 +254,15 @@
 
 void upstream_on_pong(peer_report_t *report, usec_t now)
 {
-	if (!upstream_listens(report, now))
+	if (!upstream_is_downstream(report, now))
 		report->querying_since = 0;
 }
 
 /* Not who has only tried us in turn, while it had nobody else to ask. */
 static bool is_called(const peer_report_t *report, usec_t now)
 {
-	return report->querying_since != 0 && !upstream_listens(report, now) &&
-	       report->last_query_at >= report->querying_since + UPSTREAM_LISTENS &&
+	return report->querying_since != 0 && !upstream_is_downstream(report, now) &&
+	       report->last_query_at >= report->querying_since + UPSTREAM_DOWNSTREAM_TIMEOUT &&
 	       now < report->last_query_at + CALLED_FOR;
 }
 
@@ -276,7 +276,7 @@
 				  (int64_t)((now - report->last_query_at) / USEC_PER_MSEC)));
 	report->pinged_silent = true;
 	counter_add(&calls_total, 1);
-	exchange_ping(pooler, node);
+	exchange_send_ping(pooler, node);
 }
 
 void upstream_tick(pooler_t *pooler, usec_t now)
@@ -288,14 +288,14 @@
 	sync->ping_silent_next = now + CALL_INTERVAL;
 	list_for_each (it, &sync->reports) {
 		peer_report_t *report = list_entry(it, peer_report_t, node);
-		const roster_node_t *node = roster_node(sync->roster, report->name);
+		const roster_node_t *node = roster_find_node(sync->roster, report->name);
 
 		if (node != NULL && is_called(report, now))
 			call_listener(pooler, node, report, now);
 	}
 }
 
-void upstream_avoid(pooler_t *pooler, const char *name, usec_t now)
+void upstream_avoid_hub(pooler_t *pooler, const char *name, usec_t now)
 {
 	exchange_get_report(pooler, name)->hub_avoided_until = now + HUB_AVOIDED;
 	counter_add(&avoided_total, 1);
@@ -308,7 +308,7 @@
 	return sync->leader != NULL && strcmp(sync->leader, name) == 0;
 }
 
-void upstream_on_asked(pooler_t *pooler, const char *name, usec_t now)
+void upstream_on_query_sent(pooler_t *pooler, const char *name, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 	peer_report_t *report = exchange_get_report(pooler, name);
@@ -324,12 +324,12 @@
 		return;
 	report->query_unanswered_since = 0;
 	/* The holder's silence is noticed by the age of its news; as a hub it has a successor. */
-	if (is_holder(sync, name) && (!upstream_applies(pooler) || upstream_is_hub(pooler)))
+	if (is_holder(sync, name) && (!upstream_uses_hubs(pooler) || upstream_is_hub(pooler)))
 		return;
-	upstream_avoid(pooler, name, now);
+	upstream_avoid_hub(pooler, name, now);
 }
 
-bool upstream_is(const pooler_t *pooler, const char *name)
+bool upstream_is_trusted(const pooler_t *pooler, const char *name)
 {
 	const sync_t *sync = &pooler->sync;
 
@@ -337,20 +337,22 @@
 	       (sync->upstream != NULL && strcmp(sync->upstream, name) == 0);
 }
 
-bool upstream_listens(const peer_report_t *report, usec_t now)
+bool upstream_is_downstream(const peer_report_t *report, usec_t now)
 {
-	return report->last_query_at != 0 && now < report->last_query_at + UPSTREAM_LISTENS;
+	return report->last_query_at != 0 &&
+	       now < report->last_query_at + UPSTREAM_DOWNSTREAM_TIMEOUT;
 }
 
-void upstream_each_listener(pooler_t *pooler, usec_t now,
-			    void (*each)(pooler_t *pooler, const roster_node_t *peer, void *data),
-			    void *data)
+void upstream_for_each_downstream(pooler_t *pooler, usec_t now,
+				  void (*each)(pooler_t *pooler, const roster_node_t *peer,
+					       void *data),
+				  void *data)
 {
 	list_for_each (it, &pooler->sync.reports) {
 		const peer_report_t *report = list_entry(it, peer_report_t, node);
-		const roster_node_t *node = roster_node(pooler->sync.roster, report->name);
+		const roster_node_t *node = roster_find_node(pooler->sync.roster, report->name);
 
-		if (node != NULL && upstream_listens(report, now))
+		if (node != NULL && upstream_is_downstream(report, now))
 			each(pooler, node, data);
 	}
 }
--- a/pooler/upstream.h
+++ b/pooler/upstream.h
@@ -14,17 +14,17 @@
 /*
  * From so many proxies on there are hubs. Below that the holder has at most 64 questions a second.
  */
-#define UPSTREAM_FLEET 17
+#define UPSTREAM_HUBS_FLEET_MIN 17
 /*
  * Proxies of a zone for each part of a hub's weight: as many questions as the holder of a small
  * fleet has.
  */
-#define UPSTREAM_SPAN 16
+#define UPSTREAM_PROXIES_PER_WEIGHT 16
 /* Who has asked within this is told news at once: four questions' intervals. */
-#define UPSTREAM_LISTENS (1 * USEC_PER_SEC)
+#define UPSTREAM_DOWNSTREAM_TIMEOUT (1 * USEC_PER_SEC)
 
 /* True if the fleet is large enough to have hubs. */
-bool upstream_applies(const pooler_t *pooler);
+bool upstream_uses_hubs(const pooler_t *pooler);
 
 /* True if this proxy is one. */
 bool upstream_is_hub(pooler_t *pooler);
@@ -42,13 +42,13 @@
 void upstream_tick(pooler_t *pooler, usec_t now);
 
 /* That proxy has asked us for news. */
-void upstream_on_question(peer_report_t *report, usec_t now);
+void upstream_on_query(peer_report_t *report, usec_t now);
 
 /* It has answered a call. */
 void upstream_on_pong(peer_report_t *report, usec_t now);
 
 /* It was asked. */
-void upstream_on_asked(pooler_t *pooler, const char *name, usec_t now);
+void upstream_on_query_sent(pooler_t *pooler, const char *name, usec_t now);
 
 /* Parts of the fleet's common work that the proxy takes, by what its VM can do. */
 size_t upstream_weight(const roster_node_t *node);
@@ -60,20 +60,21 @@
 uint64_t upstream_hash(const roster_node_t *node, uint64_t seed);
 
 /* It does not answer: another hub is asked for a while. */
-void upstream_avoid(pooler_t *pooler, const char *name, usec_t now);
+void upstream_avoid_hub(pooler_t *pooler, const char *name, usec_t now);
 
 /* True if news of the holder, its doubts for example, may be taken from that proxy. */
-bool upstream_is(const pooler_t *pooler, const char *name);
+bool upstream_is_trusted(const pooler_t *pooler, const char *name);
 
 /* True if that proxy has asked us of late. */
-bool upstream_listens(const peer_report_t *report, usec_t now);
+bool upstream_is_downstream(const peer_report_t *report, usec_t now);
 
 /* Calls each with all hubs but this proxy. */
-void upstream_each_hub(pooler_t *pooler,
-		       void (*each)(pooler_t *pooler, const roster_node_t *hub, void *data),
-		       void *data);
+void upstream_for_each_hub(pooler_t *pooler,
+			   void (*each)(pooler_t *pooler, const roster_node_t *hub, void *data),
+			   void *data);
 
 /* Calls each with all proxies of the roster that ask this one for news. */
-void upstream_each_listener(pooler_t *pooler, usec_t now,
-			    void (*each)(pooler_t *pooler, const roster_node_t *peer, void *data),
-			    void *data);
+void upstream_for_each_downstream(pooler_t *pooler, usec_t now,
+				  void (*each)(pooler_t *pooler, const roster_node_t *peer,
+					       void *data),
+				  void *data);
--- a/pooler/verdict.c
+++ b/pooler/verdict.c
@@ -71,7 +71,7 @@
 static void add_alive(service_t *service, const peer_report_t *report)
 {
 	service->reported.alive++;
-	service->reported.well += !exchange_lists(report->failing, service->name);
+	service->reported.well += !exchange_list_contains(report->failing, service->name);
 }
 
 static void add_failing(service_t *service, const peer_report_t *report)
--- a/tests/fake_kv.c
+++ b/tests/fake_kv.c
@@ -177,8 +177,8 @@
 
 	item->key = talloc_strdup(item, from->key);
 	item->value = talloc_strdup(item, from->value);
-	item->revision = kv_in_era(era, kv_number(from->revision));
-	item->created = kv_in_era(era, kv_number(from->created));
+	item->revision = kv_make_revision(era, kv_revision_in_era(from->revision));
+	item->created = kv_make_revision(era, kv_revision_in_era(from->created));
 	item->lease = from->lease;
 	list_add_tail(to, &item->node);
 }
@@ -188,7 +188,7 @@
 	drop_items(&store->copy);
 	list_for_each (it, &store->items)
 		add_copy(store, &store->copy, list_entry(it, item_t, node), 0);
-	store->copy_revision = kv_number(store->revision);
+	store->copy_revision = kv_revision_in_era(store->revision);
 }
 
 void fake_kv_restore(fake_kv_t *store)
@@ -208,7 +208,7 @@
 		list_del(&lease->node);
 		talloc_free(lease);
 	}
-	store->revision = kv_in_era(era, store->copy_revision);
+	store->revision = kv_make_revision(era, store->copy_revision);
 	fake_kv_compact(store);
 }
 
@@ -474,7 +474,7 @@
 		if (call->kind == CALL_WATCH && reachable)
 			call->result.as_of = store->revision;
 		else
-			call->result.status = KV_LOST;
+			call->result.status = KV_OUTCOME_UNKNOWN;
 		finish(call);
 		return true;
 	}
--- a/tests/pool_callers.c
+++ b/tests/pool_callers.c
@@ -34,9 +34,9 @@
 	const world_caller_t *caller = data;
 
 	if (caller->unread)
-		return CLOSE_UNREAD;
+		return CLOSE_INPUT_UNREAD;
 	if (caller->unsent)
-		return CLOSE_UNSENT;
+		return CLOSE_OUTPUT_UNSENT;
 	callers_abort(env, data);
 	return CLOSE_DONE;
 }
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -53,7 +53,7 @@
 									       : PROMOTE_REFUSED;
 	if (world->lose_promotes != 0) {
 		world->lose_promotes--;
-		answer->status = PROMOTE_LOST;
+		answer->status = PROMOTE_OUTCOME_UNKNOWN;
 	}
 	timers_arm(&node->timers, &answer->timer, world_now(world) + 2 * LINK_DELAY, on_answer);
 }
--- a/tests/standin_site.c
+++ b/tests/standin_site.c
@@ -90,12 +90,12 @@
 /* On the wire the store's numbers are without their era, and the same may come twice. */
 static json_int_t to_wire(int64_t number)
 {
-	return kv_number(number);
+	return kv_revision_in_era(number);
 }
 
 static int64_t from_wire(const site_t *site, int64_t number)
 {
-	return kv_in_era(kv_era(site->kv->revision), number);
+	return kv_make_revision(kv_era(site->kv->revision), number);
 }
 
 static json_t *encode_item(const kv_item_t *item)
@@ -121,7 +121,7 @@
 {
 	static const int codes[] = {
 		[KV_OK] = 200,	      [KV_CONFLICT] = 412, [KV_NOT_FOUND] = 404,
-		[KV_COMPACTED] = 410, [KV_REFUSED] = 503,  [KV_LOST] = 503,
+		[KV_COMPACTED] = 410, [KV_REFUSED] = 503,  [KV_OUTCOME_UNKNOWN] = 503,
 	};
 
 	return codes[status];
--- a/tests/test_pooler_config.c
+++ b/tests/test_pooler_config.c
@@ -136,7 +136,7 @@
 
 	world_freeze(world, plain);
 	/* Until its hub no longer tells it what changes. */
-	world_run(world, 2 * UPSTREAM_LISTENS);
+	world_run(world, 2 * UPSTREAM_DOWNSTREAM_TIMEOUT);
 	world_write_config(world);
 	world_run(world, CONFIG_BOUND / 2);
 	world->kv->down = true;
@@ -181,7 +181,7 @@
 		world_kill(world, plain);
 		world->nodes[plain].kv.refused = true;
 		/* Until its hub no longer tells the process of before what changes. */
-		world_run(world, 2 * UPSTREAM_LISTENS);
+		world_run(world, 2 * UPSTREAM_DOWNSTREAM_TIMEOUT);
 		world_start(world, plain);
 		world_write_config(world);
 		expect_in_force(world, CONFIG_BOUND);
@@ -306,10 +306,10 @@
 static void describe(const pool_world_t *world, size_t node, const char *to, int64_t known,
 		     peer_message_t *state, void *parent)
 {
-	peer_message_t ask = {.kind = PEER_ASK, .config_as_of = known, .members_as_of = known};
+	peer_message_t ask = {.kind = PEER_QUERY, .config_as_of = known, .members_as_of = known};
 
 	*state = (peer_message_t){.kind = PEER_STATE};
-	refresh_describe(world->nodes[node].pooler, to, &ask, state, parent);
+	refresh_fill_state(world->nodes[node].pooler, to, &ask, state, parent);
 }
 
 typedef const char *(*packed_t)(const peer_message_t *state);
@@ -364,7 +364,7 @@
 	/* Slow, so that so many do not fit. */
 	holder->pooler->config.link = LARGE;
 	world_write_members(world, LARGE);
-	world_run(world, 2 * FOLLOW_GATHER);
+	world_run(world, 2 * FOLLOW_COALESCE_TIME);
 	expect_told_if_not_read(world, known, packed_members, 2 * SEC);
 	world_destroy(world);
 }
--- a/tests/test_pooler_faults.c
+++ b/tests/test_pooler_faults.c
@@ -135,7 +135,8 @@
 	for (size_t i = 0; i < play->nodes; i++) {
 		const pooler_t *pooler = play->world->nodes[i].pooler;
 		const roster_group_t *group =
-			pooler != NULL ? roster_group(pooler->sync.roster, WORLD_SERVICE) : NULL;
+			pooler != NULL ? roster_find_group(pooler->sync.roster, WORLD_SERVICE)
+				       : NULL;
 
 		if (group == NULL)
 			continue;
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -527,7 +527,7 @@
 static void test_dead_joiner_is_forgotten(void)
 {
 	pool_world_t *world = world_create(3, NULL);
-	peer_message_t message = {.kind = PEER_ASK,
+	peer_message_t message = {.kind = PEER_QUERY,
 				  .from = "ghost",
 				  .address = "10.0.9.9:1",
 				  .zone = "a",
@@ -540,7 +540,7 @@
 	pooler_on_message(world->nodes[find_holder(world)].pooler, &message);
 	world_run(world, 6 * SEC);
 	for (int i = 0; i < 40; i++) {
-		const roster_node_t *ghost = roster_node(pooler->sync.roster, "ghost");
+		const roster_node_t *ghost = roster_find_node(pooler->sync.roster, "ghost");
 
 		g_assert_true(ghost == NULL || ghost->gone);
 		world_run(world, 200 * MSEC);
--- a/tests/test_pooler_forward.c
+++ b/tests/test_pooler_forward.c
@@ -599,7 +599,7 @@
 		.ok = true,
 		.member = "core-0",
 	};
-	peer_message_t message = {.kind = PEER_RESULT, .result = &late};
+	peer_message_t message = {.kind = PEER_FORWARD_RESULT, .result = &late};
 	const world_node_t *home;
 
 	world->db->members[0].slow = 1 * SEC;
--- a/tests/test_pooler_parts.c
+++ b/tests/test_pooler_parts.c
@@ -63,21 +63,21 @@
 	roster_put_node(roster, "p2", "10.0.0.2:7", "b", 6);
 	roster_set_writer(roster, "p2");
 	roster_put_group(roster, "core", "m1", true, 4, 9);
-	encoded = roster_text(roster);
+	encoded = roster_encode(roster);
 	back = roster_decode(roster, encoded, strlen(encoded), 12);
 	g_assert_nonnull(back);
 	g_assert_cmpint(back->revision, ==, 12);
-	g_assert_true(roster_node(back, "p1")->gone);
-	g_assert_cmpuint(roster_node(back, "p2")->incarnation, ==, 6);
-	g_assert_cmpstr(roster_node(back, "p2")->zone, ==, "b");
+	g_assert_true(roster_find_node(back, "p1")->gone);
+	g_assert_cmpuint(roster_find_node(back, "p2")->incarnation, ==, 6);
+	g_assert_cmpstr(roster_find_node(back, "p2")->zone, ==, "b");
 	g_assert_cmpstr(back->writer, ==, "p2");
-	g_assert_cmpstr(roster_group(back, "core")->primary, ==, "m1");
-	g_assert_true(roster_group(back, "core")->changing);
-	g_assert_cmpuint(roster_group(back, "core")->term, ==, 4);
-	roster_put_group(back, "core", roster_group(back, "core")->primary, false, 4, 10);
-	g_assert_cmpstr(roster_group(back, "core")->primary, ==, "m1");
+	g_assert_cmpstr(roster_find_group(back, "core")->primary, ==, "m1");
+	g_assert_true(roster_find_group(back, "core")->changing);
+	g_assert_cmpuint(roster_find_group(back, "core")->term, ==, 4);
+	roster_put_group(back, "core", roster_find_group(back, "core")->primary, false, 4, 10);
+	g_assert_cmpstr(roster_find_group(back, "core")->primary, ==, "m1");
 	roster_remove_node(back, "p1");
-	g_assert_null(roster_node(back, "p1"));
+	g_assert_null(roster_find_node(back, "p1"));
 	g_assert_null(roster_decode(roster, "{\"nodes\":{\"a\":1}}", 17, 1));
 	g_assert_null(roster_decode(roster, "junk", 4, 1));
 	talloc_free(roster);
@@ -216,7 +216,7 @@
 	followed_t *self = followed_create();
 	size_t before;
 
-	self->follow.coalesce_time = FOLLOW_GATHER;
+	self->follow.coalesce_time = FOLLOW_COALESCE_TIME;
 	before = self->store->call_count;
 	for (int i = 0; i < 20; i++) {
 		char *key = g_strdup_printf("servers/m%d", i);
@@ -321,12 +321,13 @@
 	pass(self, 2 * USEC_PER_MSEC);
 	g_assert_cmpint(self->follow.revision, ==, 0);
 	self->client.refused = true;
-	follow_set_fed(&self->follow, true);
+	follow_set_from_peer(&self->follow, true);
 	pass(self, 1 * SEC);
-	follow_take(&self->follow, &told);
-	g_assert_cmpint(follow_changes(&self->follow, known, parent, &changes), ==, FOLLOW_CHANGED);
+	follow_apply_changes(&self->follow, &told);
+	g_assert_cmpint(follow_collect_changes(&self->follow, known, parent, &changes), ==,
+			FOLLOW_HAS_CHANGES);
 	g_assert_cmpint(changes.as_of, ==, 50);
-	g_assert_nonnull(follow_pack(&self->follow, known));
+	g_assert_nonnull(follow_pack_changes(&self->follow, known));
 	talloc_free(parent);
 	followed_destroy(self);
 }
@@ -339,11 +340,11 @@
 	const kv_item_t item = {.key = "servers/b", .value = "2", .len = 1, .revision = 50};
 	follow_changes_t told = {.as_of = 50, .items = &item, .count = 1};
 
-	follow_take(&self->follow, &told);
+	follow_apply_changes(&self->follow, &told);
 	g_assert_cmpstr(seen(self, "servers/b"), ==, "2");
 	g_assert_cmpint(self->follow.as_of, ==, 0);
 	told.complete = true;
-	follow_take(&self->follow, &told);
+	follow_apply_changes(&self->follow, &told);
 	g_assert_cmpint(self->follow.as_of, ==, 50);
 	followed_destroy(self);
 }
@@ -357,13 +358,13 @@
 	follow_changes_t told = {.complete = true, .as_of = 50, .items = &item, .count = 1};
 
 	pass(self, 100 * USEC_PER_MSEC);
-	g_assert_cmpuint(follow_unanswered(&self->follow), ==, 0);
+	g_assert_cmpuint(follow_unanswered_time(&self->follow), ==, 0);
 	self->client.refused = true;
 	follow_refresh(&self->follow);
 	pass(self, 1 * SEC);
-	g_assert_cmpuint(follow_unanswered(&self->follow), >=, 900 * USEC_PER_MSEC);
-	follow_take(&self->follow, &told);
-	g_assert_cmpuint(follow_unanswered(&self->follow), ==, 0);
+	g_assert_cmpuint(follow_unanswered_time(&self->follow), >=, 900 * USEC_PER_MSEC);
+	follow_apply_changes(&self->follow, &told);
+	g_assert_cmpuint(follow_unanswered_time(&self->follow), ==, 0);
 	followed_destroy(self);
 }
 
@@ -413,11 +414,11 @@
 {
 	void *parent = talloc_new(NULL);
 	follow_changes_t changes;
-	bool told =
-		follow_changes(&peer->follow, to->follow.as_of, parent, &changes) == FOLLOW_CHANGED;
+	bool told = follow_collect_changes(&peer->follow, to->follow.as_of, parent, &changes) ==
+		    FOLLOW_HAS_CHANGES;
 
 	if (told)
-		follow_take(&to->follow, &changes);
+		follow_apply_changes(&to->follow, &changes);
 	talloc_free(parent);
 	return told;
 }
@@ -454,16 +455,16 @@
 	pass(peer, SEC);
 	calls = fed->store->call_count;
 	g_assert_false(tell(peer, fed));
-	packed = follow_pack(&peer->follow, 0);
+	packed = follow_pack_changes(&peer->follow, 0);
 	g_test_message("%d members, %zu bytes", MEMBERS, strlen(packed));
 	g_assert_cmpuint(strlen(packed), <, 60 * MEMBERS);
-	g_assert_true(follow_pack(&peer->follow, 0) == packed);
-	g_assert_false(follow_open(&fed->follow, "zlib:9999 AAAA"));
-	g_assert_false(follow_open(&fed->follow, "{\"as_of\":7}"));
+	g_assert_true(follow_pack_changes(&peer->follow, 0) == packed);
+	g_assert_false(follow_apply_packed(&fed->follow, "zlib:9999 AAAA"));
+	g_assert_false(follow_apply_packed(&fed->follow, "{\"as_of\":7}"));
 	g_assert_cmpuint(g_hash_table_size(fed->seen), ==, 0);
-	g_assert_true(follow_open(&fed->follow, packed));
+	g_assert_true(follow_apply_packed(&fed->follow, packed));
 	g_assert_cmpuint(g_hash_table_size(fed->seen), ==, MEMBERS + 1);
-	follow_release(&fed->follow);
+	follow_start_deferred(&fed->follow);
 	pass(fed, SEC);
 	g_assert_cmpuint(fed->store->call_count, ==, calls);
 	fake_kv_put(peer->store, "servers/b", "1");
@@ -471,9 +472,9 @@
 	/* Changes, with what is missing, and not all of it again. */
 	fake_kv_put(peer->store, "servers/a", NULL);
 	pass(peer, 100 * MSEC);
-	packed = follow_pack(&peer->follow, fed->follow.as_of);
+	packed = follow_pack_changes(&peer->follow, fed->follow.as_of);
 	g_assert_cmpuint(strlen(packed), <, 200);
-	g_assert_true(follow_open(&fed->follow, packed));
+	g_assert_true(follow_apply_packed(&fed->follow, packed));
 	g_assert_cmpstr(seen(fed, "servers/b"), ==, "1");
 	pass(fed, 3 * SEC);
 	g_assert_null(seen(fed, "servers/a"));
@@ -490,18 +491,18 @@
 	const char *opened;
 	size_t len;
 
-	g_assert_cmpstr(pack_text(parent, "short", 5), ==, "short");
-	g_assert_cmpstr(pack_open(parent, "short", 5, &len), ==, "short");
-	while (text->len < 2 * PACK_LEAST)
+	g_assert_cmpstr(pack_compress(parent, "short", 5), ==, "short");
+	g_assert_cmpstr(pack_decompress(parent, "short", 5, &len), ==, "short");
+	while (text->len < 2 * PACK_MIN_BYTES)
 		g_string_append_printf(text, "{\"entry\":%zu},", text->len);
-	packed = pack_text(parent, text->str, text->len);
+	packed = pack_compress(parent, text->str, text->len);
 	g_assert_cmpuint(strlen(packed), <, text->len / 2);
-	opened = pack_open(parent, packed, strlen(packed), &len);
+	opened = pack_decompress(parent, packed, strlen(packed), &len);
 	g_assert_cmpuint(len, ==, text->len);
 	g_assert_cmpstr(opened, ==, text->str);
 	/* Cut off, and with a length that is not the text's. */
-	g_assert_null(pack_open(parent, packed, strlen(packed) / 2, &len));
-	g_assert_null(pack_open(parent, "zlib:99999999999999 eA==", 24, &len));
+	g_assert_null(pack_decompress(parent, packed, strlen(packed) / 2, &len));
+	g_assert_null(pack_decompress(parent, "zlib:99999999999999 eA==", 24, &len));
 	talloc_free(parent);
 	g_string_free(text, TRUE);
 }
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -346,7 +346,7 @@
 	while (step_of(world, holder) != CHANGE_COMMITTING)
 		world_run(world, MSEC);
 	write.expected = world->nodes[holder].pooler->sync.roster->revision;
-	text = talloc_strdup(NULL, roster_text(world->nodes[holder].pooler->sync.roster));
+	text = talloc_strdup(NULL, roster_encode(world->nodes[holder].pooler->sync.roster));
 	write.value = text;
 	world->nodes[holder].kv.cut = true;
 	world_kill(world, holder);
--- a/tests/test_pooler_relay.c
+++ b/tests/test_pooler_relay.c
@@ -125,7 +125,7 @@
 	world_settle(world);
 	node = find_other(world);
 	world->kv->lose_answers = 1;
-	g_assert_cmpint(commit(world, node).status, ==, KV_LOST);
+	g_assert_cmpint(commit(world, node).status, ==, KV_OUTCOME_UNKNOWN);
 	world_run(world, 1 * SEC);
 	g_assert_cmpstr(fake_kv_get(world->kv, "fleet/test"), ==, "a");
 	world_destroy(world);
@@ -141,7 +141,7 @@
 	node = find_other(world);
 	world->nodes[node].kv.cut = true;
 	/* The first one is lost, and tells that the store does not answer. */
-	g_assert_cmpint(commit(world, node).status, ==, KV_LOST);
+	g_assert_cmpint(commit(world, node).status, ==, KV_OUTCOME_UNKNOWN);
 	g_assert_true(relay_is_cut_off(world->nodes[node].pooler->relay));
 	g_assert_cmpint(commit(world, node).status, ==, KV_OK);
 	g_assert_cmpint(commit(world, node).status, ==, KV_CONFLICT);
@@ -165,7 +165,7 @@
 	node = find_other(world);
 	kv = pooler_store(world->nodes[node].pooler);
 	world->nodes[node].kv.cut = true;
-	g_assert_cmpint(commit(world, node).status, ==, KV_LOST);
+	g_assert_cmpint(commit(world, node).status, ==, KV_OUTCOME_UNKNOWN);
 	for (size_t i = 0; i < 3; i++)
 		world->nodes[i].cut_from_peers = true;
 	/* Its own access is tried again a second after it was lost. */
@@ -186,7 +186,7 @@
 	world_settle(world);
 	world->kv->down = true;
 	world_run(world, 2 * SEC);
-	g_assert_cmpint(commit(world, find_other(world)).status, ==, KV_LOST);
+	g_assert_cmpint(commit(world, find_other(world)).status, ==, KV_OUTCOME_UNKNOWN);
 	world->kv->down = false;
 	world_run(world, 3 * SEC);
 	for (size_t i = 0; i < 3; i++)
@@ -262,7 +262,7 @@
 	store_answer_t answer = {
 		.number = 2,
 		.result = {.status = KV_CONFLICT, .as_of = 8, .items = items, .count = 1}};
-	peer_message_t message = {.kind = PEER_STORE,
+	peer_message_t message = {.kind = PEER_STORE_REQUEST,
 				  .from = "p",
 				  .address = "q",
 				  .cut_off = true,
@@ -279,7 +279,7 @@
 	g_assert_null(back->store_request->writes[1].value);
 	free(text);
 	message = (peer_message_t){
-		.kind = PEER_STORED, .from = "p", .address = "q", .store_answer = &answer};
+		.kind = PEER_STORE_ANSWER, .from = "p", .address = "q", .store_answer = &answer};
 	text = fleet_encode(&message);
 	back = fleet_decode(parent, text, strlen(text));
 	g_assert_cmpint(back->store_answer->result.status, ==, KV_CONFLICT);
--- a/tests/test_pooler_restore.c
+++ b/tests/test_pooler_restore.c
@@ -75,7 +75,7 @@
 
 		g_assert_cmpint(kv_era(roster->revision), ==, 1);
 		g_assert_cmpint(roster->era, ==, 1);
-		g_assert_cmpstr(roster_group(roster, WORLD_SERVICE)->primary, ==, leader);
+		g_assert_cmpstr(roster_find_group(roster, WORLD_SERVICE)->primary, ==, leader);
 	}
 	g_assert_cmpuint(world_permitted(world, leader), ==, world->node_count);
 	world_destroy(world);
--- a/tests/test_pooler_roster.c
+++ b/tests/test_pooler_roster.c
@@ -32,7 +32,7 @@
 		roster_put_group(roster, service, "i-1", false, 3, 9);
 	}
 	roster->revision = revision;
-	talloc_free(roster_merge(NULL, adopted, roster));
+	talloc_free(roster_update(NULL, adopted, roster));
 	talloc_free(roster);
 	return adopted;
 }
@@ -48,13 +48,13 @@
 
 static void adopt(roster_t *roster, roster_t *next)
 {
-	talloc_free(roster_merge(NULL, roster, next));
+	talloc_free(roster_update(NULL, roster, next));
 	talloc_free(next);
 }
 
 static bool take(roster_t *roster, const char *text, int64_t revision)
 {
-	roster_diff_t *diff = roster_take(NULL, roster, text, strlen(text), revision);
+	roster_diff_t *diff = roster_apply_text(NULL, roster, text, strlen(text), revision);
 	bool taken = diff != NULL;
 
 	talloc_free(diff);
@@ -76,13 +76,14 @@
 
 	roster_put_group(next, "callout-7", "i-2", true, 3, 9);
 	adopt(teller, next);
-	changes = roster_changes(teller, 10);
+	changes = roster_encode_changes(teller, 10);
 	/* The whole is 32 KB, or 4 KB as it travels. */
 	g_assert_cmpuint(strlen(changes), <=, 150);
-	g_assert_cmpuint(strlen(roster_text(teller)), <=, 8 * 1024);
-	g_test_message("changes %zu B, whole %zu B", strlen(changes), strlen(roster_text(teller)));
+	g_assert_cmpuint(strlen(roster_encode(teller)), <=, 8 * 1024);
+	g_test_message("changes %zu B, whole %zu B", strlen(changes),
+		       strlen(roster_encode(teller)));
 	g_assert_true(take(listener, changes, 11));
-	g_assert_cmpstr(roster_text(listener), ==, roster_text(teller));
+	g_assert_cmpstr(roster_encode(listener), ==, roster_encode(teller));
 	talloc_free(listener);
 	talloc_free(teller);
 }
@@ -96,7 +97,7 @@
 	roster_t *teller = make_fleet(10);
 	roster_t *listener = make_fleet(10);
 	roster_t *next = next_of(teller);
-	const roster_node_t *other = roster_node(listener, "front-pikine-2");
+	const roster_node_t *other = roster_find_node(listener, "front-pikine-2");
 	int64_t nodes_revision = listener->nodes_revision;
 	const char *changes;
 	roster_diff_t *diff;
@@ -104,15 +105,15 @@
 	roster_put_group(next, "callout-7", "i-2", true, 3, 9);
 	roster_put_node(next, "front-pikine-3", "10.2.0.3:7440", "pikine", 77);
 	adopt(teller, next);
-	changes = roster_changes(teller, 10);
-	diff = roster_take(NULL, listener, changes, strlen(changes), 11);
+	changes = roster_encode_changes(teller, 10);
+	diff = roster_apply_text(NULL, listener, changes, strlen(changes), 11);
 	g_assert_cmpuint(diff->node_count, ==, 1);
 	g_assert_true(diff->nodes[0].registered);
 	g_assert_cmpuint(diff->group_count, ==, 1);
 	g_assert_cmpstr(diff->groups[0].was_primary, ==, "i-1");
 	g_assert_cmpuint(listener->changing_count, ==, 1);
 	g_assert_cmpuint(listener->node_count, ==, FLEET);
-	g_assert_true(roster_node(listener, "front-pikine-2") == other);
+	g_assert_true(roster_find_node(listener, "front-pikine-2") == other);
 	/* A process that started again is no other place: homes and hubs stay. */
 	g_assert_cmpint(listener->nodes_revision, ==, nodes_revision);
 	talloc_free(diff);
@@ -131,7 +132,7 @@
 	roster_t *third;
 
 	roster_remove_node(second, "front-pikine-3");
-	roster_node(second, "front-plateau-0")->gone = true;
+	roster_find_node(second, "front-plateau-0")->gone = true;
 	third = next_of(second);
 	roster_put_node(third, "front-plateau-0", "10.0.0.99:7440", "plateau", 5000);
 	adopt(teller, roster_copy(NULL, second));
@@ -141,10 +142,10 @@
 
 		if (since == 11)
 			adopt(listener, roster_copy(NULL, second));
-		g_assert_true(take(listener, roster_changes(teller, since), 12));
-		g_assert_null(roster_node(listener, "front-pikine-3"));
-		g_assert_false(roster_node(listener, "front-plateau-0")->gone);
-		g_assert_cmpstr(roster_node(listener, "front-plateau-0")->address, ==,
+		g_assert_true(take(listener, roster_encode_changes(teller, since), 12));
+		g_assert_null(roster_find_node(listener, "front-pikine-3"));
+		g_assert_false(roster_find_node(listener, "front-plateau-0")->gone);
+		g_assert_cmpstr(roster_find_node(listener, "front-plateau-0")->address, ==,
 				"10.0.0.99:7440");
 		g_assert_cmpuint(listener->node_count, ==, FLEET - 1);
 		talloc_free(listener);
@@ -166,8 +167,8 @@
 
 	roster_put_group(next, "callout-7", "i-2", false, 4, 9);
 	adopt(teller, next);
-	g_assert_cmpstr(roster_changes(teller, 9), ==, roster_text(teller));
-	g_assert_false(take(older, roster_changes(teller, 10), 11));
+	g_assert_cmpstr(roster_encode_changes(teller, 9), ==, roster_encode(teller));
+	g_assert_false(take(older, roster_encode_changes(teller, 10), 11));
 	g_assert_cmpint(older->revision, ==, 9);
 	talloc_free(older);
 	talloc_free(teller);
@@ -189,8 +190,8 @@
 		roster_remove_node(next, name);
 	}
 	adopt(teller, next);
-	g_assert_cmpstr(roster_changes(teller, 10), ==, roster_text(teller));
-	g_assert_true(take(listener, roster_text(teller), 11));
+	g_assert_cmpstr(roster_encode_changes(teller, 10), ==, roster_encode(teller));
+	g_assert_true(take(listener, roster_encode(teller), 11));
 	g_assert_cmpuint(listener->node_count, ==, FLEET - 2 * 59);
 	talloc_free(listener);
 	talloc_free(teller);
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -36,7 +36,8 @@
 	size_t count = 0;
 
 	list_for_each (it, &pooler->sync.reports)
-		count += upstream_listens(list_entry(it, peer_report_t, node), now_of(pooler));
+		count +=
+			upstream_is_downstream(list_entry(it, peer_report_t, node), now_of(pooler));
 	return count;
 }
 
@@ -125,7 +126,7 @@
 
 	g_assert_cmpstr(pooler->sync.upstream, ==, world->nodes[hub].name);
 	world->nodes[plain].kv.cut = true;
-	sync_set_holder(pooler, world->nodes[hub].name, world->nodes[hub].address,
+	sync_set_leader(pooler, world->nodes[hub].name, world->nodes[hub].address,
 			pooler->sync.fencing_token + 1);
 	world_freeze(world, hub);
 	world_run(world, 1 * SEC);
@@ -150,7 +151,7 @@
 			world_freeze(world, i);
 	}
 	world->new_links = true;
-	world_run(world, WIDE_FLEET * ASK_INTERVAL);
+	world_run(world, WIDE_FLEET * ASK_QUERY_INTERVAL);
 	for (size_t i = 0; i < WIDE_FLEET; i++)
 		links += world->nodes[plain].link_at[i] != 0;
 	g_assert_cmpuint(links, >=, 10);
@@ -300,11 +301,11 @@
 /* What a proxy that knows no configuration is told; false: none. */
 static bool is_told(pooler_t *pooler, const char *name)
 {
-	peer_message_t ask = {.kind = PEER_ASK, .config_as_of = 1};
+	peer_message_t ask = {.kind = PEER_QUERY, .config_as_of = 1};
 	peer_message_t state = {.kind = PEER_STATE};
 	void *parent = talloc_new(NULL);
 
-	refresh_describe(pooler, name, &ask, &state, parent);
+	refresh_fill_state(pooler, name, &ask, &state, parent);
 	talloc_free(parent);
 	return state.config_changes != NULL;
 }
@@ -338,7 +339,7 @@
 	g_assert_true(is_told(pooler, "p1"));
 	g_assert_false(is_told(pooler, "p1"));
 	g_assert_true(is_told(pooler, "p2"));
-	world_run(world, refresh_config_spacing(pooler));
+	world_run(world, refresh_config_interval(pooler));
 	g_assert_true(is_told(pooler, "p1"));
 	pooler_set_directory(pooler, NULL, NULL);
 	follow_stop(&config);
@@ -368,7 +369,7 @@
 	push_fleet(holder->pooler);
 	push_fleet(holder->pooler);
 	g_assert_cmpuint(holder->messages - before, ==, each);
-	g_assert_cmpuint(push_spacing(holder->pooler), ==, 100 * MSEC);
+	g_assert_cmpuint(push_interval(holder->pooler), ==, 100 * MSEC);
 	world_run(world, 160 * MSEC);
 	g_assert_cmpint(holder->pooler->sync.push_pending, ==, PUSH_NONE);
 	g_assert_cmpuint(holder->messages - before, >=, 2 * each);
@@ -405,11 +406,11 @@
 	const char *strong = pooler->config.name;
 
 	g_assert_false(upstream_is_hub(pooler));
-	roster_node(roster, strong)->capacity = 100;
+	roster_find_node(roster, strong)->capacity = 100;
 	roster->revision++;
 	adopt_roster(pooler, roster);
 	g_assert_true(upstream_is_hub(pooler));
-	g_assert_cmpuint(upstream_weight(roster_node(pooler->sync.roster, strong)), ==, 4);
+	g_assert_cmpuint(upstream_weight(roster_find_node(pooler->sync.roster, strong)), ==, 4);
 	world_destroy(world);
 }
 
