--- a/pooler/env.h
+++ b/pooler/env.h
@@ -185,7 +185,7 @@
 	size_t report_count;
 	usec_t report_age;
 	const char
-		*doubted_primaries; /* STATE: services whose primary does not answer the holder */
+		*suspected_primaries; /* STATE: services whose primary does not answer the holder */
 	/* ASK: services by name, as lists joined by blanks. */
 	const char *down;    /* their primary does not answer the sender */
 	const char *alive;   /* their primary answered the sender of late */
@@ -197,9 +197,9 @@
 	const store_answer_t *store_answer;
 	const quota_request_t *quota_request;
 	const quota_answer_t *quota_answer;
-	usec_t key_proof_age; /* STATE: of the proof that the sender's keys are the newest */
-	bool cut_off;	      /* the store does not serve the sender */
-	bool draining;	      /* the sender shuts down and takes no statements of others */
+	usec_t keys_confirmed_age; /* STATE: of the proof that the sender's keys are the newest */
+	bool cut_off;		   /* the store does not serve the sender */
+	bool draining;		   /* the sender shuts down and takes no statements of others */
 } peer_message_t;
 
 typedef enum { PROMOTE_OK, PROMOTE_REFUSED, PROMOTE_OUTCOME_UNKNOWN } promote_status_t;
--- a/pooler/exchange.c
+++ b/pooler/exchange.c
@@ -174,7 +174,7 @@
 	message.roster = news_of_roster(pooler, report, ask, now);
 	if (hold_is_ours(pooler, now))
 		message.change_ends = describe_ends(pooler, now, parent);
-	message.doubted_primaries = verdict_doubts(pooler, now, parent);
+	message.suspected_primaries = verdict_doubts(pooler, now, parent);
 	message.leader = sync->leader;
 	message.leader_address = sync->leader_address;
 	message.fencing_token = sync->fencing_token;
@@ -409,8 +409,8 @@
 		take_agreement(pooler, message);
 	if (message->change_ends != NULL)
 		take_ends(pooler, message->change_ends, now);
-	if (message->doubted_primaries != NULL && upstream_is_trusted(pooler, message->from))
-		verdict_on_doubts(pooler, message->doubted_primaries, now);
+	if (message->suspected_primaries != NULL && upstream_is_trusted(pooler, message->from))
+		verdict_on_doubts(pooler, message->suspected_primaries, now);
 	refresh_on_state(pooler, message, now);
 	sync_dispatch_waiting(pooler);
 }
--- a/pooler/refresh.c
+++ b/pooler/refresh.c
@@ -318,7 +318,7 @@
 	int64_t members_at = ask != NULL ? ask->members_as_of : report->members_as_of;
 
 	message->directory_age = directory_age(pooler, now_of(pooler));
-	message->key_proof_age = proof_age(&pooler->config_proof, now_of(pooler));
+	message->keys_confirmed_age = proof_age(&pooler->config_proof, now_of(pooler));
 	/* Who is told without having asked may have no need of all of it. */
 	if (ask != NULL || config_at != 0)
 		describe_config(pooler, report, config_at, message, parent);
@@ -354,10 +354,10 @@
 static void take_proof(pooler_t *pooler, const peer_message_t *message)
 {
 	if (pooler->routes == NULL || message->echo == 0 ||
-	    message->key_proof_age >= message->echo ||
+	    message->keys_confirmed_age >= message->echo ||
 	    message->config_version > pooler->routes->version)
 		return;
-	proof_extend(&pooler->config_proof, message->echo - message->key_proof_age);
+	proof_extend(&pooler->config_proof, message->echo - message->keys_confirmed_age);
 }
 
 void refresh_on_state(pooler_t *pooler, const peer_message_t *message, usec_t now)
