--- a/pooler/env.h
+++ b/pooler/env.h
@@ -1,7 +1,7 @@
 /*
- * What the pooler needs from outside: links to callers and members, messages to
- * other proxies, and the call that promotes a member. Implementations may not
- * call back into the pooler from within these functions.
+ * What the pooler needs from its environment: connections to callers and members, messages to other
+ * proxies, and the call that promotes a member. Implementations must not call back into the pooler
+ * from within these functions.
  */
 #pragma once
 
@@ -15,18 +15,19 @@
 
 typedef enum { REPLY_DONE, REPLY_ERROR, REPLY_RAW } caller_reply_kind_t;
 
-/* The one answer to a caller's statement. */
+/* The answer to a caller's statement; each statement gets exactly one. */
 typedef struct caller_reply {
 	caller_reply_kind_t kind;
-	slice_t raw; /* a member's whole reply, passed on as it is */
+	slice_t raw; /* a member's complete reply, passed on unchanged */
 	code_t code;
-	const char *text; /* reason, and when to come back; no line ends */
+	const char *text; /* reason, and when to retry; no line breaks */
 	tx_state_t tx;
 } caller_reply_t;
 
 typedef enum {
 	REQUEST_FORWARD, /* a caller's statement, text unchanged */
-	REQUEST_EXEC,	 /* a caller's EXEC under the name that the member knows */
+	REQUEST_EXEC,	 /* a caller's EXEC, by the name under which the member has prepared the
+			    statement */
 	REQUEST_BEGIN,
 	REQUEST_BEGIN_READ,
 	REQUEST_ROLLBACK,
@@ -41,9 +42,10 @@
 	request_kind_t kind;
 	const statement_t *statement; /* FORWARD, EXEC */
 	slice_t name;		      /* EXEC, SET, PREPARE */
-	slice_t value;		      /* SET: the value; PREPARE: the shape */
+	slice_t value;		      /* SET: the value; PREPARE: the statement */
 	bool writes;		      /* PREPARE */
-	bool has_after;		      /* FORWARD, EXEC, BEGIN_READ: the log must hold after */
+	bool has_after; /* FORWARD, EXEC, BEGIN_READ: the member's log must have reached the
+			   position after */
 	position_t after;
 	uint64_t term; /* DEMOTE */
 } member_request_t;
@@ -62,37 +64,38 @@
 } peer_message_kind_t;
 
 /*
- * PEER_FORWARD_REQUEST: a statement that the sender can't get to a member. In a transaction,
- * ROLLBACK is its end, which has no result.
+ * PEER_FORWARD_REQUEST: a statement for which the sender has no connection to a member. Within a
+ * transaction, ROLLBACK ends the transaction and gets no result.
  */
 typedef struct forward_request {
-	uint64_t number; /* the sender's, comes back with the result */
+	uint64_t number; /* chosen by the sender; the result carries it */
 	const char *database;
 	const char *customer;
-	usec_t time_left; /* until the sender gives up */
+	usec_t time_left; /* time until the sender stops waiting */
 	const statement_t *statement;
-	slice_t shape; /* EXEC: what its name stands for */
+	slice_t shape; /* EXEC: the statement that its name stands for */
 	const variables_t *variables;
 	bool has_commit;
-	position_t commit;	 /* the session's last one */
-	uint64_t transaction;	 /* the sender's number of the transaction; 0: a lone statement */
-	bool begins_transaction; /* its first statement */
+	position_t commit;	 /* position of the session's last commit */
+	uint64_t transaction;	 /* the sender's number of the transaction; 0: a single statement
+				    outside a transaction */
+	bool begins_transaction; /* this is the transaction's first statement */
 	bool read_only;
 } forward_request_t;
 
-/* PEER_FORWARD_RESULT: what came of it. */
+/* PEER_FORWARD_RESULT: the outcome of a forwarded statement. */
 typedef struct forward_result {
 	uint64_t number;
-	bool is_raw; /* a member's reply; else code and text say why there is none */
+	bool is_raw; /* raw holds a member's reply; else code and text say why there is none */
 	slice_t raw;
 	bool ok;
 	bool has_position;
 	position_t position;
-	const char *member; /* that ran it, "" if none did */
+	const char *member; /* member that ran the statement; "": none */
 	code_t code;
 	const char *text;
 	tx_state_t tx;
-	bool declined; /* the receiver did not take it at all */
+	bool declined; /* the receiver did not accept the statement */
 } forward_result_t;
 
 typedef enum {
@@ -103,9 +106,12 @@
 	STORE_LEASE_END,
 } store_op_t;
 
-/* PEER_STORE_REQUEST: a call to the store that does not serve the sender. */
+/*
+ * PEER_STORE_REQUEST: a store call that the receiver makes for a sender that cannot reach the
+ * store.
+ */
 typedef struct store_request {
-	uint64_t number; /* the sender's, comes back with the answer */
+	uint64_t number; /* chosen by the sender; the answer carries it */
 	store_op_t op;
 	const char *prefix;	  /* RANGE */
 	const char *after;	  /* RANGE */
@@ -115,127 +121,146 @@
 	int64_t ttl_ms;		  /* LEASE_CREATE */
 } store_request_t;
 
-/* PEER_STORE_ANSWER: the store's answer to it; KV_REFUSED if the receiver can't make the call
- * either. */
+/* PEER_STORE_ANSWER: the store's answer; KV_REFUSED if the receiver cannot make the call either. */
 typedef struct store_answer {
 	uint64_t number;
 	kv_result_t result;
 } store_answer_t;
 
-/* PEER_QUOTA_REQUEST: operations of a customer that are about to begin; see quota.h. */
+/*
+ * PEER_QUOTA_REQUEST: asks the owner of a limit shard for tokens, one for each operation that a
+ * customer is about to begin; see quota.h.
+ */
 typedef struct quota_request {
-	uint64_t number; /* the sender's, comes back with the answer */
+	uint64_t number; /* chosen by the sender; the answer carries it */
 	const char *customer;
 	unsigned shard;
 	unsigned wanted;
-	bool release; /* the sender is the seat's keeper now: give nothing more for it */
+	bool release; /* the sender owns the shard now: grant no more tokens for it */
 } quota_request_t;
 
-/* PEER_QUOTA_ANSWER: how many of them may. */
+/* PEER_QUOTA_ANSWER: the tokens that were granted. */
 typedef struct quota_answer {
 	uint64_t number;
 	const char *customer;
 	unsigned granted;
-	bool not_owner; /* the sender is not the seat's keeper, or not yet */
-	bool release;	/* it answers a request to release the seat */
-	bool released;	/* to a request for it: the sender was the keeper, and gives nothing more */
-	usec_t retry_after; /* if there were too few: before that nobody needs to ask again */
+	bool not_owner; /* the sender does not own the shard, or not yet */
+	bool release;	/* answers a request with release set */
+	bool released;	/* answers release: the sender owned the shard and grants no more tokens for
+			   it */
+	usec_t retry_after; /* with too few tokens: time until another request makes sense */
 } quota_answer_t;
 
-/* Between proxies. Each is complete in itself; any may be lost or repeated. */
+/* A message between proxies. Each message is complete in itself; any may be lost or repeated. */
 typedef struct peer_message {
 	peer_message_kind_t kind;
 	const char *from;
 	const char *address; /* of the sender */
 	const char *zone;    /* of the sender */
-	int64_t capacity;    /* of the sender; see roster_node_t */
+	int64_t capacity;    /* of the sender; see roster_node_t.capacity */
 	uint64_t incarnation;
-	uint64_t echo;	  /* ASK: when it was sent, by its sender's clock; STATE: the same back */
+	uint64_t echo; /* QUERY: when the query was sent, by its sender's clock; STATE: the query's
+			  value, returned */
 	int64_t revision; /* of the roster that the sender holds */
 	int64_t config_version;
-	uint64_t members_digest; /* of the list of members that the sender holds */
-	int64_t fleet_size;	 /* ASK: proxies that the sender has seen on the roster for
+	uint64_t members_digest; /* digest of the sender's list of members */
+	int64_t fleet_size;	 /* QUERY: proxies that the sender has seen on the roster for
 				    PERMIT_TOGETHER */
-	usec_t roster_age;	 /* STATE: since the store was asked, USEC_NEVER: never */
-	const char *roster;	 /* STATE: the roster if the receiver's is older, else NULL */
-	const char *leader;	 /* STATE: who holds the duty to promote, NULL if unknown */
-	uint64_t fencing_token;	 /* STATE: the holder's */
+	usec_t roster_age;  /* STATE: time since the read of the store that confirmed the roster;
+			       USEC_NEVER: never */
+	const char *roster; /* STATE: the roster, or its changes, if the receiver's is older; else
+			       NULL */
+	const char *leader; /* STATE: the leader; NULL if unknown */
+	uint64_t fencing_token; /* STATE: of the leader */
 	const char *leader_address;
-	const char *change_ends; /* STATE of the holder: changes under way, "SERVICE:MS " until
-				    their end */
-	usec_t leader_age; /* STATE: since the sender heard the holder; USEC_NEVER: it has not */
-	usec_t quorum_age; /* STATE: since more than half were known to agree; USEC_NEVER: never */
-	const char *agreements; /* STATE of a hub: who agrees, and since when, "PROXY:MS " each */
-	usec_t directory_age;	/* STATE: of what the sender knows of the directory */
-	/* ASK: what the sender has been told of configuration and members. */
+	const char *change_ends; /* STATE of the leader: changes of primary in progress and the time
+				    left for each, as a list of "SERVICE:MS " */
+	usec_t leader_age;	 /* STATE: time since the sender last received the leader's state;
+				    USEC_NEVER: never */
+	usec_t quorum_age; /* STATE: time since more than half of the fleet was known to agree on
+			      the roster; USEC_NEVER: never */
+	const char *agreements; /* STATE of a hub: downstream proxies that agree on the roster and
+				   for how long, as a list of "PROXY:MS " */
+	usec_t directory_age;	/* STATE: age of the sender's directory */
+	/* QUERY: revisions of configuration and members that the sender has received. */
 	int64_t config_as_of;
 	int64_t members_as_of;
-	/* STATE: what it lacks; NULL: nothing. */
+	/* STATE: changes that the receiver lacks; NULL: none. */
 	const follow_changes_t *config_changes;
 	const follow_changes_t *members_changes;
-	/* STATE: the same where it is much, by follow_pack_changes(); NULL: it is not. */
+	/*
+	 * STATE: the same as compressed text, by follow_pack_changes(), if it is large; else NULL.
+	 */
 	const char *config_packed;
 	const char *members_packed;
-	bool read_directory; /* STATE: what the receiver lacks is too much to be told */
+	bool read_directory; /* STATE: the receiver lacks more than fits a message, and is to read
+				it from the store */
 	/*
-	 * ASK of a hub: the questions of those that ask it, with their age; with address and zone
-	 * if they want to be added to the roster.
+	 * QUERY of a hub: the latest queries of its downstream proxies, with their age; with
+	 * address and zone if these proxies are to be added to the roster.
 	 */
 	const struct peer_message *reports;
 	size_t report_count;
 	usec_t report_age;
 	const char
-		*suspected_primaries; /* STATE: services whose primary does not answer the holder */
-	/* ASK: services by name, as lists joined by blanks. */
-	const char *down;    /* their primary does not answer the sender */
-	const char *alive;   /* their primary answered the sender of late */
-	const char *failing; /* their primary fails a good part of the sender's statements */
-	const char *in_use;  /* under change, and the sender still has work on the primary */
+		*suspected_primaries; /* STATE: services whose primary does not answer the leader */
+	/* QUERY: lists of service names, separated by spaces. */
+	const char *down;    /* the primary does not answer the sender */
+	const char *alive;   /* the primary has answered the sender within ALIVE_WITHIN */
+	const char *failing; /* the primary fails many of the sender's statements; see outlier.h */
+	const char *in_use;  /* the primary is being replaced and the sender still has work on it */
 	const forward_request_t *request;
 	const forward_result_t *result;
 	const store_request_t *store_request;
 	const store_answer_t *store_answer;
 	const quota_request_t *quota_request;
 	const quota_answer_t *quota_answer;
-	usec_t keys_confirmed_age; /* STATE: of the proof that the sender's keys are the newest */
-	bool cut_off;		   /* the store does not serve the sender */
-	bool draining;		   /* the sender shuts down and takes no statements of others */
+	usec_t keys_confirmed_age; /* STATE: time since the sender's configuration and keys were
+				      confirmed to be current */
+	bool cut_off;		   /* the sender's own calls to the store fail */
+	bool draining; /* the sender is shutting down and accepts no forwarded statements */
 } peer_message_t;
 
 typedef enum { PROMOTE_OK, PROMOTE_REFUSED, PROMOTE_OUTCOME_UNKNOWN } promote_status_t;
 
-/* What came of closing a caller's session. */
+/* Result of closing a caller's session. */
 typedef enum {
 	CLOSE_DONE,
-	CLOSE_INPUT_UNREAD,  /* the caller has sent something that was not handed in yet */
-	CLOSE_INPUT_PARTIAL, /* the caller has sent a part of a statement */
-	CLOSE_OUTPUT_UNSENT, /* an answer to it has not left yet; caller_on_sent() follows */
+	CLOSE_INPUT_UNREAD,  /* not closed: input from the caller has not been read yet */
+	CLOSE_INPUT_PARTIAL, /* not closed: the caller has sent part of a statement */
+	CLOSE_OUTPUT_UNSENT, /* not closed: an answer to the caller has not been sent yet;
+				caller_on_sent() follows */
 } close_result_t;
 
 typedef struct env_ops {
 	void (*caller_reply)(struct env *env, void *link, const caller_reply_t *reply);
-	/* Close now, unless something of the caller is under way: then it stays open. */
+	/*
+	 * Closes the session now, unless input or output of the caller is pending: then it stays
+	 * open.
+	 */
 	close_result_t (*caller_close)(struct env *env, void *link);
-	/* Close now, whatever is under way. */
+	/* Closes the session now, even if input or output is pending. */
 	void (*caller_abort)(struct env *env, void *link);
-	/* NULL if it fails at once; else conn_on_ready or conn_on_down follows. */
+	/*
+	 * Returns NULL if the connection fails at once; else conn_on_ready or conn_on_down follows.
+	 */
 	void *(*member_connect)(struct env *env, const char *address, const char *service,
 				const char *customer, const char *member, struct conn *conn);
 	void (*member_send)(struct env *env, void *link, const member_request_t *requests,
 			    size_t count);
 	void (*member_close)(struct env *env, void *link);
-	/* False: it was certainly not sent. */
+	/* Returns false if the message was certainly not sent. */
 	bool (*peer_send)(struct env *env, const char *name, const char *address,
 			  const peer_message_t *message);
-	/* pooler_on_promoted follows. */
+	/* Asks the platform to promote a member; pooler_on_promoted follows. */
 	void (*promote)(struct env *env, const char *service, const char *member,
 			const char *holder, uint64_t fence);
-	/* Read the configuration or the list of members again; what is new follows. */
+	/* Reads the whole configuration or list of members again; changes are reported as usual. */
 	void (*refresh_config)(struct env *env);
 	void (*refresh_members)(struct env *env);
-	/* Take no new callers. */
+	/* Stops accepting callers. */
 	void (*stop_accepting)(struct env *env);
-	/* All callers are gone after pooler_drain(). */
+	/* Reports that no callers are left after pooler_drain(). */
 	void (*drained)(struct env *env);
 } env_ops_t;
 
--- a/pooler/follow.c
+++ b/pooler/follow.c
@@ -13,37 +13,44 @@
 #include "counter.h"
 #include "log.h"
 
-/* One call of a watch: few calls, and the store allows 30 s. */
+/* Longest wait of one watch call: long for few calls, and below the store's limit of 30 s. */
 #define WATCH_WAIT_MSEC 20000
-/* Back-off after a failed call: doubles from the first to the last, plus up to as much jitter. */
+/*
+ * Back-off after a failed call: doubles from BACKOFF_FIRST, BACKOFF_DOUBLINGS times at most, and up
+ * to as much jitter is added.
+ */
 #define BACKOFF_FIRST	  (100 * USEC_PER_MSEC)
 #define BACKOFF_DOUBLINGS 4
-/* Owners whose entries lapsed with the store have them back within 2 s of its return. */
-#define RETURN_TIME (2300 * USEC_PER_MSEC)
+/*
+ * Owners whose entries expired in an outage of the store have written them again within 2 s of its
+ * return.
+ */
+#define REMOVAL_DELAY (2300 * USEC_PER_MSEC)
 
 COUNTER_DEFINE(reads_total, "follow_reads_total", COUNTER_SUM,
-	       "Whole readings of a followed prefix.");
+	       "Full reads of a followed store prefix.");
 COUNTER_DEFINE(failures_total, "follow_failures_total", COUNTER_SUM,
 	       "Failed calls while following a prefix.");
 
-/* Keys told as gone that are remembered; whoever has missed more is told all of it. */
-#define GONE_MAX 64
+/* Removed keys that are remembered; a proxy that has missed more is sent everything. */
+#define REMOVED_MAX 64
 
-typedef struct known {
-	list_t node;	   /* in follow_t.keys, or in follow_t.gone */
-	UT_hash_handle hh; /* in follow_t.by_key, as long as it is in keys */
+typedef struct follow_entry {
+	list_t node;	   /* in follow_t.keys or follow_t.removed */
+	UT_hash_handle hh; /* in follow_t.by_key while it is in keys */
 	char *key;
 	char *value;
 	size_t len;
-	int64_t revision;     /* of the item, or of its end */
-	int64_t told;	      /* follow_t.told when it was learnt: a watch can miss a change */
-	uint64_t round;	      /* of the reading that saw it last */
-	usec_t missing_since; /* USEC_NEVER: it is there */
-} known_t;
+	int64_t revision;	  /* of the item, or of its removal */
+	int64_t receipt_revision; /* follow_t.as_of when the change was received; later than
+				     revision if a watch had missed the change */
+	uint64_t round;		  /* number of the last full read that contained it */
+	usec_t missing_since;	  /* USEC_NEVER: it is present */
+} follow_entry_t;
 
-static void go_on(follow_t *follow);
+static void make_due_calls(follow_t *follow);
 
-const char *follow_source_text(follow_source_t way)
+const char *follow_source_text(follow_source_t source)
 {
 	static const char *const texts[] = {
 		[FOLLOW_SOURCE_READ] = "reading",
@@ -51,114 +58,120 @@
 		[FOLLOW_SOURCE_PEER] = "peer",
 	};
 
-	return texts[way];
+	return texts[source];
 }
 
-static known_t *find(const follow_t *follow, const char *key)
+static follow_entry_t *find_entry(const follow_t *follow, const char *key)
 {
-	known_t *known;
+	follow_entry_t *entry;
 
-	HASH_FIND_STR(follow->by_key, key, known);
-	return known;
+	HASH_FIND_STR(follow->by_key, key, entry);
+	return entry;
 }
 
-/* --- what is there, and what is not --- */
+/* --- present and missing entries --- */
 
-static void forget_gone(follow_t *follow, const char *key)
+static void forget_removed(follow_t *follow, const char *key)
 {
 	list_for_each_safe (it, &follow->removed) {
-		known_t *known = list_entry(it, known_t, node);
+		follow_entry_t *entry = list_entry(it, follow_entry_t, node);
 
-		if (strcmp(known->key, key) != 0)
+		if (strcmp(entry->key, key) != 0)
 			continue;
-		list_del(&known->node);
-		talloc_free(known);
+		list_del(&entry->node);
+		talloc_free(entry);
 	}
 }
 
-/* What is read again may be older than what peers were told, and has to be told all the same. */
-static int64_t learnt_at(const follow_t *follow, int64_t revision)
+/*
+ * A full read may bring a change older than what was sent to peers. The change still has to be sent
+ * to them, so it counts with the revision of the read.
+ */
+static int64_t receipt_revision_of(const follow_t *follow, int64_t revision)
 {
 	return follow->applying_page && follow->read_revision > revision ? follow->read_revision
 									 : revision;
 }
 
-static void take_item(follow_t *follow, const kv_item_t *item)
+static void apply_item(follow_t *follow, const kv_item_t *item)
 {
-	known_t *known = find(follow, item->key);
+	follow_entry_t *entry = find_entry(follow, item->key);
 
-	if (known == NULL) {
-		known = talloc_zero(follow->parent, known_t);
-		known->key = talloc_strdup(known, item->key);
-		list_add_tail(&follow->keys, &known->node);
-		HASH_ADD_KEYPTR(hh, follow->by_key, known->key, strlen(known->key), known);
-		forget_gone(follow, item->key);
+	if (entry == NULL) {
+		entry = talloc_zero(follow->parent, follow_entry_t);
+		entry->key = talloc_strdup(entry, item->key);
+		list_add_tail(&follow->keys, &entry->node);
+		HASH_ADD_KEYPTR(hh, follow->by_key, entry->key, strlen(entry->key), entry);
+		forget_removed(follow, item->key);
 	}
-	known->round = follow->read_round;
-	/* A reading may be older than what a watch has told meanwhile. */
-	if (item->revision <= known->revision && known->missing_since == USEC_NEVER)
+	entry->round = follow->read_round;
+	/* The read may be older than what the watch has brought meanwhile. */
+	if (item->revision <= entry->revision && entry->missing_since == USEC_NEVER)
 		return;
-	known->revision = item->revision;
-	known->missing_since = USEC_NEVER;
-	talloc_free(known->value);
-	known->value = talloc_memdup(known, item->value, item->len);
-	known->len = item->len;
-	known->told = learnt_at(follow, item->revision);
+	entry->revision = item->revision;
+	entry->missing_since = USEC_NEVER;
+	talloc_free(entry->value);
+	entry->value = talloc_memdup(entry, item->value, item->len);
+	entry->len = item->len;
+	entry->receipt_revision = receipt_revision_of(follow, item->revision);
 	follow->ops->on_changed(follow, item);
 }
 
-static void tell_gone(follow_t *follow, known_t *known)
+static void report_removed(follow_t *follow, follow_entry_t *entry)
 {
-	follow->ops->on_removed(follow, known->key);
-	HASH_DEL(follow->by_key, known);
-	list_del(&known->node);
-	list_add_tail(&follow->removed, &known->node);
-	if (list_length(&follow->removed) <= GONE_MAX)
+	follow->ops->on_removed(follow, entry->key);
+	HASH_DEL(follow->by_key, entry);
+	list_del(&entry->node);
+	list_add_tail(&follow->removed, &entry->node);
+	if (list_length(&follow->removed) <= REMOVED_MAX)
 		return;
-	known = list_entry(follow->removed.next, known_t, node);
-	follow->complete_since = known->revision;
-	list_del(&known->node);
-	talloc_free(known);
+	entry = list_entry(follow->removed.next, follow_entry_t, node);
+	follow->complete_since = entry->revision;
+	list_del(&entry->node);
+	talloc_free(entry);
 }
 
-static void on_sweep(run_timer_t *timer, usec_t now);
+static void on_removal_timer(run_timer_t *timer, usec_t now);
 
-static void arm_sweep(follow_t *follow, usec_t at)
+static void arm_removal_timer(follow_t *follow, usec_t at)
 {
 	if (!timer_is_armed(&follow->removal_timer))
-		timers_arm(follow->timers, &follow->removal_timer, at, on_sweep);
+		timers_arm(follow->timers, &follow->removal_timer, at, on_removal_timer);
 }
 
-static void on_sweep(run_timer_t *timer, usec_t now)
+static void on_removal_timer(run_timer_t *timer, usec_t now)
 {
 	follow_t *follow = list_entry(timer, follow_t, removal_timer);
 	usec_t next = USEC_NEVER;
 
 	list_for_each_safe (it, &follow->keys) {
-		known_t *known = list_entry(it, known_t, node);
+		follow_entry_t *entry = list_entry(it, follow_entry_t, node);
 
-		if (known->missing_since == USEC_NEVER)
+		if (entry->missing_since == USEC_NEVER)
 			continue;
-		if (now >= known->missing_since + RETURN_TIME)
-			tell_gone(follow, known);
-		else if (known->missing_since + RETURN_TIME < next)
-			next = known->missing_since + RETURN_TIME;
+		if (now >= entry->missing_since + REMOVAL_DELAY)
+			report_removed(follow, entry);
+		else if (entry->missing_since + REMOVAL_DELAY < next)
+			next = entry->missing_since + REMOVAL_DELAY;
 	}
 	if (next != USEC_NEVER)
-		arm_sweep(follow, next);
+		arm_removal_timer(follow, next);
 }
 
-/* It may have lapsed with the store only; told as gone if it stays away. */
-static void set_missing(follow_t *follow, known_t *known, int64_t revision)
+/*
+ * The entry may only have expired in an outage of the store, so it is reported as removed if it
+ * stays missing for REMOVAL_DELAY.
+ */
+static void set_missing(follow_t *follow, follow_entry_t *entry, int64_t revision)
 {
 	usec_t now = clock_now(follow->clock);
 
-	if (known->missing_since != USEC_NEVER)
+	if (entry->missing_since != USEC_NEVER)
 		return;
-	known->missing_since = now;
-	known->revision = revision;
-	known->told = learnt_at(follow, revision);
-	arm_sweep(follow, now + RETURN_TIME);
+	entry->missing_since = now;
+	entry->revision = revision;
+	entry->receipt_revision = receipt_revision_of(follow, revision);
+	arm_removal_timer(follow, now + REMOVAL_DELAY);
 }
 
 /* --- failures --- */
@@ -166,16 +179,16 @@
 static void on_page_retry(run_timer_t *timer, usec_t now)
 {
 	(void)now;
-	go_on(list_entry(timer, follow_t, page_retry.timer));
+	make_due_calls(list_entry(timer, follow_t, page_retry.timer));
 }
 
 static void on_watch_retry(run_timer_t *timer, usec_t now)
 {
 	(void)now;
-	go_on(list_entry(timer, follow_t, watch_retry.timer));
+	make_due_calls(list_entry(timer, follow_t, watch_retry.timer));
 }
 
-static usec_t backoff(follow_t *follow, unsigned failures)
+static usec_t backoff_time(follow_t *follow, unsigned failures)
 {
 	unsigned doublings = failures < BACKOFF_DOUBLINGS ? failures : BACKOFF_DOUBLINGS;
 	usec_t base = BACKOFF_FIRST << doublings;
@@ -185,38 +198,39 @@
 	return base + (follow->random_state >> 33) % base;
 }
 
-/* Log the failure, and try again after the back-off. */
-static void retry_later(follow_t *follow, follow_retry_t *retry, follow_source_t way,
+/* Logs the failure and arms the timer of the next attempt. */
+static void retry_later(follow_t *follow, follow_retry_t *retry, follow_source_t source,
 			kv_status_t status, timer_cb_t on_retry)
 {
-	usec_t wait = backoff(follow, retry->failures);
+	usec_t wait = backoff_time(follow, retry->failures);
 
 	counter_add(&failures_total, 1);
 	if (retry->failures == 0)
-		LOG_EVENT(LOG_WARN, "store lost", LOG_STR("prefix", follow->prefix),
-			  LOG_STR("call", follow_source_text(way)), LOG_INT("status", status),
+		LOG_EVENT(LOG_WARN, "store call failed", LOG_STR("prefix", follow->prefix),
+			  LOG_STR("call", follow_source_text(source)), LOG_INT("status", status),
 			  LOG_INT("retry_ms", (int64_t)(wait / USEC_PER_MSEC)));
 	else
-		LOG_EVENT(LOG_INFO, "store lost still", LOG_STR("prefix", follow->prefix),
-			  LOG_STR("call", follow_source_text(way)), LOG_INT("status", status),
+		LOG_EVENT(LOG_INFO, "store call failed again", LOG_STR("prefix", follow->prefix),
+			  LOG_STR("call", follow_source_text(source)), LOG_INT("status", status),
 			  LOG_INT("failures", retry->failures),
 			  LOG_INT("retry_ms", (int64_t)(wait / USEC_PER_MSEC)));
 	retry->failures++;
 	timers_arm(follow->timers, &retry->timer, clock_now(follow->clock) + wait, on_retry);
 }
 
-static void note_success(const follow_t *follow, follow_retry_t *retry, follow_source_t way)
+static void clear_failures(const follow_t *follow, follow_retry_t *retry, follow_source_t source)
 {
 	if (retry->failures != 0)
-		LOG_EVENT(LOG_INFO, "store back", LOG_STR("prefix", follow->prefix),
-			  LOG_STR("call", follow_source_text(way)),
+		LOG_EVENT(LOG_INFO, "store call succeeded after failures",
+			  LOG_STR("prefix", follow->prefix),
+			  LOG_STR("call", follow_source_text(source)),
 			  LOG_INT("failures", retry->failures));
 	retry->failures = 0;
 }
 
-/* --- reading all --- */
+/* --- full reads --- */
 
-static void start_reading(follow_t *follow)
+static void start_read(follow_t *follow)
 {
 	counter_add(&reads_total, 1);
 	follow->reading = true;
@@ -226,25 +240,25 @@
 	follow->last_key = NULL;
 }
 
-static void advance(follow_t *follow, int64_t revision)
+static void advance_as_of(follow_t *follow, int64_t revision)
 {
 	if (revision > follow->as_of)
 		follow->as_of = revision;
 }
 
-static void end_reading(follow_t *follow)
+static void finish_read(follow_t *follow)
 {
 	if (follow->revision == 0) {
 		follow->revision = follow->read_revision;
 		follow->complete_since = follow->read_revision;
 	}
-	advance(follow, follow->read_revision);
+	advance_as_of(follow, follow->read_revision);
 	list_for_each (it, &follow->keys) {
-		known_t *known = list_entry(it, known_t, node);
+		follow_entry_t *entry = list_entry(it, follow_entry_t, node);
 
-		/* What was written after the reading began can't be in it. */
-		if (known->round < follow->read_round && known->revision <= follow->read_revision)
-			set_missing(follow, known, follow->read_revision);
+		/* An entry written after the read began cannot be in the read. */
+		if (entry->round < follow->read_round && entry->revision <= follow->read_revision)
+			set_missing(follow, entry, follow->read_revision);
 	}
 	follow->reading = false;
 	follow->unanswered_since = 0;
@@ -260,19 +274,22 @@
 			    on_page_retry);
 		return;
 	}
-	note_success(follow, &follow->page_retry, FOLLOW_SOURCE_READ);
+	clear_failures(follow, &follow->page_retry, FOLLOW_SOURCE_READ);
 	if (!follow->reading) {
-		/* A peer has told all of it meanwhile. */
-		go_on(follow);
+		/* A peer has sent everything meanwhile. */
+		make_due_calls(follow);
 		return;
 	}
-	/* Pages are read at different moments; watching from the first one misses nothing. */
+	/*
+	 * Pages are read at different revisions; a watch from the first page's revision on misses
+	 * nothing.
+	 */
 	if (follow->read_revision == 0)
 		follow->read_revision = result->as_of;
 	follow->applying_page = true;
 	follow->source = FOLLOW_SOURCE_READ;
 	for (size_t i = 0; i < result->count; i++)
-		take_item(follow, &result->items[i]);
+		apply_item(follow, &result->items[i]);
 	follow->applying_page = false;
 	talloc_free(follow->last_key);
 	follow->last_key = NULL;
@@ -280,34 +297,34 @@
 		follow->last_key =
 			talloc_strdup(follow->parent, result->items[result->count - 1].key);
 	else
-		end_reading(follow);
+		finish_read(follow);
 	if (!follow->reading && follow->ops->on_read != NULL)
 		follow->ops->on_read(follow, follow->read_started_at);
-	go_on(follow);
+	make_due_calls(follow);
 }
 
 /* --- watching --- */
 
-static void take_events(follow_t *follow, const kv_item_t *items, size_t count)
+static void apply_events(follow_t *follow, const kv_item_t *items, size_t count)
 {
 	for (size_t i = 0; i < count; i++) {
 		const kv_item_t *item = &items[i];
-		known_t *known = find(follow, item->key);
+		follow_entry_t *entry = find_entry(follow, item->key);
 
 		if (item->value != NULL)
-			take_item(follow, item);
-		else if (known != NULL && item->revision > known->revision)
-			set_missing(follow, known, item->revision);
+			apply_item(follow, item);
+		else if (entry != NULL && item->revision > entry->revision)
+			set_missing(follow, entry, item->revision);
 	}
 }
 
-/* A peer may still read for us what the watch would have told. */
+/* A peer may still relay a full read, which brings what the watch would have brought. */
 static void on_watch_failure(follow_t *follow, kv_status_t status)
 {
 	retry_later(follow, &follow->watch_retry, FOLLOW_SOURCE_WATCH, status, on_watch_retry);
 	if (!follow->from_peer && !follow->reading)
-		start_reading(follow);
-	go_on(follow);
+		start_read(follow);
+	make_due_calls(follow);
 }
 
 static void on_events(void *data, const kv_result_t *result)
@@ -316,30 +333,30 @@
 
 	follow->watching = false;
 	if (result->status == KV_COMPACTED) {
-		LOG_EVENT(LOG_INFO, "history is gone, reading all again",
+		LOG_EVENT(LOG_INFO, "store history was compacted, reading the whole prefix",
 			  LOG_STR("prefix", follow->prefix), LOG_INT("revision", follow->revision));
 		follow->revision = 0;
-		start_reading(follow);
-		go_on(follow);
+		start_read(follow);
+		make_due_calls(follow);
 		return;
 	}
 	if (result->status != KV_OK) {
 		on_watch_failure(follow, result->status);
 		return;
 	}
-	note_success(follow, &follow->watch_retry, FOLLOW_SOURCE_WATCH);
+	clear_failures(follow, &follow->watch_retry, FOLLOW_SOURCE_WATCH);
 	follow->source = FOLLOW_SOURCE_WATCH;
-	take_events(follow, result->items, result->count);
+	apply_events(follow, result->items, result->count);
 	follow->revision = result->as_of;
-	advance(follow, result->as_of);
+	advance_as_of(follow, result->as_of);
 	if (follow->coalesce_time != 0 && result->count != 0)
 		timers_arm(follow->timers, &follow->watch_retry.timer,
 			   clock_now(follow->clock) + follow->coalesce_time, on_watch_retry);
-	go_on(follow);
+	make_due_calls(follow);
 }
 
-/* Make the calls that are due: the next page, the next watch, or both. */
-static void go_on(follow_t *follow)
+/* Makes the calls that are due: the next page, the next watch, or both. */
+static void make_due_calls(follow_t *follow)
 {
 	if (follow->reading && !follow->page_in_flight &&
 	    !timer_is_armed(&follow->page_retry.timer)) {
@@ -370,14 +387,14 @@
 {
 	follow->read_deferred = false;
 	if (timer_is_armed(&follow->page_retry.timer))
-		LOG_EVENT(LOG_INFO, "reading waits for the back-off",
+		LOG_EVENT(LOG_INFO, "full read is waiting for the back-off",
 			  LOG_STR("prefix", follow->prefix),
 			  LOG_INT("failures", follow->page_retry.failures),
 			  LOG_INT("revision", follow->as_of));
 	if (follow->reading)
 		return;
-	start_reading(follow);
-	go_on(follow);
+	start_read(follow);
+	make_due_calls(follow);
 }
 
 void follow_retry_failed(follow_t *follow)
@@ -386,34 +403,34 @@
 		timers_cancel(follow->timers, &follow->page_retry.timer);
 	if (follow->watch_retry.failures != 0)
 		timers_cancel(follow->timers, &follow->watch_retry.timer);
-	go_on(follow);
+	make_due_calls(follow);
 }
 
 /* --- peers --- */
 
-void follow_set_from_peer(follow_t *follow, bool fed)
+void follow_set_from_peer(follow_t *follow, bool from_peer)
 {
-	if (follow->from_peer == fed)
+	if (follow->from_peer == from_peer)
 		return;
-	follow->from_peer = fed;
-	go_on(follow);
+	follow->from_peer = from_peer;
+	make_due_calls(follow);
 }
 
-static void list_known(const list_t *list, int64_t since, kv_item_t *items, size_t *count,
-		       size_t *bytes)
+static void collect_entries(const list_t *list, int64_t since, kv_item_t *items, size_t *count,
+			    size_t *bytes)
 {
 	list_for_each (it, list) {
-		const known_t *known = list_entry(it, known_t, node);
-		bool there = known->missing_since == USEC_NEVER;
+		const follow_entry_t *entry = list_entry(it, follow_entry_t, node);
+		bool present = entry->missing_since == USEC_NEVER;
 
-		if (known->told <= since)
+		if (entry->receipt_revision <= since)
 			continue;
-		*bytes += there ? known->len : 0;
+		*bytes += present ? entry->len : 0;
 		items[(*count)++] = (kv_item_t){
-			.key = known->key,
-			.value = there ? known->value : NULL,
-			.len = there ? known->len : 0,
-			.revision = known->revision,
+			.key = entry->key,
+			.value = present ? entry->value : NULL,
+			.len = present ? entry->len : 0,
+			.revision = entry->revision,
 		};
 	}
 }
@@ -426,13 +443,13 @@
 	size_t count = 0;
 	size_t bytes = 0;
 
-	/* Every question asks, and nearly none lacks anything. */
+	/* Fast path: this runs for every query, and nearly no sender lacks anything. */
 	if (follow->complete_since == 0 || follow->as_of <= since)
 		return FOLLOW_UP_TO_DATE;
 	items = talloc_array(parent, kv_item_t,
 			     list_length(&follow->keys) + list_length(&follow->removed));
-	list_known(&follow->keys, whole ? 0 : since, items, &count, &bytes);
-	list_known(&follow->removed, whole ? 0 : since, items, &count, &bytes);
+	collect_entries(&follow->keys, whole ? 0 : since, items, &count, &bytes);
+	collect_entries(&follow->removed, whole ? 0 : since, items, &count, &bytes);
 	if (count == 0 && !whole)
 		return FOLLOW_UP_TO_DATE;
 	if (bytes > FOLLOW_CHANGES_MAX_BYTES)
@@ -442,24 +459,27 @@
 	return FOLLOW_HAS_CHANGES;
 }
 
-/* --- as one text --- */
+/* --- changes as one text --- */
 
-/* NULL if it can't be told: values that are no UTF-8 are of use to their writer only. */
-static json_t *encode_item(const known_t *known)
+/*
+ * NULL if the value is not valid UTF-8: such a value can't be encoded, and is of use only to its
+ * writer.
+ */
+static json_t *encode_item(const follow_entry_t *entry)
 {
-	bool there = known->missing_since == USEC_NEVER;
-	json_t *value = there ? json_stringn(known->value, known->len) : json_null();
+	bool present = entry->missing_since == USEC_NEVER;
+	json_t *value = present ? json_stringn(entry->value, entry->len) : json_null();
 
 	if (value == NULL)
 		return NULL;
-	return json_pack("[s, I, o]", known->key, (json_int_t)known->revision, value);
+	return json_pack("[s, I, o]", entry->key, (json_int_t)entry->revision, value);
 }
 
-static void encode_list(json_t *items, const list_t *list, int64_t since)
+static void encode_entries(json_t *items, const list_t *list, int64_t since)
 {
 	list_for_each (it, list) {
-		const known_t *known = list_entry(it, known_t, node);
-		json_t *item = known->told > since ? encode_item(known) : NULL;
+		const follow_entry_t *entry = list_entry(it, follow_entry_t, node);
+		json_t *item = entry->receipt_revision > since ? encode_item(entry) : NULL;
 
 		if (item != NULL)
 			json_array_append_new(items, item);
@@ -481,8 +501,8 @@
 	    follow->packed_since == since)
 		return follow->packed;
 	items = json_array();
-	encode_list(items, &follow->keys, since);
-	encode_list(items, &follow->removed, since);
+	encode_entries(items, &follow->keys, since);
+	encode_entries(items, &follow->removed, since);
 	root = json_pack("{s:I, s:b, s:o}", "as_of", (json_int_t)follow->as_of, "whole", whole,
 			 "items", items);
 	text = json_dumps(root, JSON_COMPACT);
@@ -529,27 +549,27 @@
 	if (ok)
 		follow_apply_changes(follow, &changes);
 	else
-		LOG_EVENT(LOG_ERR, "directory told by a peer can't be read",
+		LOG_EVENT(LOG_ERR, "directory received from a peer is invalid",
 			  LOG_STR("prefix", follow->prefix), LOG_INT("bytes", (int64_t)len));
 	json_decref(root);
 	talloc_free(parent);
 	return ok;
 }
 
-/* All of it, whatever this follower was reading itself. */
-static void take_whole(follow_t *follow, const follow_changes_t *changes)
+/* Applies all entries and ends a full read that this follower may have begun. */
+static void apply_complete(follow_t *follow, const follow_changes_t *changes)
 {
 	follow->read_deferred = false;
 	follow->read_round++;
 	follow->read_revision = changes->as_of;
-	take_events(follow, changes->items, changes->count);
+	apply_events(follow, changes->items, changes->count);
 	follow->complete_since = changes->as_of;
-	end_reading(follow);
+	finish_read(follow);
 }
 
 /*
- * Also while this follower reads the store itself, which may take long when the store does not
- * answer; it would be told everything with each answer until then.
+ * Changes from a peer are applied also during our own full read, which takes long while the store
+ * does not answer; otherwise the peer would send everything with each answer until then.
  */
 void follow_apply_changes(follow_t *follow, const follow_changes_t *changes)
 {
@@ -557,24 +577,27 @@
 		return;
 	follow->source = FOLLOW_SOURCE_PEER;
 	if (changes->complete)
-		take_whole(follow, changes);
+		apply_complete(follow, changes);
 	else
-		take_events(follow, changes->items, changes->count);
+		apply_events(follow, changes->items, changes->count);
 	if (follow->revision != 0 && changes->as_of > follow->revision)
 		follow->revision = changes->as_of;
-	/* Changes alone may be meant for our process of before. */
+	/*
+	 * Without a full read these changes may be meant for an earlier process of this proxy, so
+	 * as_of stays.
+	 */
 	if (follow->complete_since != 0)
-		advance(follow, changes->as_of);
+		advance_as_of(follow, changes->as_of);
 	if (follow->unanswered_since != 0)
 		follow->unanswered_since = clock_now(follow->clock);
 }
 
-/* --- start and end --- */
+/* --- start and stop --- */
 
-static void read_first(follow_t *follow)
+static void start_first_read(follow_t *follow)
 {
-	start_reading(follow);
-	go_on(follow);
+	start_read(follow);
+	make_due_calls(follow);
 }
 
 void follow_start_deferred(follow_t *follow)
@@ -583,7 +606,7 @@
 		return;
 	follow->read_deferred = false;
 	if (follow->revision == 0)
-		read_first(follow);
+		start_first_read(follow);
 }
 
 void follow_start(follow_t *follow, void *parent)
@@ -592,7 +615,7 @@
 	list_init(&follow->keys);
 	list_init(&follow->removed);
 	if (!follow->read_deferred)
-		read_first(follow);
+		start_first_read(follow);
 }
 
 void follow_stop(follow_t *follow)
@@ -602,9 +625,9 @@
 	timers_cancel(follow->timers, &follow->removal_timer);
 	HASH_CLEAR(hh, follow->by_key);
 	list_for_each_safe (it, &follow->keys)
-		talloc_free(list_entry(it, known_t, node));
+		talloc_free(list_entry(it, follow_entry_t, node));
 	list_for_each_safe (it, &follow->removed)
-		talloc_free(list_entry(it, known_t, node));
+		talloc_free(list_entry(it, follow_entry_t, node));
 	list_init(&follow->keys);
 	list_init(&follow->removed);
 	TALLOC_FREE(follow->packed);
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -228,7 +228,7 @@
 
 /* Who holds a service's connections, in the order in which we ask; see home.h. */
 typedef struct homes {
-	void *parent;		/* of the names; NULL: not worked out yet */
+	void *parent;
 	int64_t nodes_revision; /* of the roster's proxies that it follows from */
 	const char *names[HOME_CANDIDATES];
 	size_t len;   /* of names */
@@ -285,148 +285,163 @@
 
 /* --- the fleet --- */
 
-/* A proxy was told to read from the store what it lacks. */
+/* A request to another proxy to read from the store what is too large for a message. */
 typedef struct read_hint {
-	usec_t first_sent_at; /* the first time; 0: it was not */
-	int64_t as_of;	      /* what it knew then, see peer_report_t.config_at */
+	usec_t first_sent_at; /* when the request was first sent; 0: never */
+	int64_t as_of;	      /* revision that the proxy had then; see peer_report_t.config_as_of */
 } read_hint_t;
 
 typedef struct peer_report {
 	list_t node;
-	UT_hash_handle hh; /* in sync_t.by_name */
+	UT_hash_handle hh; /* in sync_t.reports_by_name */
 	char *name;
 	uint64_t incarnation;
 	usec_t received_at;
-	int64_t revision;   /* of the roster it holds */
-	int64_t fleet_size; /* proxies on it for PERMIT_TOGETHER, as that proxy knows */
+	int64_t revision;   /* of the roster that the proxy holds */
+	int64_t fleet_size; /* proxies that it has seen on the roster for PERMIT_TOGETHER */
 	char *down;
 	char *alive;
 	char *failing;
 	char *in_use;
-	uint64_t drained_incarnation; /* its last process that said it shuts down; 0: none did */
-	bool cut_off;		      /* the store does not serve it, as it said */
-	usec_t access_reported_at;    /* when it said so, or the contrary; 0: never */
-	usec_t unanswered_since;      /* it was handed a statement, and not heard since; 0: none */
-	list_t unanswered_node;	      /* in sync_t.awaited, since then */
+	uint64_t drained_incarnation; /* of its last process that announced its shutdown; 0: none
+					 did */
+	bool cut_off;		      /* its own calls to the store fail, as it reported */
+	usec_t access_reported_at;    /* when cut_off was last reported; 0: never */
+	usec_t unanswered_since; /* since a statement was forwarded to it and no message has come
+				    from it; 0: none */
+	list_t unanswered_node;	 /* in sync_t.unanswered_reports while unanswered_since is set */
 	usec_t pinged_at;
-	bool ping_answered; /* it has answered, so there are links both ways */
+	bool ping_answered; /* it has answered a ping, so there are links in both directions */
 	usec_t declined_until;
-	bool suspected;	       /* as was logged */
-	usec_t listed_since;   /* when the roster was first seen to name it */
-	usec_t registered_at;  /* when it was last seen to have put itself there */
-	usec_t agreed_at;      /* when it was asked and knew no newer roster than ours */
-	usec_t gone_seen_at;   /* when the roster was first seen to call it gone; 0: it does not */
-	int64_t gone_revision; /* of the roster seen then */
-	usec_t last_query_at;  /* its last question to this proxy; see upstream.h */
-	usec_t querying_since; /* the first of a row of them; 0: it need not be called */
-	bool pinged_silent;    /* since it fell silent */
-	int64_t config_as_of;  /* what it has been told of the directory, as it said then */
+	bool suspected;	      /* its silence was logged */
+	usec_t listed_since;  /* when it first appeared on the roster */
+	usec_t registered_at; /* when its latest process was seen to appear on the roster */
+	usec_t agreed_at;     /* when a query was sent to which it answered that it holds no newer
+				 roster than ours */
+	usec_t gone_seen_at; /* when the roster was first seen to declare it gone; 0: it does not */
+	int64_t gone_revision; /* of that roster */
+	usec_t last_query_at;  /* when its last query to this proxy arrived; see upstream.h */
+	usec_t querying_since; /* start of its current series of queries; 0: no need to ping it */
+	bool pinged_silent;    /* it was pinged since its last query */
+	int64_t config_as_of;  /* revision of the configuration that it has received, by its last
+				  query */
 	int64_t members_as_of;
-	usec_t config_sent_at; /* when it was last told a configuration */
+	usec_t config_sent_at; /* when a configuration was last sent to it */
 	read_hint_t config_hint;
 	read_hint_t members_hint;
-	usec_t members_sent_at;	       /* when it was last told all members as one text; 0: never */
-	int64_t roster_sent_revision;  /* the revision of the roster that it was last told */
-	usec_t roster_sent_at;	       /* when */
-	usec_t query_unanswered_since; /* the first question to it that it has not answered; 0: none
-					*/
-	usec_t hub_avoided_until;      /* as a hub */
-	usec_t shard_owner_avoided_until; /* as a keeper; see quota.h */
-	usec_t gone_agreed_at;		  /* when enough proxies knew that roster; 0: not yet */
+	usec_t members_sent_at; /* when all members were last sent to it as one text; 0: never */
+	int64_t roster_sent_revision; /* revision of the roster last sent to it */
+	usec_t roster_sent_at;
+	usec_t query_unanswered_since; /* when the first query that it has not answered was sent; 0:
+					  none */
+	usec_t hub_avoided_until;      /* it is passed over as a hub until then */
+	usec_t shard_owner_avoided_until; /* it is passed over as a shard owner until then; see
+					     quota.h */
+	usec_t gone_agreed_at; /* when enough proxies held the roster that declares it gone; 0: not
+				  yet */
 } peer_report_t;
 
-/* The hubs of the fleet; see upstream.h. */
+/* The hubs of the fleet, worked out from the roster; see upstream.h. */
 typedef struct hubs {
 	void *parent; /* of the names; NULL: not worked out yet */
 	int64_t nodes_revision;
 	const char **names;
 	size_t len;
-	bool is_hub; /* this proxy is one */
+	bool is_hub; /* this proxy is a hub */
 } hubs_t;
 
-/* Who is to be told news at once. */
+/* The proxies to which an update is sent before they query for it. */
 typedef enum { PUSH_NONE, PUSH_DOWNSTREAM, PUSH_ALL } push_scope_t;
 
 typedef struct sync {
-	roster_t *roster;      /* the newest known */
-	size_t proxy_count;    /* on it */
-	bool primary_changing; /* it has a primary that is about to change */
-	usec_t adopted_at;     /* when it came */
-	bool groups_changed;   /* by it */
-	usec_t agreed_at; /* enough proxies knew no newer roster then; see permit_on_agreed() */
-	usec_t peers_agreed_at; /* the same, as another proxy knows it */
-	usec_t confirmed_at;	/* the store held it when asked at this time; USEC_NEVER: never */
+	roster_t *roster;	/* the newest that this proxy has received */
+	size_t proxy_count;	/* of the roster */
+	bool primary_changing;	/* a primary of the roster is about to change */
+	usec_t adopted_at;	/* when the roster was received */
+	bool groups_changed;	/* the roster changed the primary of a service */
+	usec_t agreed_at;	/* when more than half of the fleet held no newer roster; see
+				   permit_on_agreed() */
+	usec_t peers_agreed_at; /* the same, as reported by another proxy */
+	usec_t confirmed_at;	/* the store held this roster when a read sent at that time arrived;
+				   USEC_NEVER: never */
 	bool reading;
 	usec_t read_sent_at;
-	usec_t read_not_before;	 /* back-off */
+	usec_t read_not_before;	 /* of the next read, after a failed one */
 	bool roster_maybe_stale; /* the store may hold a newer roster than ours */
-	int64_t era;		 /* newest of the store that is known */
-	int64_t backup_revision; /* revision of the copy that the store holds; 0: none; see
-				    restore.h */
+	int64_t era;		 /* newest era of the store that was seen; see kv.h */
+	int64_t backup_revision; /* of the older roster in a store restored from a backup; 0: none;
+				    see restore.h */
 	bool rewriting_roster;	 /* the roster is being written in the new era */
-	bool groups_current;	 /* no other proxy can know newer ones */
-	usec_t lost_lease_until; /* when our lease would have ended that went with its era */
+	bool groups_current;	 /* no other proxy can hold newer groups than ours */
+	usec_t lost_lease_until; /* when our lease that ended with its era would have run out */
 	usec_t last_read_at;
 	usec_t read_jitter;
 	bool registering;
-	bool join_requested; /* the holder was asked to add us, and our own write comes next */
+	bool join_requested; /* another proxy was asked to add us; if it does not, we write
+				ourselves */
 	usec_t join_started_at;
-	bool join_conflict; /* our own write to get on the roster met another one */
+	bool join_conflict; /* our own write to join the roster conflicted with another one */
 	usec_t join_requested_at;
 	char *join_target;
-	bool join_target_answered; /* by that proxy, since then */
-	unsigned join_requests;	   /* proxies asked since our last own write */
-	bool writing_groups;	   /* groups are being written */
-	usec_t groups_write_next;  /* the next such write */
-	bool adding_joiners;	   /* others to the roster */
-	list_t joiners;		   /* that have asked for it; see join.c */
+	bool join_target_answered; /* join_target has answered since join_requested_at */
+	unsigned join_requests;	   /* proxies asked to add us since our last own write */
+	bool writing_groups;
+	usec_t groups_write_next; /* when groups may be written next */
+	bool adding_joiners;	  /* a write that adds joiners is in flight */
+	list_t joiners;		  /* proxies that have asked to be added; see join.c */
 	size_t joiner_count;
 	usec_t query_next;
-	unsigned queries_unsent;  /* questions in a row that were not sent, for want of a link */
-	uint64_t reported_digest; /* digest of what the last question reported, to report changes at
-				     once */
-	char *leader;		  /* who holds the duty */
+	unsigned queries_unsent;  /* queries in a row that were not sent, since there was no link */
+	uint64_t reported_digest; /* digest of the reports in our last query, to detect changes */
+	char *leader;		  /* the proxy that holds the leader lease; NULL: unknown */
 	char *leader_address;
 	uint64_t fencing_token;
-	usec_t leader_seen_at; /* its last answer */
+	usec_t leader_seen_at; /* when the leader's last state arrived, here or at a proxy that
+				  reported it */
 	unsigned next_peer_index;
-	char *contact; /* who was heard last while no roster is known; NULL: nobody */
+	char *contact; /* the proxy last heard from while we have no roster; NULL: none */
 	char *contact_address;
-	usec_t ping_silent_next; /* to listeners that have fallen silent; see upstream.h */
+	usec_t ping_silent_next; /* when downstream proxies that are silent are pinged next; see
+				    upstream.h */
 	hubs_t hubs;
 	usec_t config_pushed_at;
 	push_scope_t push_pending;
 	usec_t push_next;
-	bool config_push_pending; /* those that ask this proxy are to be told at once */
-	char *upstream;		  /* who was asked last */
-	usec_t directory_as_of;	  /* configuration and members were known to be current then */
-	/* Our own hold on the duty. */
+	bool config_push_pending; /* a new configuration is to be pushed */
+	char *upstream;		  /* the hub or leader that was queried last */
+	usec_t directory_as_of; /* configuration and members were current at that time; 0: never */
+	/* Our own leader lease. */
 	bool acquiring;
 	uint64_t lease;
-	int64_t lease_era;     /* of the store that granted it */
-	uint64_t former_lease; /* of an earlier life of this process, that was ended; 0: none */
+	int64_t lease_era; /* era of the store that granted the lease */
+	uint64_t
+		former_lease; /* lease of an earlier process of this proxy that we ended; 0: none */
 	bool leading;
-	uint64_t own_token;	      /* of our hold */
-	uint64_t former_token;	      /* of our hold before */
-	usec_t other_leader_wrote_at; /* when another holder last wrote a group to the roster */
-	usec_t lease_until;	      /* by our clock, from the sending of the last renewal */
+	uint64_t own_token;	      /* fencing token of our leadership */
+	uint64_t former_token;	      /* fencing token of our previous leadership */
+	usec_t other_leader_wrote_at; /* when a roster with a group written by another leader was
+					 last received */
+	usec_t lease_until; /* end of the lease by our clock, counted from when the last renewal was
+			       sent */
 	usec_t leading_since;
-	usec_t unused_probe_next;     /* when one more primary that nobody uses may be asked; see
-					 verdict.c */
-	uint64_t vote_round;	      /* counts of votes so far */
-	usec_t votes_due;	      /* the next one */
-	bool votes_changed;	      /* it is due now, since somebody reports trouble */
-	list_t *last_checked_service; /* of the services, by the holder; see duty.c */
+	usec_t unused_probe_next; /* when the next primary that nobody uses may be checked; see
+				     verdict.c */
+	uint64_t vote_round;	  /* number of counts of votes so far */
+	usec_t votes_due;	  /* when votes are counted next */
+	bool votes_changed; /* votes are counted now, since a proxy has reported another state */
+	list_t *last_checked_service; /* last service that the leader checked; see duty.c */
 	bool renewing;
 	usec_t renew_next;
 	usec_t acquire_not_before;
 	list_t reports;		   /* peer_report_t */
-	list_t unanswered_reports; /* of these, those with unanswered statements */
+	list_t unanswered_reports; /* reports of proxies with unanswered forwarded statements */
 	peer_report_t *reports_by_name;
-	/* Reading the directory again, since a watch can miss changes without a sign. */
+	/*
+	 * Full reads of the directory are repeated, since a watch can miss changes without a sign.
+	 */
 	usec_t config_read_due;
 	usec_t members_read_due;
-	unsigned members_mismatches; /* answers in a row with another list than ours */
+	unsigned members_mismatches; /* states in a row whose list of members differs from ours */
 } sync_t;
 
 struct pooler {
