--- a/pooler/push.c
+++ b/pooler/push.c
@@ -84,7 +84,7 @@
 
 	if (!sync->config_push_pending ||
 	    (sync->config_pushed_at != 0 &&
-	     now < sync->config_pushed_at + refresh_config_interval(pooler)))
+	     now < sync->config_pushed_at + refresh_config_send_interval(pooler)))
 		return;
 	sync->config_push_pending = false;
 	sync->config_pushed_at = now;
--- a/pooler/refresh.h
+++ b/pooler/refresh.h
@@ -1,33 +1,39 @@
 /*
- * Keeping the directory, which is the operators' configuration and the list of members, current.
- * The holder of the duty watches the store and reads all of it regularly, since a watch can miss
- * changes without a sign. The others are told what changes by whom they ask for news, and turn to
- * the store themselves when what they know grows old.
+ * Keeps the directory, which is the operators' configuration and the list of members, current. The
+ * leader watches the store and repeats a full read regularly, since a watch can miss changes
+ * without a sign. The other proxies receive the changes from the proxy that they query, and read
+ * the store themselves when their directory grows too old.
  */
 #pragma once
 
 #include "state.h"
 
-/* What a member adds to pooler_t.members_digest, by exclusive or: 0 if it is not listed. */
+/*
+ * Contribution of a member to pooler_t.members_digest, combined by exclusive or; 0 if the member is
+ * not listed.
+ */
 uint64_t refresh_member_digest(const member_t *member);
 
-/* Equal for equal lists of members, whatever their order. */
+/* Digest of the list of members, whatever their order. */
 uint64_t refresh_members_digest(const pooler_t *pooler);
 
 /*
- * What a state tells of the directory. ask: the question that it answers; NULL: it is told without
- * one to the proxy of that name.
+ * Fills in what a state holds of the directory. query: the query that the state answers; NULL: the
+ * state is pushed to the proxy of that name.
  */
-void refresh_fill_state(pooler_t *pooler, const char *name, const peer_message_t *ask,
+void refresh_fill_state(pooler_t *pooler, const char *name, const peer_message_t *query,
 			peer_message_t *message, void *parent);
 
-/* Least time between two configurations that one proxy is told. */
-usec_t refresh_config_interval(const pooler_t *pooler);
+/* Least time between two configurations sent to one proxy. */
+usec_t refresh_config_send_interval(const pooler_t *pooler);
 
-/* What another proxy tells of it. */
+/* Applies what another proxy's state holds of the directory. */
 void refresh_on_state(pooler_t *pooler, const peer_message_t *message, usec_t now);
 
 void refresh_tick(pooler_t *pooler, usec_t now);
 
-/* Begin to read the directory, unless a process that has just started may still be told it. */
+/*
+ * Starts the first read of the directory, unless this process has just started and may still
+ * receive the directory from a hub.
+ */
 void refresh_start_reading(pooler_t *pooler, usec_t now);
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -339,7 +339,7 @@
 	g_assert_true(is_told(pooler, "p1"));
 	g_assert_false(is_told(pooler, "p1"));
 	g_assert_true(is_told(pooler, "p2"));
-	world_run(world, refresh_config_interval(pooler));
+	world_run(world, refresh_config_send_interval(pooler));
 	g_assert_true(is_told(pooler, "p1"));
 	pooler_set_directory(pooler, NULL, NULL);
 	follow_stop(&config);
