--- a/pooler/join.c
+++ b/pooler/join.c
@@ -17,33 +17,35 @@
 #include "log.h"
 
 /*
- * Whoever was asked adds us within this, or we try again ourselves: its write under way, the next
- * one, and the ways; more when the store is slow.
+ * The proxy that was asked adds us within this time, or we write our own entry: its write in
+ * flight, the next one, and the messages; more if the store is slow.
  */
-#define ADDED_WITHIN (150 * USEC_PER_MSEC)
+#define ADD_TIMEOUT (150 * USEC_PER_MSEC)
 /*
- * The same for each proxy of a larger fleet, since all may start together. If 100 of them gave up
- * on the holder after 150 ms, each would write the whole roster (50 KB) by itself, and most of
- * these writes, the holder's too, would conflict.
+ * The same for each proxy of a larger fleet, since all may start together. If 100 proxies gave up
+ * on the leader after 150 ms, each would write the whole roster (50 KB) by itself, and most of
+ * these writes, the leader's too, would conflict.
  */
-#define ADDED_WITHIN_EACH (5 * USEC_PER_MSEC)
+#define ADD_TIMEOUT_PER_PROXY (5 * USEC_PER_MSEC)
 
 /*
- * Up to so many proxies ask the holder themselves, which is quicker by two links that must be made.
- * With more its links to them would take more memory than a small VM has.
+ * Fleets up to this size ask the leader directly, which saves establishing two links. In a larger
+ * fleet the leader's links would take more memory than a small VM has.
  */
-#define DIRECT_FLEET 128
-/* A hub that has just started itself answers within this. */
-#define HUB_ANSWERS (500 * USEC_PER_MSEC)
-/* Proxies of a large fleet that are asked, one after the other, before the own write. */
-#define ADDERS_ASKED 3
-/* A link to a proxy that lives is there within this. */
-#define LINK_WITHIN (150 * USEC_PER_MSEC)
+#define DIRECT_JOIN_FLEET_MAX 128
+/* A hub that has just started itself answers within this time. */
+#define HUB_ANSWER_TIMEOUT (500 * USEC_PER_MSEC)
+/*
+ * Number of proxies that a proxy of a large fleet asks, one after the other, before its own write.
+ */
+#define JOIN_REQUESTS_MAX 3
+/* A link to a live proxy is established within this time. */
+#define LINK_TIMEOUT (150 * USEC_PER_MSEC)
 
 COUNTER_DEFINE(added_total, "proxies_added_total", COUNTER_SUM,
-	       "Proxies that this one has put on the roster since they asked.");
+	       "Proxies that this proxy has added to the roster at their request.");
 
-/* A proxy that wants to be added. */
+/* A proxy that has asked to be added. */
 typedef struct joiner {
 	list_t node; /* in sync_t.joiners */
 	char *name;
@@ -51,41 +53,42 @@
 	char *zone;
 	int64_t capacity;
 	uint64_t incarnation;
-	int64_t revision; /* of the roster that it held */
+	int64_t revision; /* of the roster that the proxy holds */
 	usec_t asked_at;
-	bool told; /* by us, else by its hub, or it reads the store again */
+	bool send_roster; /* this proxy sends it the roster; otherwise its hub does, or it reads the
+			     store again */
 } joiner_t;
 
-static bool goes_by_hubs(const pooler_t *pooler)
+static bool joins_through_hubs(const pooler_t *pooler)
 {
-	return pooler->sync.proxy_count > DIRECT_FLEET;
+	return pooler->sync.proxy_count > DIRECT_JOIN_FLEET_MAX;
 }
 
-static usec_t added_within(const pooler_t *pooler)
+static usec_t add_timeout(const pooler_t *pooler)
 {
-	usec_t all = pooler->sync.proxy_count * ADDED_WITHIN_EACH;
+	usec_t all = pooler->sync.proxy_count * ADD_TIMEOUT_PER_PROXY;
 
-	return all > ADDED_WITHIN ? all : ADDED_WITHIN;
+	return all > ADD_TIMEOUT ? all : ADD_TIMEOUT;
 }
 
-/* --- our own entry --- */
+/* --- own entry --- */
 
-static bool is_on(const roster_t *roster, const joiner_t *joiner)
+static bool is_registered(const roster_t *roster, const joiner_t *joiner)
 {
 	const roster_node_t *node = roster_find_node(roster, joiner->name);
 
 	return node != NULL && !node->gone && node->incarnation >= joiner->incarnation;
 }
 
-/* False if there is none that is not on it. */
-static bool put_joiners(const pooler_t *pooler, roster_t *roster)
+/* Adds the joiners that are not on the roster; false if there are none. */
+static bool add_joiners(const pooler_t *pooler, roster_t *roster)
 {
 	bool any = false;
 
 	list_for_each (it, &pooler->sync.joiners) {
 		const joiner_t *joiner = list_entry(it, joiner_t, node);
 
-		if (is_on(roster, joiner))
+		if (is_registered(roster, joiner))
 			continue;
 		roster_put_node(roster, joiner->name, joiner->address, joiner->zone,
 				joiner->incarnation)
@@ -95,15 +98,15 @@
 	return any;
 }
 
-static void forget(sync_t *sync, joiner_t *joiner)
+static void drop_joiner(sync_t *sync, joiner_t *joiner)
 {
 	sync->joiner_count--;
 	list_del(&joiner->node);
 	talloc_free(joiner);
 }
 
-/* Tell those that are on the roster now. */
-static void tell_added(pooler_t *pooler)
+/* Sends the roster to the joiners that are on it now. */
+static void notify_added(pooler_t *pooler)
 {
 	sync_t *sync = &pooler->sync;
 	const roster_t *roster = sync->roster;
@@ -111,13 +114,14 @@
 	list_for_each_safe (it, &sync->joiners) {
 		joiner_t *joiner = list_entry(it, joiner_t, node);
 
-		if (!is_on(roster, joiner))
+		if (!is_registered(roster, joiner))
 			continue;
-		/* Without a link to it yet, once more with the next tick. */
-		if (joiner->told && !exchange_send_state(pooler, joiner->name, joiner->address))
+		/* Without a link to the joiner the roster is sent again with the next tick. */
+		if (joiner->send_roster &&
+		    !exchange_send_state(pooler, joiner->name, joiner->address))
 			continue;
 		counter_add(&added_total, 1);
-		forget(sync, joiner);
+		drop_joiner(sync, joiner);
 	}
 }
 
@@ -130,21 +134,24 @@
 	sync->join_started_at = 0;
 	sync->join_requests = 0;
 	sync->join_conflict = result->status == KV_CONFLICT;
-	/* Whoever made the other write lives, which the holder has not shown. */
+	/*
+	 * The proxy that made the other write is alive, which is not known of the leader, so that
+	 * proxy is asked first.
+	 */
 	sync->join_requested = sync->join_conflict;
 	if (result->status == KV_OK) {
-		tell_added(pooler);
+		notify_added(pooler);
 		LOG_EVENT(LOG_INFO, "on the roster", LOG_INT("roster", sync->roster->revision));
 	} else if (sync->join_conflict)
 		join_run(pooler, now_of(pooler));
 }
 
 /*
- * Incarnations come from the time of day, which may have stepped back since our last life. The
- * others would take our messages for late ones of that life, and our entry for one without a
- * process.
+ * Incarnations are made from the time of day, which may have stepped back since this proxy's
+ * previous process. The other proxies would then take our messages for late ones of that process,
+ * and our entry for one without a process.
  */
-static void outgrow_last_life(pooler_t *pooler)
+static void raise_incarnation(pooler_t *pooler)
 {
 	const roster_node_t *entry = roster_find_node(pooler->sync.roster, pooler->config.name);
 
@@ -153,20 +160,20 @@
 }
 
 /*
- * With those that have asked us before we were on the roster ourselves: a fleet that starts again
- * asks the holder of before, which has just started like all others.
+ * Writes our own entry, together with the joiners that have asked us meanwhile: in a fleet that
+ * restarts, all proxies ask the previous leader, which has just started like them.
  */
 static void write_own_entry(pooler_t *pooler)
 {
 	roster_t *roster;
 
 	pooler->sync.registering = true;
-	outgrow_last_life(pooler);
+	raise_incarnation(pooler);
 	roster = roster_copy(NULL, pooler->sync.roster);
 	roster_put_node(roster, pooler->config.name, pooler->config.address, pooler->config.zone,
 			pooler->config.incarnation)
 		->capacity = pooler->config.capacity;
-	put_joiners(pooler, roster);
+	add_joiners(pooler, roster);
 	sync_commit_roster(pooler, roster, on_registered, pooler);
 	talloc_free(roster);
 }
@@ -176,7 +183,7 @@
 	return name != NULL && strcmp(name, pooler->config.name) != 0;
 }
 
-/* Who wrote the roster when our own write met another one; NULL: nobody else did. */
+/* Returns the proxy whose write our own conflicted with; NULL: there is none, or it is gone. */
 static const roster_node_t *find_writer(const pooler_t *pooler)
 {
 	const sync_t *sync = &pooler->sync;
@@ -188,8 +195,11 @@
 	return writer != NULL && !writer->gone ? writer : NULL;
 }
 
-/* Everybody asks us, by what the store said before; so our own entry comes first. */
-static bool was_holder(const pooler_t *pooler)
+/*
+ * True if the store last named this proxy as the leader: all others ask us, so we write our own
+ * entry first.
+ */
+static bool was_leader(const pooler_t *pooler)
 {
 	const sync_t *sync = &pooler->sync;
 
@@ -197,19 +207,19 @@
 }
 
 /*
- * Who can add us: the holder of the duty, a hub that passes it on, or, when our own write met
- * another one, whoever made that. False if there is nobody.
+ * Finds a proxy that can add us: the leader, a hub that forwards the request, or, after a conflict
+ * of our own write, the proxy that made the other one. False if there is none.
  */
-static bool find_adder(pooler_t *pooler, usec_t now, const char **name, const char **address)
+static bool find_join_target(pooler_t *pooler, usec_t now, const char **name, const char **address)
 {
 	const sync_t *sync = &pooler->sync;
 	const roster_node_t *writer;
 
 	*name = sync->leader;
 	*address = sync->leader_address;
-	if (!sync->join_requested && !was_holder(pooler) &&
-	    (goes_by_hubs(pooler) ? upstream_find(pooler, now, name, address)
-				  : is_other(pooler, sync->leader)))
+	if (!sync->join_requested && !was_leader(pooler) &&
+	    (joins_through_hubs(pooler) ? upstream_find(pooler, now, name, address)
+					: is_other(pooler, sync->leader)))
 		return true;
 	writer = find_writer(pooler);
 	if (writer == NULL)
@@ -220,20 +230,20 @@
 }
 
 /*
- * False if nobody can be asked. A fleet of 24 that started together made 34 writes to get on the
- * roster when each tried its own first, most of them in vain.
+ * Asks another proxy to add us; false if there is none to ask. A fleet of 24 proxies that started
+ * together made 34 writes when each tried its own first, and most of them conflicted.
  */
-static bool ask_adder(pooler_t *pooler, usec_t now)
+static bool request_join(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 	const char *name;
 	const char *address;
 
-	if (!find_adder(pooler, now, &name, &address))
+	if (!find_join_target(pooler, now, &name, &address))
 		return false;
-	outgrow_last_life(pooler);
-	/* The first message makes the link; it is tried again with the next tick. */
-	if (!ask_send_query(pooler, name, address) && now < sync->join_started_at + LINK_WITHIN)
+	raise_incarnation(pooler);
+	/* The first message only establishes the link; it is sent again with the next tick. */
+	if (!ask_send_query(pooler, name, address) && now < sync->join_started_at + LINK_TIMEOUT)
 		return true;
 	sync->join_requested = true;
 	sync->join_conflict = false;
@@ -246,51 +256,54 @@
 }
 
 /*
- * Whoever was asked may still add us. In a large fleet that takes longer, but only one that has
- * answered is waited for: after a loss of power it may be the holder of before, and not be back.
+ * True if the proxy that was asked may still add us. In a large fleet this takes longer, but only a
+ * proxy that has answered is waited for: after a power failure it may be a previous leader that is
+ * not back.
  */
-static bool is_being_added(const pooler_t *pooler, usec_t now)
+static bool join_is_pending(const pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
-	usec_t silence = goes_by_hubs(pooler) ? HUB_ANSWERS : ADDED_WITHIN;
+	usec_t silence = joins_through_hubs(pooler) ? HUB_ANSWER_TIMEOUT : ADD_TIMEOUT;
 
 	return sync->join_requested &&
 	       now < sync->join_requested_at +
-			       (sync->join_target_answered ? added_within(pooler) : silence);
+			       (sync->join_target_answered ? add_timeout(pooler) : silence);
 }
 
 /*
- * Whoever was asked is silent. In a large fleet another one is: after a loss of power the first
- * may not be back yet, and each own write is one of the whole roster.
+ * Lets another proxy be asked when the last one is silent. This is done only in a large fleet,
+ * where the first may not be back after a power failure, and each own write is one of the whole
+ * roster.
  */
-static void ask_another(pooler_t *pooler, usec_t now)
+static void reset_join_target(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 
-	if (!sync->join_requested || !goes_by_hubs(pooler) || sync->join_requests >= ADDERS_ASKED)
+	if (!sync->join_requested || !joins_through_hubs(pooler) ||
+	    sync->join_requests >= JOIN_REQUESTS_MAX)
 		return;
 	upstream_avoid_hub(pooler, sync->join_target, now);
 	sync->join_requested = false;
 	sync->join_started_at = now;
 }
 
-/* A proxy that is not on the roster uses no primary. */
+/* Joins the roster, since a proxy that is not on it may use no primary. */
 static void register_self(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 
 	if (sync->registering || sync->reading || sync->confirmed_at == USEC_NEVER ||
 	    restore_is_pending(pooler) || pooler->draining || permit_is_registered(pooler) ||
-	    is_being_added(pooler, now))
+	    join_is_pending(pooler, now))
 		return;
 	if (sync->join_started_at == 0)
 		sync->join_started_at = now;
-	ask_another(pooler, now);
-	if (!ask_adder(pooler, now))
+	reset_join_target(pooler, now);
+	if (!request_join(pooler, now))
 		write_own_entry(pooler);
 }
 
-/* --- those that ask us --- */
+/* --- joiners --- */
 
 static joiner_t *find_joiner(const sync_t *sync, const char *name)
 {
@@ -303,8 +316,8 @@
 	return NULL;
 }
 
-/* False if it is on the roster already. */
-static bool put_joiner(pooler_t *pooler, const peer_message_t *message, bool told)
+/* Records a joiner; false if it is on the roster already. */
+static bool record_joiner(pooler_t *pooler, const peer_message_t *message, bool send_roster)
 {
 	sync_t *sync = &pooler->sync;
 	const roster_node_t *node = roster_find_node(pooler->sync.roster, message->from);
@@ -315,7 +328,7 @@
 		return false;
 	joiner = find_joiner(sync, message->from);
 	if (joiner != NULL)
-		forget(sync, joiner);
+		drop_joiner(sync, joiner);
 	joiner = talloc_zero(pooler, joiner_t);
 	joiner->name = talloc_strdup(joiner, message->from);
 	joiner->address = talloc_strdup(joiner, message->address);
@@ -324,43 +337,43 @@
 	joiner->incarnation = message->incarnation;
 	joiner->revision = message->revision;
 	joiner->asked_at = now_of(pooler);
-	joiner->told = told;
+	joiner->send_roster = send_roster;
 	list_add_tail(&sync->joiners, &joiner->node);
 	sync->joiner_count++;
 	return true;
 }
 
-/* True if the holder adds those that ask us. */
-static bool passes_on(const pooler_t *pooler, usec_t now)
+/* True if this proxy forwards its joiners to the leader. */
+static bool forwards_joiners(const pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
 
-	return goes_by_hubs(pooler) && !hold_is_ours(pooler, now) &&
+	return joins_through_hubs(pooler) && !hold_is_ours(pooler, now) &&
 	       is_other(pooler, sync->leader) && now < sync->leader_seen_at + LEADER_SILENT_AFTER;
 }
 
 /*
- * With so many at once, as when a large fleet starts for the first time, a link back to each of
- * them would take more memory than a small VM has. They see the roster when they read the store
- * again.
+ * True if so many proxies have asked, as in the first start of a large fleet, that a link back to
+ * each of them would take more memory than a small VM has. They see the roster when they read the
+ * store again.
  */
-static bool is_crowded(const pooler_t *pooler)
+static bool has_many_joiners(const pooler_t *pooler)
 {
-	return pooler->sync.joiner_count >= DIRECT_FLEET;
+	return pooler->sync.joiner_count >= DIRECT_JOIN_FLEET_MAX;
 }
 
 bool join_can_answer(const pooler_t *pooler, const char *name)
 {
-	return !is_crowded(pooler) || roster_find_node(pooler->sync.roster, name) != NULL;
+	return !has_many_joiners(pooler) || roster_find_node(pooler->sync.roster, name) != NULL;
 }
 
 void join_on_query(pooler_t *pooler, const peer_message_t *message)
 {
 	usec_t now = now_of(pooler);
 
-	if (!put_joiner(pooler, message, !is_crowded(pooler)))
+	if (!record_joiner(pooler, message, !has_many_joiners(pooler)))
 		return;
-	if (passes_on(pooler, now))
+	if (forwards_joiners(pooler, now))
 		pooler->sync.query_next = 0;
 	join_run(pooler, now);
 }
@@ -376,7 +389,7 @@
 void join_on_report(pooler_t *pooler, const peer_message_t *report)
 {
 	if (report->address != NULL && hold_is_ours(pooler, now_of(pooler)) &&
-	    put_joiner(pooler, report, false))
+	    record_joiner(pooler, report, false))
 		join_run(pooler, now_of(pooler));
 }
 
@@ -410,34 +423,36 @@
 	pooler_t *pooler = data;
 
 	pooler->sync.adding_joiners = false;
-	tell_added(pooler);
-	/* Another write was first: once more on top of it. Without an answer they try themselves.
+	notify_added(pooler);
+	/*
+	 * After a conflict the joiners are added again on top of the other write. If the write
+	 * failed otherwise they are dropped, and write their own entries.
 	 */
 	if (result->status == KV_CONFLICT)
 		join_run(pooler, now_of(pooler));
 	if (result->status == KV_OK || result->status == KV_CONFLICT)
 		return;
 	list_for_each_safe (it, &pooler->sync.joiners)
-		forget(&pooler->sync, list_entry(it, joiner_t, node));
+		drop_joiner(&pooler->sync, list_entry(it, joiner_t, node));
 }
 
 /*
- * By then they try themselves. One that died could never be told, and would be put on the roster
- * again each time it is called gone.
+ * Drops joiners after add_timeout(), when they write their own entries. A joiner that has died
+ * could never be reached, and would be added again each time it is declared gone.
  */
-static void forget_old(pooler_t *pooler, usec_t now)
+static void drop_old_joiners(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 
 	list_for_each_safe (it, &sync->joiners) {
 		joiner_t *joiner = list_entry(it, joiner_t, node);
 
-		if (now >= joiner->asked_at + added_within(pooler))
-			forget(sync, joiner);
+		if (now >= joiner->asked_at + add_timeout(pooler))
+			drop_joiner(sync, joiner);
 	}
 }
 
-static void add_others(pooler_t *pooler, usec_t now)
+static void write_joiners(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 	roster_t *roster;
@@ -445,14 +460,14 @@
 	if (sync->adding_joiners || list_empty(&sync->joiners) || !permit_is_registered(pooler) ||
 	    restore_is_pending(pooler))
 		return;
-	if (passes_on(pooler, now)) {
-		tell_added(pooler);
+	if (forwards_joiners(pooler, now)) {
+		notify_added(pooler);
 		return;
 	}
 	roster = roster_copy(NULL, sync->roster);
-	if (!put_joiners(pooler, roster)) {
+	if (!add_joiners(pooler, roster)) {
 		talloc_free(roster);
-		tell_added(pooler);
+		notify_added(pooler);
 		return;
 	}
 	sync->adding_joiners = true;
@@ -463,6 +478,6 @@
 void join_run(pooler_t *pooler, usec_t now)
 {
 	register_self(pooler, now);
-	forget_old(pooler, now);
-	add_others(pooler, now);
+	drop_old_joiners(pooler, now);
+	write_joiners(pooler, now);
 }
--- a/pooler/relay.c
+++ b/pooler/relay.c
@@ -12,35 +12,44 @@
 #include "log.h"
 
 /*
- * While our own calls fail all go through a peer at once: a renewal that is tried first on our own
- * costs most of the time that a hold has left. Our own access is tried so often.
+ * Interval of probes of our own access to the store while it fails. Meanwhile all calls go through
+ * a peer at once, since a renewal that was tried directly first would use up most of the time left
+ * of a lease.
  */
 #define PROBE_INTERVAL (1 * USEC_PER_SEC)
-/* In a larger fleet the proxies make as many of these calls a second together, up to this. */
-#define PROBE_INTERVAL_MOST (4 * USEC_PER_SEC)
-#define PROBE_INTERVAL_EACH (80 * USEC_PER_MSEC)
-/* What a peer says of its access to the store counts for so long: two of its questions and a half.
+/*
+ * In a larger fleet the interval grows, up to PROBE_INTERVAL_MAX, so that all proxies together make
+ * as many probes a second.
+ */
+#define PROBE_INTERVAL_MAX	 (4 * USEC_PER_SEC)
+#define PROBE_INTERVAL_PER_PROXY (80 * USEC_PER_MSEC)
+/*
+ * A peer's report of its access to the store is valid for this time: two and a half of its query
+ * intervals.
  */
-#define ACCESS_VALID (700 * USEC_PER_MSEC)
-/* Peers asked for one call. */
+#define ACCESS_REPORT_VALID (700 * USEC_PER_MSEC)
+/* Number of peers asked for one call. */
 #define HELPERS_MAX 2
 /*
- * Peers of which nothing is known are tried among so many that follow on the roster: links to few,
- * whatever the size of the fleet.
+ * Peers whose access is unknown are tried among this many that follow on the roster, so that there
+ * are few links whatever the size of the fleet.
  */
 #define CANDIDATES_MAX 16
-/* One that could not help is not tried again for so long. */
-#define CANDIDATE_AVOIDED (2 * USEC_PER_SEC)
-/* Calls made for others at a time: a holder and those that start have one or two each. */
+/* A peer that could not make a call is not tried again for this time. */
+#define CANDIDATE_AVOID_TIME (2 * USEC_PER_SEC)
+/*
+ * Number of calls made for other proxies at a time: a leader and proxies that start have one or two
+ * each.
+ */
 #define JOBS_MAX 16
-/* The ways between proxies, on top of the time that the peer gives its own call. */
-#define WAYS (100 * USEC_PER_MSEC)
-
-/* Our own calls are given up after so many times the usual wait, but not before or after these. */
-#define PATIENCE_FACTOR 6
-#define PATIENCE_LEAST	(250 * USEC_PER_MSEC)
-#define PATIENCE_MOST	(1500 * USEC_PER_MSEC)
-/* Smoothing of that wait: a quarter of each new one. */
+/* Time for the messages between the proxies, added to the peer's own time-out of the call. */
+#define MESSAGES_TIME (100 * USEC_PER_MSEC)
+
+/* Our own calls time out after this multiple of the usual response time, within the two limits. */
+#define TIMEOUT_FACTOR 6
+#define TIMEOUT_MIN    (250 * USEC_PER_MSEC)
+#define TIMEOUT_MAX    (1500 * USEC_PER_MSEC)
+/* Smoothing of the response time: each new one counts for a quarter. */
 #define RESPONSE_WEIGHT 4
 
 COUNTER_DEFINE(relayed_total, "store_calls_relayed_total", COUNTER_SUM,
@@ -51,33 +60,33 @@
 	       "Calls to the store made for another proxy.");
 
 struct relay {
-	kv_t kv; /* first member: handed back with every call */
+	kv_t kv; /* first member, so that a kv_t pointer is converted back to its relay */
 	pooler_t *pooler;
 	kv_t *direct;
 	list_t calls; /* call_t */
 	size_t jobs;
 	size_t next_candidate;
 	bool cut_off;
-	bool probing; /* whether our own calls are answered again */
+	bool probing; /* a probe is in flight */
 	usec_t probe_at;
-	usec_t response; /* smoothed time of our own calls */
+	usec_t response; /* smoothed response time of our own calls */
 };
 
-/* A call of this proxy that has not ended. */
+/* A call of this proxy that is in flight. */
 typedef struct call {
-	list_t node; /* in relay_t.calls while a peer is asked */
+	list_t node; /* in relay_t.calls while a peer makes the call */
 	relay_t *relay;
 	store_request_t request;
 	kv_done_t done;
 	void *data;
 	char *helper;
-	unsigned helpers; /* asked so far */
-	bool sent;	  /* to the helper; its link may have to be made first */
-	usec_t began_at;  /* our own try */
-	usec_t asked_at;  /* the helper */
+	unsigned helpers; /* number of peers asked so far */
+	bool sent;	  /* to the helper; false while there is no link to it */
+	usec_t began_at;  /* when the call was made directly */
+	usec_t asked_at;  /* when the helper was asked */
 } call_t;
 
-/* A call that is made for another proxy. */
+/* A call that this proxy makes for another one. */
 typedef struct relay_job {
 	relay_t *relay;
 	char *from;
@@ -85,7 +94,7 @@
 	uint64_t number;
 } relay_job_t;
 
-/* --- our own access --- */
+/* --- own access --- */
 
 bool relay_is_cut_off(const relay_t *relay)
 {
@@ -94,14 +103,17 @@
 
 static usec_t probe_interval(const relay_t *relay)
 {
-	usec_t interval = relay->pooler->sync.proxy_count * PROBE_INTERVAL_EACH;
+	usec_t interval = relay->pooler->sync.proxy_count * PROBE_INTERVAL_PER_PROXY;
 
-	return usec_clamp(interval, PROBE_INTERVAL, PROBE_INTERVAL_MOST);
+	return usec_clamp(interval, PROBE_INTERVAL, PROBE_INTERVAL_MAX);
 }
 
-static void take_back(relay_t *relay);
+static void resume_direct_calls(relay_t *relay);
 
-/* What waits for a back-off failed while the store did not serve us. */
+/*
+ * Retries reads that wait for a back-off, since they failed while the store did not serve this
+ * proxy.
+ */
 static void retry_readings(pooler_t *pooler)
 {
 	usec_t now = now_of(pooler);
@@ -114,7 +126,7 @@
 		pooler->sync.read_not_before = now;
 }
 
-static void note_access(relay_t *relay, kv_status_t status)
+static void update_access(relay_t *relay, kv_status_t status)
 {
 	bool failed = status == KV_REFUSED || status == KV_OUTCOME_UNKNOWN;
 
@@ -123,29 +135,29 @@
 	relay->cut_off = failed;
 	relay->probe_at = now_of(relay->pooler) + probe_interval(relay);
 	LOG_EVENT(failed ? LOG_WARN : LOG_INFO,
-		  failed ? "store can't be reached" : "store is reached again",
+		  failed ? "store does not serve this proxy" : "store serves this proxy again",
 		  LOG_INT("status", status));
 	if (failed)
 		return;
-	take_back(relay);
+	resume_direct_calls(relay);
 	retry_readings(relay->pooler);
 }
 
 /*
- * How long our own calls are waited for. An answer that is lost is noticed after some times the
- * usual wait, not after the longest one that a slow store needs.
+ * Adapts the time-out of our own calls, so that a lost answer is noticed after a multiple of the
+ * usual response time instead of the longest one of a slow store.
  */
-static void learn_patience(relay_t *relay, kv_status_t status, usec_t took)
+static void adapt_timeout(relay_t *relay, kv_status_t status, usec_t took)
 {
-	usec_t patience;
+	usec_t timeout;
 
 	if (status == KV_OUTCOME_UNKNOWN && took > relay->response)
 		relay->response = took;
 	else if (status == KV_OK)
 		relay->response =
 			(relay->response * (RESPONSE_WEIGHT - 1) + took) / RESPONSE_WEIGHT;
-	patience = usec_clamp(relay->response * PATIENCE_FACTOR, PATIENCE_LEAST, PATIENCE_MOST);
-	relay->direct->timeout_ms = (int64_t)(patience / USEC_PER_MSEC);
+	timeout = usec_clamp(relay->response * TIMEOUT_FACTOR, TIMEOUT_MIN, TIMEOUT_MAX);
+	relay->direct->timeout_ms = (int64_t)(timeout / USEC_PER_MSEC);
 }
 
 static void make_call(kv_t *kv, const store_request_t *request, kv_done_t done, void *data)
@@ -169,31 +181,31 @@
 	}
 }
 
-/* --- asking a peer --- */
+/* --- relaying a call to a peer --- */
 
 /*
- * A commit without an answer may have been done, and its caller must learn that: it is not made a
- * second time, which would report a conflict with itself.
+ * False for a commit: without an answer it may have taken effect, and its caller must learn that. A
+ * second attempt would report a conflict with the first.
  */
 static bool is_repeatable(const call_t *call)
 {
 	return call->request.op != STORE_COMMIT;
 }
 
-static bool can_help(const peer_report_t *report, usec_t now)
+static bool has_store_access(const peer_report_t *report, usec_t now)
 {
 	return report != NULL && !report->cut_off && report->access_reported_at != 0 &&
-	       now < report->access_reported_at + ACCESS_VALID;
+	       now < report->access_reported_at + ACCESS_REPORT_VALID;
 }
 
 static bool is_avoided(const peer_report_t *report, usec_t now)
 {
 	return report != NULL && report->cut_off &&
-	       now < report->access_reported_at + CANDIDATE_AVOIDED;
+	       now < report->access_reported_at + CANDIDATE_AVOID_TIME;
 }
 
-/* The nodes of the roster in a circle. */
-static const roster_node_t *node_after(const roster_t *roster, const roster_node_t *node)
+/* Returns the next node of the roster, after the last one the first. */
+static const roster_node_t *next_node(const roster_t *roster, const roster_node_t *node)
 {
 	const list_t *next =
 		node->node.next != &roster->nodes ? node->node.next : roster->nodes.next;
@@ -201,7 +213,10 @@
 	return list_entry(next, roster_node_t, node);
 }
 
-/* A peer that may reach the store, or NULL. Who has lost its hubs hears nobody that does. */
+/*
+ * Returns a peer whose access is unknown and that may reach the store, or NULL. A proxy that has
+ * lost its hubs receives no reports of peers that reach it.
+ */
 static const roster_node_t *find_candidate(relay_t *relay, usec_t now)
 {
 	const pooler_t *pooler = relay->pooler;
@@ -211,7 +226,7 @@
 	size_t count = 0;
 
 	for (size_t i = 0; self != NULL && i < CANDIDATES_MAX; i++) {
-		node = node_after(pooler->sync.roster, node);
+		node = next_node(pooler->sync.roster, node);
 		if (node == self)
 			break;
 		if (!node->gone && !is_avoided(exchange_find_report(pooler, node->name), now))
@@ -220,7 +235,7 @@
 	return count != 0 ? candidates[relay->next_candidate++ % count] : NULL;
 }
 
-/* The peer that was heard last to reach the store, or NULL. */
+/* Returns the peer that last reported access to the store, or NULL. */
 static const roster_node_t *find_helper(const relay_t *relay, usec_t now)
 {
 	const pooler_t *pooler = relay->pooler;
@@ -232,7 +247,7 @@
 		const peer_report_t *report = exchange_find_report(pooler, node->name);
 
 		if (node->gone || strcmp(node->name, pooler->config.name) == 0 ||
-		    !can_help(report, now) || report->access_reported_at <= latest)
+		    !has_store_access(report, now) || report->access_reported_at <= latest)
 			continue;
 		best = node;
 		latest = report->access_reported_at;
@@ -256,7 +271,7 @@
 	call->sent = send_to(call->relay, helper->name, helper->address, &message);
 }
 
-/* False if there is nobody to ask. */
+/* Sends the call to a peer; false if there is none. */
 static bool relay_to_peer(call_t *call)
 {
 	relay_t *relay = call->relay;
@@ -280,7 +295,7 @@
 	return true;
 }
 
-static void finish(call_t *call, const kv_result_t *result)
+static void finish_call(call_t *call, const kv_result_t *result)
 {
 	call->done(call->data, result);
 	talloc_free(call);
@@ -289,19 +304,22 @@
 static void on_direct(void *data, const kv_result_t *result)
 {
 	call_t *call = data;
-	bool again = result->status == KV_REFUSED ||
-		     (result->status == KV_OUTCOME_UNKNOWN && is_repeatable(call));
+	bool relay_call = result->status == KV_REFUSED ||
+			  (result->status == KV_OUTCOME_UNKNOWN && is_repeatable(call));
 
-	note_access(call->relay, result->status);
-	/* A lost renewal must not make the next one wait longer: the hold would end meanwhile. */
+	update_access(call->relay, result->status);
+	/*
+	 * Only reads adapt the time-out: after a lost renewal of the lease the next one must not
+	 * wait longer, since the lease would end meanwhile.
+	 */
 	if (call->request.op == STORE_RANGE)
-		learn_patience(call->relay, result->status,
-			       now_of(call->relay->pooler) - call->began_at);
-	if (!again || !relay_to_peer(call))
-		finish(call, result);
+		adapt_timeout(call->relay, result->status,
+			      now_of(call->relay->pooler) - call->began_at);
+	if (!relay_call || !relay_to_peer(call))
+		finish_call(call, result);
 }
 
-static void begin(call_t *call)
+static void start_call(call_t *call)
 {
 	if (call->relay->cut_off && relay_to_peer(call))
 		return;
@@ -309,8 +327,11 @@
 	make_call(call->relay->direct, &call->request, on_direct, call);
 }
 
-/* Our own access is back: peers that may not answer are not waited for. */
-static void take_back(relay_t *relay)
+/*
+ * Makes the calls in flight directly when our own access is back, without waiting for peers that
+ * may not answer.
+ */
+static void resume_direct_calls(relay_t *relay)
 {
 	list_for_each_safe (it, &relay->calls) {
 		call_t *call = list_entry(it, call_t, node);
@@ -323,8 +344,8 @@
 	}
 }
 
-/* The peer can't help: another one may. */
-static void on_no_help(call_t *call, kv_status_t status)
+/* Handles a peer's failure to make the call: another peer is tried. */
+static void on_helper_failure(call_t *call, kv_status_t status)
 {
 	kv_result_t result = {.status = status};
 	peer_report_t *report = exchange_get_report(call->relay->pooler, call->helper);
@@ -332,7 +353,7 @@
 	report->cut_off = true;
 	report->access_reported_at = now_of(call->relay->pooler);
 	if ((status == KV_OUTCOME_UNKNOWN && !is_repeatable(call)) || !relay_to_peer(call))
-		finish(call, &result);
+		finish_call(call, &result);
 }
 
 void relay_on_answer(relay_t *relay, const peer_message_t *message)
@@ -348,9 +369,9 @@
 		list_del(&call->node);
 		if (answer->result.status == KV_REFUSED ||
 		    answer->result.status == KV_OUTCOME_UNKNOWN)
-			on_no_help(call, answer->result.status);
+			on_helper_failure(call, answer->result.status);
 		else
-			finish(call, &answer->result);
+			finish_call(call, &answer->result);
 		return;
 	}
 }
@@ -361,10 +382,10 @@
 
 	relay->probing = false;
 	relay->probe_at = now_of(relay->pooler) + probe_interval(relay);
-	note_access(relay, result->status);
+	update_access(relay, result->status);
 }
 
-static void probe(relay_t *relay, usec_t now)
+static void probe_store(relay_t *relay, usec_t now)
 {
 	if (!relay->cut_off || relay->probing || now < relay->probe_at)
 		return;
@@ -373,7 +394,7 @@
 				  relay);
 }
 
-static void send_again(call_t *call)
+static void resend_call(call_t *call)
 {
 	const roster_node_t *helper =
 		roster_find_node(call->relay->pooler->sync.roster, call->helper);
@@ -384,26 +405,26 @@
 
 void relay_tick(relay_t *relay, usec_t now)
 {
-	usec_t patience = (usec_t)relay->direct->timeout_ms * USEC_PER_MSEC + WAYS;
+	usec_t timeout = (usec_t)relay->direct->timeout_ms * USEC_PER_MSEC + MESSAGES_TIME;
 
 	list_for_each_safe (it, &relay->calls) {
 		call_t *call = list_entry(it, call_t, node);
 
 		if (!call->sent)
-			send_again(call);
-		if (now < call->asked_at + patience)
+			resend_call(call);
+		if (now < call->asked_at + timeout)
 			continue;
 		list_del(&call->node);
 		counter_add(&unanswered_total, 1);
-		on_no_help(call, KV_OUTCOME_UNKNOWN);
+		on_helper_failure(call, KV_OUTCOME_UNKNOWN);
 	}
-	probe(relay, now);
+	probe_store(relay, now);
 }
 
-/* --- for a peer --- */
+/* --- calls for a peer --- */
 
-static void answer(const relay_t *relay, const char *to, const char *address, uint64_t number,
-		   const kv_result_t *result)
+static void send_answer(const relay_t *relay, const char *to, const char *address, uint64_t number,
+			const kv_result_t *result)
 {
 	store_answer_t stored = {.number = number, .result = *result};
 	peer_message_t message = {.kind = PEER_STORE_ANSWER, .store_answer = &stored};
@@ -416,8 +437,8 @@
 	relay_job_t *job = data;
 
 	job->relay->jobs--;
-	note_access(job->relay, result->status);
-	answer(job->relay, job->from, job->address, job->number, result);
+	update_access(job->relay, result->status);
+	send_answer(job->relay, job->from, job->address, job->number, result);
 	talloc_free(job);
 }
 
@@ -428,7 +449,7 @@
 	relay_job_t *job;
 
 	if (relay->cut_off || relay->pooler->draining || relay->jobs >= JOBS_MAX) {
-		answer(relay, message->from, message->address, request->number, &refused);
+		send_answer(relay, message->from, message->address, request->number, &refused);
 		return;
 	}
 	counter_add(&jobs_total, 1);
@@ -441,9 +462,9 @@
 	make_call(relay->direct, request, on_job_done, job);
 }
 
-/* --- the store as the pooler calls it --- */
+/* --- store interface --- */
 
-static call_t *make(kv_t *kv, store_op_t op, kv_done_t done, void *data)
+static call_t *create_call(kv_t *kv, store_op_t op, kv_done_t done, void *data)
 {
 	relay_t *relay = (relay_t *)kv;
 	call_t *call = talloc_zero(relay, call_t);
@@ -457,11 +478,11 @@
 
 static void on_range(kv_t *kv, const char *prefix, const char *after, kv_done_t done, void *data)
 {
-	call_t *call = make(kv, STORE_RANGE, done, data);
+	call_t *call = create_call(kv, STORE_RANGE, done, data);
 
 	call->request.prefix = talloc_strdup(call, prefix);
 	call->request.after = talloc_strdup(call, after);
-	begin(call);
+	start_call(call);
 }
 
 typedef struct watch {
@@ -474,9 +495,9 @@
 {
 	watch_t *watch = data;
 
-	/* One that is waiting may be cut while the store serves all else. */
+	/* A waiting watch may lose its connection while the store serves all other calls. */
 	if (result->status != KV_OUTCOME_UNKNOWN)
-		note_access(watch->relay, result->status);
+		update_access(watch->relay, result->status);
 	watch->done(watch->data, result);
 	talloc_free(watch);
 }
@@ -493,7 +514,7 @@
 
 static void on_commit(kv_t *kv, const kv_write_t *writes, size_t count, kv_done_t done, void *data)
 {
-	call_t *call = make(kv, STORE_COMMIT, done, data);
+	call_t *call = create_call(kv, STORE_COMMIT, done, data);
 	kv_write_t *copies = talloc_array(call, kv_write_t, count);
 
 	for (size_t i = 0; i < count; i++) {
@@ -503,31 +524,31 @@
 	}
 	call->request.writes = copies;
 	call->request.count = count;
-	begin(call);
+	start_call(call);
 }
 
 static void on_lease_create(kv_t *kv, int64_t ttl_ms, kv_done_t done, void *data)
 {
-	call_t *call = make(kv, STORE_LEASE_CREATE, done, data);
+	call_t *call = create_call(kv, STORE_LEASE_CREATE, done, data);
 
 	call->request.ttl_ms = ttl_ms;
-	begin(call);
+	start_call(call);
 }
 
 static void on_lease_keep(kv_t *kv, uint64_t lease, kv_done_t done, void *data)
 {
-	call_t *call = make(kv, STORE_LEASE_KEEP, done, data);
+	call_t *call = create_call(kv, STORE_LEASE_KEEP, done, data);
 
 	call->request.lease = lease;
-	begin(call);
+	start_call(call);
 }
 
 static void on_lease_end(kv_t *kv, uint64_t lease, kv_done_t done, void *data)
 {
-	call_t *call = make(kv, STORE_LEASE_END, done, data);
+	call_t *call = create_call(kv, STORE_LEASE_END, done, data);
 
 	call->request.lease = lease;
-	begin(call);
+	start_call(call);
 }
 
 static const kv_ops_t relay_ops = {
@@ -548,10 +569,10 @@
 	relay->direct = direct;
 	list_init(&relay->calls);
 	/*
-	 * Until the store has answered once it is asked again as soon as if it were quick: a call
-	 * that an outage has lost would be waited for beyond its end.
+	 * Until the store has answered once, calls time out as early as for a fast store: a call
+	 * lost in an outage would otherwise be waited for beyond the outage's end.
 	 */
-	direct->timeout_ms = PATIENCE_LEAST / USEC_PER_MSEC;
+	direct->timeout_ms = TIMEOUT_MIN / USEC_PER_MSEC;
 	return relay;
 }
 
--- a/pooler/relay.h
+++ b/pooler/relay.h
@@ -1,12 +1,12 @@
 /*
- * The store through a peer. A store may turn single proxies away, or not answer them, and serve
- * the others. A proxy that it does not serve has a peer that reaches it make the call: the same
- * call, the same conditions, one hop. Without this a holder of the duty that is turned away in
- * the middle of a change of primary can neither finish it nor prolong its hold.
+ * Relays store calls through a peer. A store may reject calls of single proxies, or not answer
+ * them, and serve the others. A proxy that the store does not serve has a peer make the call: the
+ * same call, with the same conditions, over one hop. Without this a leader that is rejected during
+ * a change of primary could neither finish the change nor renew its lease.
  *
- * Nothing rests on the peer's clock: a hold or a permission counts from when the call was made
- * here, which is before it reaches the store by either way. A call that a peer makes late is like
- * one that the store itself carries out late: its condition decides.
+ * No result depends on the peer's clock: leases and permissions count from when the call was made
+ * here, which is before it reaches the store by either path. A call that a peer makes late is like
+ * one that the store itself executes late: its condition decides.
  */
 #pragma once
 
@@ -15,16 +15,19 @@
 struct pooler;
 typedef struct relay relay_t;
 
-/* direct: this proxy's own access to the store. */
+/* direct: this proxy's own connection to the store. */
 relay_t *relay_create(struct pooler *pooler, kv_t *direct);
 
-/* The store, by either way. Watches are never handed on. */
+/* Returns the store interface that uses either path. Watches are never relayed. */
 kv_t *relay_kv(relay_t *relay);
 
-/* True while our own calls to the store fail. */
+/* True while this proxy's own calls to the store fail. */
 bool relay_is_cut_off(const relay_t *relay);
 
-/* From a peer: a call that it can't make, and the answer to one of ours. */
+/*
+ * Handles a peer's call that this proxy is to make, and the answer to a call that a peer has made
+ * for this proxy.
+ */
 void relay_on_request(relay_t *relay, const peer_message_t *message);
 void relay_on_answer(relay_t *relay, const peer_message_t *message);
 
--- a/pooler/roster.c
+++ b/pooler/roster.c
@@ -86,7 +86,7 @@
 		list_add_tail(&roster->groups, &group->node);
 		HASH_ADD_KEYPTR(hh, roster->by_service, group->service, strlen(service), group);
 	}
-	/* primary may be the old one itself. */
+	/* primary may point to the old value. */
 	copy = talloc_strdup(group, primary);
 	talloc_free(group->primary);
 	group->primary = copy;
@@ -142,8 +142,8 @@
 			 (json_int_t)group->fencing_token);
 }
 
-/* What has changed after that revision; -1: everything. */
-static json_t *encode_since(const roster_t *roster, int64_t since)
+/* Encodes what has changed after that revision; -1: everything. */
+static json_t *encode_changes(const roster_t *roster, int64_t since)
 {
 	json_t *nodes = json_object();
 	json_t *groups = json_object();
@@ -165,7 +165,7 @@
 			 (json_int_t)roster->era);
 }
 
-static char *dump_text(void *parent, json_t *root)
+static char *pack_json(void *parent, json_t *root)
 {
 	char *text = json_dumps(root, JSON_COMPACT);
 	char *copy = pack_compress(parent, text, strlen(text));
@@ -178,7 +178,7 @@
 const char *roster_encode(roster_t *roster)
 {
 	if (roster->text == NULL)
-		roster->text = dump_text(roster, encode_since(roster, -1));
+		roster->text = pack_json(roster, encode_changes(roster, -1));
 	return roster->text;
 }
 
@@ -198,11 +198,11 @@
 		if (removal->removed_revision > since)
 			json_array_append_new(removed, json_string(removal->name));
 	}
-	root = encode_since(roster, since);
+	root = encode_changes(roster, since);
 	json_object_set_new(root, "since", json_integer(since));
 	json_object_set_new(root, "removed", removed);
 	talloc_free(roster->changes);
-	roster->changes = dump_text(roster, root);
+	roster->changes = pack_json(roster, root);
 	roster->changes_since = since;
 	return roster->changes;
 }
@@ -249,14 +249,14 @@
 	return 0;
 }
 
-/* What the document says replaces what the roster has. */
-static int decode_into(roster_t *roster, json_t *root)
+/* Fills in a roster from the document; -1 if the document is invalid. */
+static int decode_document(roster_t *roster, json_t *root)
 {
 	const char *writer = json_string_value(json_object_get(root, "writer"));
 	json_t *nodes = json_object_get(root, "nodes");
 	json_t *groups = json_object_get(root, "groups");
 
-	/* Another writer's text would pass for a fleet without anybody. */
+	/* Text of another kind would otherwise pass for a roster without proxies. */
 	if (!json_is_object(nodes) || !json_is_object(groups))
 		return -1;
 
@@ -266,7 +266,7 @@
 	return decode_nodes(roster, nodes) < 0 || decode_groups(roster, groups) < 0 ? -1 : 0;
 }
 
-static json_t *load_text(const char *text, size_t len)
+static json_t *load_json(const char *text, size_t len)
 {
 	void *parent = talloc_new(NULL);
 	size_t plain_len;
@@ -279,11 +279,11 @@
 
 roster_t *roster_decode(void *parent, const char *text, size_t len, int64_t revision)
 {
-	json_t *root = load_text(text, len);
+	json_t *root = load_json(text, len);
 	roster_t *roster = roster_create(parent);
 
 	roster->revision = revision;
-	if (decode_into(roster, root) < 0) {
+	if (decode_document(roster, root) < 0) {
 		talloc_free(roster);
 		roster = NULL;
 	}
@@ -291,11 +291,11 @@
 	return roster;
 }
 
-/* --- taking over what is newer --- */
+/* --- updates --- */
 
 /*
- * Removals that are kept; whoever knows only an older roster than the last one forgotten is told
- * all of it. More proxies are seldom taken off within the seconds that one is behind.
+ * Number of removals that are kept; a proxy whose roster is older than the last one dropped is sent
+ * the whole roster. More proxies are rarely removed within the few seconds that a proxy is behind.
  */
 #define REMOVALS_MAX 64
 
@@ -311,7 +311,7 @@
 	       a->term == b->term && a->fencing_token == b->fencing_token;
 }
 
-static void forget_removal(roster_removal_t *removal)
+static void drop_removal(roster_removal_t *removal)
 {
 	list_del(&removal->node);
 	talloc_free(removal);
@@ -328,25 +328,26 @@
 		return;
 	removal = list_entry(roster->removals.next, roster_removal_t, node);
 	roster->changes_complete_since = removal->removed_revision;
-	forget_removal(removal);
+	drop_removal(removal);
 }
 
-/* It is on the roster again. */
-static void end_removal(roster_t *roster, const char *name)
+/* Drops the removal of a proxy that is on the roster again. */
+static void cancel_removal(roster_t *roster, const char *name)
 {
 	list_for_each_safe (it, &roster->removals) {
 		roster_removal_t *removal = list_entry(it, roster_removal_t, node);
 
 		if (strcmp(removal->name, name) == 0)
-			forget_removal(removal);
+			drop_removal(removal);
 	}
 }
 
 static void merge_node(roster_diff_t *diff, roster_t *roster, const roster_node_t *newer)
 {
 	const roster_node_t *was = roster_find_node(roster, newer->name);
-	bool same_place = was != NULL && was->gone == newer->gone &&
-			  was->capacity == newer->capacity && strcmp(was->zone, newer->zone) == 0;
+	bool same_location = was != NULL && was->gone == newer->gone &&
+			     was->capacity == newer->capacity &&
+			     strcmp(was->zone, newer->zone) == 0;
 	bool entered = !newer->gone &&
 		       (was == NULL || was->gone || was->incarnation != newer->incarnation);
 	roster_node_t *node;
@@ -358,9 +359,9 @@
 	node->gone = newer->gone;
 	node->capacity = newer->capacity;
 	node->changed_revision = roster->revision;
-	if (!same_place)
+	if (!same_location)
 		roster->nodes_revision = roster->revision;
-	end_removal(roster, node->name);
+	cancel_removal(roster, node->name);
 	diff->nodes[diff->node_count++] = (roster_node_change_t){node, entered};
 }
 
@@ -402,8 +403,8 @@
 	talloc_free(group);
 }
 
-/* What newer lacks is gone. */
-static void merge_ends(roster_diff_t *diff, roster_t *roster, const roster_t *newer)
+/* Removes the entries that newer lacks. */
+static void remove_missing(roster_diff_t *diff, roster_t *roster, const roster_t *newer)
 {
 	list_for_each_safe (it, &roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
@@ -419,8 +420,8 @@
 	}
 }
 
-static roster_diff_t *begin_merge(void *parent, roster_t *roster, const roster_t *newer,
-				  size_t removals, size_t removed_groups)
+static roster_diff_t *merge_entries(void *parent, roster_t *roster, const roster_t *newer,
+				    size_t removals, size_t removed_groups)
 {
 	roster_diff_t *diff = talloc_zero(parent, roster_diff_t);
 
@@ -445,18 +446,18 @@
 
 roster_diff_t *roster_update(void *parent, roster_t *roster, const roster_t *newer)
 {
-	roster_diff_t *diff = begin_merge(parent, roster, newer, roster->node_count,
-					  HASH_COUNT(roster->by_service));
+	roster_diff_t *diff = merge_entries(parent, roster, newer, roster->node_count,
+					    HASH_COUNT(roster->by_service));
 
-	merge_ends(diff, roster, newer);
+	remove_missing(diff, roster, newer);
 	return diff;
 }
 
-/* The entries of changes, and the names of those that were taken off. */
+/* Applies the entries of changes and the names of proxies that were removed. */
 static roster_diff_t *merge_changes(void *parent, roster_t *roster, const roster_t *changes,
 				    json_t *removed)
 {
-	roster_diff_t *diff = begin_merge(parent, roster, changes, json_array_size(removed), 0);
+	roster_diff_t *diff = merge_entries(parent, roster, changes, json_array_size(removed), 0);
 	size_t index;
 	json_t *value;
 
@@ -472,14 +473,15 @@
 roster_diff_t *roster_apply_text(void *parent, roster_t *roster, const char *text, size_t len,
 				 int64_t revision)
 {
-	json_t *root = load_text(text, len);
+	json_t *root = load_json(text, len);
 	json_t *since = json_object_get(root, "since");
 	roster_t *newer = roster_create(NULL);
 	roster_diff_t *diff = NULL;
 
 	newer->revision = revision;
-	if (decode_into(newer, root) < 0)
-		LOG_EVENT(LOG_ERR, "roster can't be read", LOG_INT("revision", revision));
+	if (decode_document(newer, root) < 0)
+		LOG_EVENT(LOG_ERR, "roster received from a peer is invalid",
+			  LOG_INT("revision", revision));
 	else if (since == NULL)
 		diff = roster_update(parent, roster, newer);
 	else if (json_integer_value(since) <= roster->revision)
--- a/pooler/roster.h
+++ b/pooler/roster.h
@@ -1,11 +1,10 @@
 /*
- * The fleet's roster: one document in the platform's store that says which
- * proxies there are and which member is the primary of each service. It changes
- * only by compare-and-swap, so its revision orders all its states.
+ * The fleet's roster: one document in the store that lists the proxies and the primary of each
+ * service. It changes only by compare-and-swap, so its revision orders all its states.
  *
- * A change of primary is written down (changing) before it is made. Whoever
- * read the roster after that knows it, whoever read it before may still use the
- * old primary until its permission ends; see permit.h.
+ * Before a primary is replaced, the change is written to the roster (changing). A proxy that has
+ * read the roster since then knows of the change; one that has not may still use the old primary
+ * until its permission ends; see permit.h.
  */
 #pragma once
 
@@ -19,29 +18,32 @@
 
 typedef struct roster_node {
 	list_t node;
-	UT_hash_handle hh; /* in roster_t.by_name: every message looks its sender up */
+	UT_hash_handle hh; /* in roster_t.by_name; the sender of every message is looked up */
 	char *name;
-	uint64_t hash; /* of the name */
-	char *address; /* for messages between proxies */
+	uint64_t hash; /* hash of name */
+	char *address; /* for messages from other proxies */
 	char *zone;
-	uint64_t incarnation;	  /* of its process */
-	bool gone;		  /* not heard of: it may use no primary, and is removed later */
-	int64_t capacity;	  /* its processor share in percent of a core; 0: not told */
-	int64_t changed_revision; /* revision of a roster no older than its last change */
+	uint64_t incarnation; /* of the proxy's process */
+	bool gone;	  /* declared gone: the proxy is silent and may use no primary; its entry is
+			     removed later */
+	int64_t capacity; /* processor share of its VM in percent of a core; 0: not reported */
+	int64_t changed_revision; /* revision of a roster that is no older than the entry's last
+				     change */
 } roster_node_t;
 
 typedef struct roster_group {
 	list_t node;
 	UT_hash_handle hh; /* in roster_t.by_service */
 	char *service;
-	char *primary;		/* id of the member that may be written to */
-	bool changing;		/* another member is about to be promoted */
-	uint64_t term;		/* that it leads; 0: the first primary, whose term was not asked */
-	uint64_t fencing_token; /* of the holder that wrote this */
+	char *primary; /* id of the service's primary */
+	bool changing; /* the primary is about to be replaced */
+	uint64_t term; /* term in which it is primary; 0: the service's first primary, whose term is
+			  not known */
+	uint64_t fencing_token; /* fencing token of the leader that wrote the entry */
 	int64_t changed_revision;
 } roster_group_t;
 
-/* A proxy that was taken off. */
+/* A proxy that was removed from the roster. */
 typedef struct roster_removal {
 	list_t node;
 	char *name;
@@ -49,21 +51,23 @@
 } roster_removal_t;
 
 typedef struct roster {
-	int64_t revision; /* in the store; 0: not there yet */
+	int64_t revision; /* revision in the store; 0: not written yet */
 	list_t nodes;
 	roster_node_t *by_name;
 	list_t groups;
 	roster_group_t *by_service;
-	int64_t era;  /* of the store, in which it was written */
-	char *writer; /* the proxy that wrote this; NULL: unknown */
-	char *text;   /* encoded; NULL until it is asked for */
+	int64_t era;  /* era of the store in which the roster was written; see kv.h */
+	char *writer; /* proxy that wrote the roster; NULL: unknown */
+	char *text;   /* cached encoding, by roster_encode(); NULL: none */
 	size_t node_count;
-	size_t changing_count; /* groups with a change under way */
-	/* What this process knows of how it came about; not part of the document. */
-	int64_t changes_complete_since; /* every change since that revision is marked; 0: none is */
-	int64_t nodes_revision; /* the proxies that live, and their zones, are these since */
-	list_t removals;	/* roster_removal_t */
-	char *changes;		/* encoded as roster_encode_changes() last was */
+	size_t changing_count; /* number of groups with a change in progress */
+	/* History of the roster in this process; not part of the document. */
+	int64_t changes_complete_since; /* all changes since that revision are recorded in
+					   changed_revision and removals; 0: none are */
+	int64_t nodes_revision;		/* revision since which the live proxies and their zones are
+					   unchanged */
+	list_t removals;		/* roster_removal_t */
+	char *changes; /* cached text of the last roster_encode_changes(); NULL: none */
 	int64_t changes_since;
 } roster_t;
 
@@ -73,7 +77,7 @@
 roster_node_t *roster_find_node(const roster_t *roster, const char *name);
 roster_group_t *roster_find_group(const roster_t *roster, const char *service);
 
-/* Add or replace. */
+/* Add or replace an entry. */
 roster_node_t *roster_put_node(roster_t *roster, const char *name, const char *address,
 			       const char *zone, uint64_t incarnation);
 void roster_remove_node(roster_t *roster, const char *name);
@@ -83,24 +87,24 @@
 void roster_set_writer(roster_t *roster, const char *name);
 
 /*
- * As JSON text, packed if it is large (see pack.h). It is kept, since a whole fleet is told the
- * same; no change may follow.
+ * Returns the roster as JSON text, compressed if it is large (see pack.h). The text is cached,
+ * since many proxies receive the same one; the roster must not be changed afterwards.
  */
 const char *roster_encode(roster_t *roster);
 
-/* NULL if text is no roster. */
+/* Returns NULL if text is not a roster. */
 roster_t *roster_decode(void *parent, const char *text, size_t len, int64_t revision);
 
 /*
- * What has changed since that revision, as JSON text that roster_apply_text() takes; all of it if
- * that is not known. It is kept, since a whole fleet asks for the same. A roster of 295 proxies has
- * 32 KB, a change of primary 150 bytes.
+ * Returns the changes since that revision as JSON text for roster_apply_text(), or the whole roster
+ * if they are not known. The text is cached, since many proxies receive the same one. A roster of
+ * 295 proxies has 32 KB, a change of primary 150 bytes.
  */
 const char *roster_encode_changes(roster_t *roster, int64_t since);
 
 typedef struct roster_node_change {
 	const roster_node_t *node;
-	bool registered; /* it lives, and is of another process than the entry before */
+	bool registered; /* a live proxy whose entry is new or of another process than before */
 } roster_node_change_t;
 
 typedef struct roster_group_change {
@@ -109,7 +113,7 @@
 	bool was_changing;
 } roster_group_change_t;
 
-/* What an update has changed; talloc arrays. */
+/* Difference made by an update; talloc arrays. */
 typedef struct roster_diff {
 	roster_node_change_t *nodes;
 	size_t node_count;
@@ -122,14 +126,14 @@
 } roster_diff_t;
 
 /*
- * Make roster what newer is, with newer's revision. Entries that stay the same are not touched.
+ * Turns roster into newer, with its revision, and leaves entries that stay the same untouched.
  * Returns the difference, as a child of parent.
  */
 roster_diff_t *roster_update(void *parent, roster_t *roster, const roster_t *newer);
 
 /*
- * The same from the text of a whole roster, or of changes. NULL, and roster stays as it was, if
- * text is none or starts later than roster.
+ * The same from the text of a roster or of changes. Returns NULL and leaves roster as it is if text
+ * is invalid or holds changes since a later revision than roster's.
  */
 roster_diff_t *roster_apply_text(void *parent, roster_t *roster, const char *text, size_t len,
 				 int64_t revision);
