--- a/pooler/pack.c
+++ b/pooler/pack.c
@@ -14,11 +14,13 @@
 #define LOG_MODULE "pack"
 #include "log.h"
 
-/* A packed text: this, the length of what was packed in decimal, a blank, base64 of zlib's format.
+/*
+ * Format of a compressed text: this prefix, the original's length in decimal, a space, and zlib's
+ * output in base64.
  */
-#define HEAD	"zlib:"
-#define BASE64	sodium_base64_VARIANT_ORIGINAL
-#define LEN_MAX 24
+#define PREFIX	   "zlib:"
+#define BASE64	   sodium_base64_VARIANT_ORIGINAL
+#define LENGTH_MAX 24
 
 char *pack_compress(void *parent, const char *text, size_t len)
 {
@@ -31,23 +33,29 @@
 	if (len < PACK_MIN_BYTES)
 		return talloc_strndup(parent, text, len);
 	packed = talloc_size(NULL, packed_len);
-	/* The fastest level: one proxy packs what many read, and may have an eighth of a core. */
+	/*
+	 * The fastest level is used, since the proxy that compresses a text may have an eighth of a
+	 * core.
+	 */
 	if (compress2(packed, &packed_len, (const Bytef *)text, len, Z_BEST_SPEED) != Z_OK) {
-		LOG_EVENT(LOG_ERR, "text can't be compressed", LOG_INT("bytes", (int64_t)len));
+		LOG_EVENT(LOG_ERR, "compression of a text failed", LOG_INT("bytes", (int64_t)len));
 		talloc_free(packed);
 		return talloc_strndup(parent, text, len);
 	}
 	size = sodium_base64_ENCODED_LEN(packed_len, BASE64);
-	out = talloc_size(parent, strlen(HEAD) + LEN_MAX + size);
-	head = sprintf(out, HEAD "%zu ", len);
+	out = talloc_size(parent, strlen(PREFIX) + LENGTH_MAX + size);
+	head = sprintf(out, PREFIX "%zu ", len);
 	sodium_bin2base64(out + head, size, packed, packed_len, BASE64);
 	talloc_free(packed);
 	return out;
 }
 
-/* The compressed bytes of a packed text, and how long what was packed is; NULL if there are none.
+/*
+ * Decodes the header and base64 of a compressed text; returns the compressed bytes and the length
+ * of the original, or NULL if text is invalid.
  */
-static unsigned char *open_head(const char *text, size_t len, size_t *packed_len, size_t *plain_len)
+static unsigned char *decode_base64(const char *text, size_t len, size_t *packed_len,
+				    size_t *plain_len)
 {
 	const char *blank = memchr(text, ' ', len);
 	unsigned char *packed;
@@ -55,7 +63,7 @@
 
 	if (blank == NULL)
 		return NULL;
-	*plain_len = strtoull(text + strlen(HEAD), NULL, 10);
+	*plain_len = strtoull(text + strlen(PREFIX), NULL, 10);
 	rest = len - (size_t)(blank + 1 - text);
 	packed = talloc_size(NULL, rest + 1);
 	if (*plain_len <= PACK_MAX_BYTES &&
@@ -75,9 +83,9 @@
 	bool ok;
 
 	*out_len = len;
-	if (len < strlen(HEAD) || memcmp(text, HEAD, strlen(HEAD)) != 0)
+	if (len < strlen(PREFIX) || memcmp(text, PREFIX, strlen(PREFIX)) != 0)
 		return text;
-	packed = open_head(text, len, &packed_len, &plain_len);
+	packed = decode_base64(text, len, &packed_len, &plain_len);
 	if (packed == NULL)
 		return NULL;
 	opened_len = plain_len;
--- a/pooler/push.c
+++ b/pooler/push.c
@@ -8,29 +8,29 @@
 #include "upstream.h"
 
 /*
- * Between two pushes of news, for each proxy of the fleet, since all of them are told with each.
- * The first primaries of many services come in as many writes within seconds.
+ * Least time between two pushes for each proxy of the fleet, since a push goes to all of them. The
+ * first primaries of many services come in as many writes within seconds.
  */
-#define SPACING_EACH 100 /* us */
-/* A tick: what would wait for less is pushed at once. */
-#define SPACING_LEAST (50 * USEC_PER_MSEC)
+#define INTERVAL_PER_PROXY_USEC 100
+/* A tick: intervals shorter than this count as none. */
+#define INTERVAL_MIN (50 * USEC_PER_MSEC)
 
-static void push_to(pooler_t *pooler, const roster_node_t *peer, void *data)
+static void push_state(pooler_t *pooler, const roster_node_t *peer, void *data)
 {
 	(void)data;
 	exchange_send_state(pooler, peer->name, peer->address);
 }
 
-static void tell_listeners(pooler_t *pooler)
+static void push_to_downstream(pooler_t *pooler)
 {
-	upstream_for_each_downstream(pooler, now_of(pooler), push_to, NULL);
+	upstream_for_each_downstream(pooler, now_of(pooler), push_state, NULL);
 }
 
-static void tell_all(pooler_t *pooler)
+static void push_to_all(pooler_t *pooler)
 {
 	if (upstream_uses_hubs(pooler)) {
-		upstream_for_each_hub(pooler, push_to, NULL);
-		tell_listeners(pooler);
+		upstream_for_each_hub(pooler, push_state, NULL);
+		push_to_downstream(pooler);
 		return;
 	}
 	list_for_each (it, &pooler->sync.roster->nodes) {
@@ -41,7 +41,7 @@
 	}
 }
 
-static void push_now(pooler_t *pooler)
+static void push_if_due(pooler_t *pooler)
 {
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
@@ -52,32 +52,32 @@
 	sync->push_pending = PUSH_NONE;
 	sync->push_next = now + push_interval(pooler);
 	if (wanted == PUSH_ALL)
-		tell_all(pooler);
+		push_to_all(pooler);
 	else
-		tell_listeners(pooler);
+		push_to_downstream(pooler);
 }
 
 usec_t push_interval(const pooler_t *pooler)
 {
-	usec_t spacing = pooler->sync.proxy_count * SPACING_EACH;
+	usec_t interval = pooler->sync.proxy_count * INTERVAL_PER_PROXY_USEC;
 
-	return spacing >= SPACING_LEAST ? spacing : 0;
+	return interval >= INTERVAL_MIN ? interval : 0;
 }
 
 void push_fleet(pooler_t *pooler)
 {
 	pooler->sync.push_pending = PUSH_ALL;
-	push_now(pooler);
+	push_if_due(pooler);
 }
 
 void push_downstream(pooler_t *pooler)
 {
 	if (pooler->sync.push_pending == PUSH_NONE)
 		pooler->sync.push_pending = PUSH_DOWNSTREAM;
-	push_now(pooler);
+	push_if_due(pooler);
 }
 
-/* A new configuration, once all of the reading that brought it was taken. */
+/* Pushes a new configuration, once all of the read that brought it was applied. */
 static void push_config(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
@@ -97,5 +97,5 @@
 void push_tick(pooler_t *pooler, usec_t now)
 {
 	push_config(pooler, now);
-	push_now(pooler);
+	push_if_due(pooler);
 }
--- a/pooler/push.h
+++ b/pooler/push.h
@@ -1,18 +1,22 @@
 /*
- * Telling others what is new before they ask. Who misses it hears it with the next answer.
+ * Pushes updates to other proxies before they query for them. A proxy that misses a push gets the
+ * update with the next state.
  */
 #pragma once
 
 #include "state.h"
 
-/* All of a small fleet; the hubs of a large one, and those that ask this proxy. */
+/*
+ * Pushes our state to all proxies of a small fleet, or to the hubs and our downstream proxies in a
+ * large one.
+ */
 void push_fleet(pooler_t *pooler);
 
-/* Those only that ask this proxy. */
+/* Pushes our state to our downstream proxies only. */
 void push_downstream(pooler_t *pooler);
 
-/* Between two pushes to a large fleet; 0: none. */
+/* Least time between two pushes; 0 in a small fleet. */
 usec_t push_interval(const pooler_t *pooler);
 
-/* What waited for that, and a new configuration. */
+/* Makes a push that was delayed by push_interval(), and pushes a new configuration. */
 void push_tick(pooler_t *pooler, usec_t now);
--- a/pooler/restore.c
+++ b/pooler/restore.c
@@ -11,8 +11,8 @@
 #include "counter.h"
 #include "log.h"
 
-COUNTER_DEFINE(copies_total, "store_copies_total", COUNTER_SUM,
-	       "Times that the store was seen to hold an older roster in a new era.");
+COUNTER_DEFINE(backups_total, "store_copies_total", COUNTER_SUM,
+	       "Times that the store held an older roster in a new era.");
 
 bool restore_is_pending(const pooler_t *pooler)
 {
@@ -20,10 +20,10 @@
 }
 
 /*
- * No other proxy can have held the duty before the era ended: our lease had not run out when we saw
- * its end.
+ * True if this proxy holds the newest groups: it was the leader, and no other proxy can have become
+ * the leader before the era ended, since our lease had not run out when we noticed the era's end.
  */
-static bool knows_groups(const pooler_t *pooler, usec_t now)
+static bool groups_are_current(const pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
 
@@ -36,31 +36,35 @@
 	pooler->sync.lost_lease_until = pooler->sync.lease_until;
 }
 
-void restore_on_backup(pooler_t *pooler, roster_t *copy, int64_t revision)
+void restore_on_backup(pooler_t *pooler, roster_t *backup, int64_t revision)
 {
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
 
 	if (sync->backup_revision == revision) {
-		talloc_free(copy);
+		talloc_free(backup);
 		return;
 	}
-	counter_add(&copies_total, 1);
+	counter_add(&backups_total, 1);
 	sync->backup_revision = revision;
 	if (hold_is_ours(pooler, now))
 		sync->lost_lease_until = sync->lease_until;
-	sync->groups_current = knows_groups(pooler, now);
-	LOG_EVENT(LOG_WARN, "store holds a copy of the roster", LOG_INT("era", kv_era(revision)),
-		  LOG_INT("written_in", copy->era), LOG_INT("copy", kv_revision_in_era(revision)),
+	sync->groups_current = groups_are_current(pooler, now);
+	LOG_EVENT(LOG_WARN, "store was restored from a backup with an older roster",
+		  LOG_INT("era", kv_era(revision)), LOG_INT("written_in", backup->era),
+		  LOG_INT("copy", kv_revision_in_era(revision)),
 		  LOG_INT("ours", kv_revision_in_era(sync->roster->revision)),
 		  LOG_INT("groups_known", sync->groups_current));
-	hold_lose(pooler, "the store came back from a copy");
-	/* A process that has just started learns who the others are, in the order of that era. */
+	hold_lose(pooler, "the store was restored from a backup");
+	/*
+	 * A process that has just started takes the other proxies from the backup, under a revision
+	 * of the backup's era.
+	 */
 	if (sync->roster->revision == 0) {
-		copy->revision = kv_make_revision(copy->era, kv_revision_in_era(revision));
-		adopt_roster(pooler, copy);
+		backup->revision = kv_make_revision(backup->era, kv_revision_in_era(revision));
+		adopt_roster(pooler, backup);
 	} else {
-		talloc_free(copy);
+		talloc_free(backup);
 	}
 }
 
@@ -74,7 +78,10 @@
 	list_for_each (it, &pooler->sync.roster->groups) {
 		const roster_group_t *group = list_entry(it, roster_group_t, node);
 
-		/* No holder has this token, so the change counts as an earlier one's. */
+		/*
+		 * No leader has this fencing token, so the change counts as one of an earlier
+		 * leader.
+		 */
 		roster_put_group(roster, group->service, group->primary, true, group->term,
 				 (uint64_t)pooler->sync.backup_revision);
 	}
@@ -86,7 +93,7 @@
 	sync_t *sync = &pooler->sync;
 
 	sync->rewriting_roster = false;
-	LOG_EVENT(LOG_WARN, "roster written again", LOG_INT("status", result->status),
+	LOG_EVENT(LOG_WARN, "roster written in the new era", LOG_INT("status", result->status),
 		  LOG_INT("era", kv_era(sync->roster->revision)),
 		  LOG_INT("groups_known", sync->groups_current),
 		  LOG_INT("proxies", (int64_t)sync->proxy_count));
--- a/pooler/restore.h
+++ b/pooler/restore.h
@@ -1,28 +1,29 @@
 /*
- * A store that comes back from a copy some seconds old: its roster is not the newest, and what was
- * written since is known to the proxies only.
+ * Handles a store that was restored from a backup some seconds old: its roster is not the newest,
+ * and only the proxies have what was written since.
  *
- * Each roster says in which era of the store it was written. One that the store holds in a later
- * era is a copy, and names no primary to use. Proxies that know a newer roster go on with it as in
- * an outage of the store; whoever takes the duty in the new era writes the newest that it knows.
- * The holder of before knows all groups, since only it wrote them. Any other one marks each as
- * changing by an earlier holder, so that the members are asked before one of them is used.
+ * Each roster names the era of the store in which it was written (see kv.h). A roster that the
+ * store holds in a later era is from the backup, and no primary that it names may be used. Proxies
+ * that hold a newer roster continue with it as in an outage of the store; the proxy that becomes
+ * the leader in the new era writes the newest roster it has. The previous leader holds all groups,
+ * since only the leader writes them. Any other proxy marks each group as being changed by an
+ * earlier leader, so that the members are queried before one of them is used.
  */
 #pragma once
 
 #include "state.h"
 
-/* The store holds this copy under that revision. Takes the copy over. */
-void restore_on_backup(pooler_t *pooler, roster_t *copy, int64_t revision);
+/* Handles a roster from a backup, which the store holds under that revision. Frees backup. */
+void restore_on_backup(pooler_t *pooler, roster_t *backup, int64_t revision);
 
-/* The lease of our hold ended with the era in which it was granted. */
+/* Handles the end of our leader lease together with the era in which it was granted. */
 void restore_on_lease_ended(pooler_t *pooler);
 
-/* True while the roster of the newest era is not written; nothing else may be. */
+/* True until the roster of the newest era is written; nothing else may be written before. */
 bool restore_is_pending(const pooler_t *pooler);
 
-/* True if this proxy should leave it to another one to take the duty first. */
+/* True if this proxy should let another one acquire the leadership first. */
 bool restore_must_yield(const pooler_t *pooler);
 
-/* Write the roster, if this proxy holds the duty. */
+/* Writes the roster in the new era, if this proxy is the leader. */
 void restore_write_roster(pooler_t *pooler, usec_t now);
--- a/pooler/summary.h
+++ b/pooler/summary.h
@@ -1,6 +1,6 @@
 /*
- * What went well is not logged line by line: every few seconds one line tells
- * how much of what happened since the last one.
+ * Logs a summary: successful operations are not logged one by one, but every few seconds one line
+ * shows how far the main counters have risen.
  */
 #pragma once
 
--- a/pooler/upstream.c
+++ b/pooler/upstream.c
@@ -12,33 +12,35 @@
 #include "counter.h"
 #include "log.h"
 
-/* A hub that was asked and has not answered for so long is passed over: two questions' intervals.
- */
-#define HUB_SILENT (500 * USEC_PER_MSEC)
-/* For so long; then it is tried again. */
-#define HUB_AVOIDED (2 * USEC_PER_SEC)
-/* A listener that has fallen silent is called so often, */
-#define CALL_INTERVAL (1 * USEC_PER_SEC)
-/* for so long after its last question: a restart takes seconds. */
-#define CALLED_FOR (30 * USEC_PER_SEC)
-/* Percent of a core for each part of the work, and the most parts that one proxy takes. */
+/* A hub that has not answered a query for this time is avoided: two query intervals. */
+#define HUB_ANSWER_TIMEOUT (500 * USEC_PER_MSEC)
+/* Time for which a hub is avoided before it is tried again. */
+#define HUB_AVOID_TIME (2 * USEC_PER_SEC)
+/* Interval of pings to a downstream proxy that has fallen silent, */
+#define PING_INTERVAL (1 * USEC_PER_SEC)
+/* and time after its last query for which it is pinged: a restart takes seconds. */
+#define PING_DURATION (30 * USEC_PER_SEC)
+/* Percent of a core for each unit of weight, and the greatest weight of a proxy. */
 #define WEIGHT_UNIT 25
-#define WEIGHT_MOST 4
-/* Any number: hubs are to differ from the homes of a service. */
+#define WEIGHT_MAX  4
+/*
+ * Seed of the hashes for hubs; any number that makes the choice differ from that of a service's
+ * homes.
+ */
 #define HUB_SEED 7
 
 COUNTER_DEFINE(avoided_total, "hubs_avoided_total", COUNTER_SUM,
-	       "Times that a hub did not answer this proxy and was passed over.");
+	       "Times that a hub did not answer this proxy and was avoided.");
 
-COUNTER_DEFINE(calls_total, "silent_listeners_called_total", COUNTER_SUM,
-	       "Pings to proxies that asked this one regularly and no longer do.");
+COUNTER_DEFINE(pings_total, "silent_listeners_called_total", COUNTER_SUM,
+	       "Pings to proxies that queried this one regularly and no longer do.");
 
 bool upstream_uses_hubs(const pooler_t *pooler)
 {
 	return pooler->sync.proxy_count >= UPSTREAM_HUBS_FLEET_MIN;
 }
 
-/* --- who is a hub --- */
+/* --- selection of hubs --- */
 
 size_t upstream_weight(const roster_node_t *node)
 {
@@ -46,11 +48,11 @@
 
 	if (weight < 1)
 		return 1;
-	return weight < WEIGHT_MOST ? (size_t)weight : WEIGHT_MOST;
+	return weight < WEIGHT_MAX ? (size_t)weight : WEIGHT_MAX;
 }
 
-/* The finalizer of a 64-bit hash. */
-static uint64_t mix(uint64_t hash)
+/* Finalizer of a 64-bit hash function (MurmurHash3). */
+static uint64_t finalize_hash(uint64_t hash)
 {
 	hash ^= hash >> 33;
 	hash *= 0xff51afd7ed558ccdull;
@@ -65,7 +67,7 @@
 	uint64_t least = UINT64_MAX;
 
 	for (size_t i = 0; i < weight; i++) {
-		uint64_t hash = mix(node->hash ^ mix(seed + i));
+		uint64_t hash = finalize_hash(node->hash ^ finalize_hash(seed + i));
 
 		least = hash < least ? hash : least;
 	}
@@ -77,8 +79,8 @@
 	uint64_t hash;
 } ranked_t;
 
-/* By zone, within a zone those that can do more first, then by hash. */
-static int by_zone(const void *a, const void *b)
+/* Orders proxies by zone, then by descending weight, then by hash. */
+static int compare_ranked(const void *a, const void *b)
 {
 	const ranked_t *x = a;
 	const ranked_t *y = b;
@@ -93,7 +95,7 @@
 	return (x->hash > y->hash) - (x->hash < y->hash);
 }
 
-static ranked_t *rank_all(const pooler_t *pooler, size_t *count)
+static ranked_t *rank_nodes(const pooler_t *pooler, size_t *count)
 {
 	ranked_t *ranked = talloc_array(NULL, ranked_t, pooler->sync.proxy_count);
 
@@ -107,7 +109,7 @@
 				.hash = XXH64(node->name, strlen(node->name), HUB_SEED),
 			};
 	}
-	qsort(ranked, *count, sizeof(*ranked), by_zone);
+	qsort(ranked, *count, sizeof(*ranked), compare_ranked);
 	return ranked;
 }
 
@@ -117,10 +119,10 @@
 	hubs->names[hubs->len++] = talloc_strdup(hubs->parent, node->name);
 }
 
-static void work_out(pooler_t *pooler, hubs_t *hubs)
+static void compute_hubs(pooler_t *pooler, hubs_t *hubs)
 {
 	size_t count;
-	ranked_t *ranked = rank_all(pooler, &count);
+	ranked_t *ranked = rank_nodes(pooler, &count);
 	size_t first = 0;
 
 	talloc_free(hubs->parent);
@@ -142,25 +144,25 @@
 	talloc_free(ranked);
 }
 
-static const hubs_t *hubs_of(pooler_t *pooler)
+static const hubs_t *get_hubs(pooler_t *pooler)
 {
 	hubs_t *hubs = &pooler->sync.hubs;
 
 	if (hubs->parent == NULL || hubs->nodes_revision != pooler->sync.roster->nodes_revision)
-		work_out(pooler, hubs);
+		compute_hubs(pooler, hubs);
 	return hubs;
 }
 
 bool upstream_is_hub(pooler_t *pooler)
 {
-	return upstream_uses_hubs(pooler) && hubs_of(pooler)->is_hub;
+	return upstream_uses_hubs(pooler) && get_hubs(pooler)->is_hub;
 }
 
 void upstream_for_each_hub(pooler_t *pooler,
 			   void (*each)(pooler_t *pooler, const roster_node_t *hub, void *data),
 			   void *data)
 {
-	const hubs_t *hubs = hubs_of(pooler);
+	const hubs_t *hubs = get_hubs(pooler);
 
 	for (size_t i = 0; i < hubs->len; i++) {
 		const roster_node_t *hub = roster_find_node(pooler->sync.roster, hubs->names[i]);
@@ -170,7 +172,7 @@
 	}
 }
 
-/* --- whom to ask --- */
+/* --- selection of the proxy to query --- */
 
 static bool is_avoided(const pooler_t *pooler, const char *name, usec_t now)
 {
@@ -180,12 +182,12 @@
 }
 
 /*
- * The hub of the zone (NULL: of any) that comes first for this proxy, by hash, and answers; NULL:
- * none does.
+ * Returns the hub of the zone (NULL: of any zone) that comes first for this proxy by hash and is
+ * not avoided; NULL: there is none.
  */
 static const roster_node_t *find_hub(pooler_t *pooler, const char *zone, usec_t now)
 {
-	const hubs_t *hubs = hubs_of(pooler);
+	const hubs_t *hubs = get_hubs(pooler);
 	uint64_t seed = XXH64(pooler->config.name, strlen(pooler->config.name), HUB_SEED);
 	const roster_node_t *best = NULL;
 	uint64_t best_hash = UINT64_MAX;
@@ -236,7 +238,7 @@
 	if (sync->roster->revision != 0 || name == NULL || address == NULL)
 		return;
 	if (sync->contact == NULL)
-		LOG_EVENT(LOG_INFO, "first proxy heard of", LOG_STR("proxy", name),
+		LOG_EVENT(LOG_INFO, "first contact with another proxy", LOG_STR("proxy", name),
 			  LOG_STR("address", address));
 	talloc_free(sync->contact);
 	talloc_free(sync->contact_address);
@@ -258,24 +260,27 @@
 		report->querying_since = 0;
 }
 
-/* Not who has only tried us in turn, while it had nobody else to ask. */
-static bool is_called(const peer_report_t *report, usec_t now)
+/*
+ * True if a silent downstream proxy is to be pinged. A proxy that has only queried this one in
+ * turn, while it had no other to query, is not pinged.
+ */
+static bool needs_ping(const peer_report_t *report, usec_t now)
 {
 	return report->querying_since != 0 && !upstream_is_downstream(report, now) &&
 	       report->last_query_at >= report->querying_since + UPSTREAM_DOWNSTREAM_TIMEOUT &&
-	       now < report->last_query_at + CALLED_FOR;
+	       now < report->last_query_at + PING_DURATION;
 }
 
-static void call_listener(pooler_t *pooler, const roster_node_t *node, peer_report_t *report,
-			  usec_t now)
+static void ping_silent(pooler_t *pooler, const roster_node_t *node, peer_report_t *report,
+			usec_t now)
 {
 	if (!report->pinged_silent)
-		LOG_EVENT(LOG_INFO, "proxy no longer asks us, calling it",
+		LOG_EVENT(LOG_INFO, "downstream proxy is silent, pinging it",
 			  LOG_STR("proxy", node->name), LOG_STR("address", node->address),
 			  LOG_INT("silent_ms",
 				  (int64_t)((now - report->last_query_at) / USEC_PER_MSEC)));
 	report->pinged_silent = true;
-	counter_add(&calls_total, 1);
+	counter_add(&pings_total, 1);
 	exchange_send_ping(pooler, node);
 }
 
@@ -285,25 +290,25 @@
 
 	if (now < sync->ping_silent_next)
 		return;
-	sync->ping_silent_next = now + CALL_INTERVAL;
+	sync->ping_silent_next = now + PING_INTERVAL;
 	list_for_each (it, &sync->reports) {
 		peer_report_t *report = list_entry(it, peer_report_t, node);
 		const roster_node_t *node = roster_find_node(sync->roster, report->name);
 
-		if (node != NULL && is_called(report, now))
-			call_listener(pooler, node, report, now);
+		if (node != NULL && needs_ping(report, now))
+			ping_silent(pooler, node, report, now);
 	}
 }
 
 void upstream_avoid_hub(pooler_t *pooler, const char *name, usec_t now)
 {
-	exchange_get_report(pooler, name)->hub_avoided_until = now + HUB_AVOIDED;
+	exchange_get_report(pooler, name)->hub_avoided_until = now + HUB_AVOID_TIME;
 	counter_add(&avoided_total, 1);
 	LOG_EVENT(LOG_WARN, "hub does not answer", LOG_STR("proxy", name),
-		  LOG_INT("avoided_ms", (int64_t)(HUB_AVOIDED / USEC_PER_MSEC)));
+		  LOG_INT("avoided_ms", (int64_t)(HUB_AVOID_TIME / USEC_PER_MSEC)));
 }
 
-static bool is_holder(const sync_t *sync, const char *name)
+static bool is_leader(const sync_t *sync, const char *name)
 {
 	return sync->leader != NULL && strcmp(sync->leader, name) == 0;
 }
@@ -320,11 +325,14 @@
 	}
 	if (report->query_unanswered_since == 0)
 		report->query_unanswered_since = now;
-	if (now < report->query_unanswered_since + HUB_SILENT || now == pooler->awake_since)
+	if (now < report->query_unanswered_since + HUB_ANSWER_TIMEOUT || now == pooler->awake_since)
 		return;
 	report->query_unanswered_since = 0;
-	/* The holder's silence is noticed by the age of its news; as a hub it has a successor. */
-	if (is_holder(sync, name) && (!upstream_uses_hubs(pooler) || upstream_is_hub(pooler)))
+	/*
+	 * A silent leader is detected by the age of its last state; only as a hub can it be
+	 * replaced by another one.
+	 */
+	if (is_leader(sync, name) && (!upstream_uses_hubs(pooler) || upstream_is_hub(pooler)))
 		return;
 	upstream_avoid_hub(pooler, name, now);
 }
@@ -333,7 +341,7 @@
 {
 	const sync_t *sync = &pooler->sync;
 
-	return is_holder(sync, name) ||
+	return is_leader(sync, name) ||
 	       (sync->upstream != NULL && strcmp(sync->upstream, name) == 0);
 }
 
--- a/pooler/upstream.h
+++ b/pooler/upstream.h
@@ -1,79 +1,93 @@
 /*
- * Whom a proxy asks for news of the roster, the operators' configuration and the members, and who
- * asks it. In a small fleet all ask the holder of the duty. In a larger one each zone has some
- * hubs: these ask the holder, and the others of the zone ask one of them, which passes on what they
- * report. So the holder hears from one proxy in sixteen, or in 64 where hubs have a core.
+ * Selects the proxy that this proxy queries for updates of the roster, the operators' configuration
+ * and the members, and tracks which proxies query this one (its downstream proxies). In a small
+ * fleet all proxies query the leader. In a larger one each zone has some hubs: a hub queries the
+ * leader, the other proxies of the zone query one of their hubs, and the hub forwards what they
+ * report. So the leader receives queries of one proxy in sixteen, or of one in 64 where hubs have a
+ * core.
  *
- * Everybody works out the hubs from the roster. A hub that does not answer is passed over; without
- * one the holder is asked.
+ * Every proxy computes the hubs from the roster. A hub that does not answer is avoided for a while;
+ * without one the leader is queried.
  */
 #pragma once
 
 #include "state.h"
 
 /*
- * From so many proxies on there are hubs. Below that the holder has at most 64 questions a second.
+ * Least fleet size at which there are hubs. Below it the leader receives at most 64 queries a
+ * second.
  */
 #define UPSTREAM_HUBS_FLEET_MIN 17
 /*
- * Proxies of a zone for each part of a hub's weight: as many questions as the holder of a small
- * fleet has.
+ * Number of a zone's proxies that a hub serves for each unit of its weight: this gives a hub as
+ * many queries as the leader of a small fleet receives.
  */
 #define UPSTREAM_PROXIES_PER_WEIGHT 16
-/* Who has asked within this is told news at once: four questions' intervals. */
+/*
+ * A proxy whose last query is no older than this counts as downstream, so updates are pushed to it:
+ * four query intervals.
+ */
 #define UPSTREAM_DOWNSTREAM_TIMEOUT (1 * USEC_PER_SEC)
 
 /* True if the fleet is large enough to have hubs. */
 bool upstream_uses_hubs(const pooler_t *pooler);
 
-/* True if this proxy is one. */
+/* True if this proxy is a hub. */
 bool upstream_is_hub(pooler_t *pooler);
 
-/* Whom to ask now; false if nobody is known, or it is this proxy itself. */
+/* Returns the proxy to query now; false if none is known, or it is this proxy itself. */
 bool upstream_find(pooler_t *pooler, usec_t now, const char **name, const char **address);
 
-/* Remember who speaks to a process that knows no roster, and has nobody else to ask. */
+/*
+ * Records the sender of a message while this process has no roster, and so no other proxy to query.
+ */
 void upstream_note_contact(pooler_t *pooler, const char *name, const char *address);
 
 /*
- * Call those that asked this proxy regularly and have fallen silent, until they answer. Their
- * process may have started anew and know nobody, if the store does not serve it.
+ * Pings the downstream proxies that have fallen silent, until they answer. Their process may have
+ * restarted and know no other proxy, if the store does not serve it.
  */
 void upstream_tick(pooler_t *pooler, usec_t now);
 
-/* That proxy has asked us for news. */
+/* Records a query from that proxy. */
 void upstream_on_query(peer_report_t *report, usec_t now);
 
-/* It has answered a call. */
+/* Records that the proxy has answered a ping. */
 void upstream_on_pong(peer_report_t *report, usec_t now);
 
-/* It was asked. */
+/*
+ * Records that a query was sent to that proxy, and avoids it as a hub if it has not answered
+ * earlier ones.
+ */
 void upstream_on_query_sent(pooler_t *pooler, const char *name, usec_t now);
 
-/* Parts of the fleet's common work that the proxy takes, by what its VM can do. */
+/* Weight of a proxy: its share of the fleet's common work, by the processor share of its VM. */
 size_t upstream_weight(const roster_node_t *node);
 
 /*
- * For rendezvous hashing: whoever of some proxies has the least is chosen for what seed stands for,
- * as often as its weight says.
+ * Hash for weighted rendezvous hashing: of several proxies, the one with the least hash is chosen
+ * for what seed stands for. A proxy is chosen in proportion to its weight.
  */
 uint64_t upstream_hash(const roster_node_t *node, uint64_t seed);
 
-/* It does not answer: another hub is asked for a while. */
+/* Avoids a hub that does not answer: another one is queried for a while. */
 void upstream_avoid_hub(pooler_t *pooler, const char *name, usec_t now);
 
-/* True if news of the holder, its doubts for example, may be taken from that proxy. */
+/*
+ * True if the leader's reports, such as the suspected primaries, may be accepted from that proxy:
+ * it is the leader, or the proxy that we query.
+ */
 bool upstream_is_trusted(const pooler_t *pooler, const char *name);
 
-/* True if that proxy has asked us of late. */
+/* True if that proxy has queried us within UPSTREAM_DOWNSTREAM_TIMEOUT. */
 bool upstream_is_downstream(const peer_report_t *report, usec_t now);
 
-/* Calls each with all hubs but this proxy. */
+/* Calls each for all hubs except this proxy. */
 void upstream_for_each_hub(pooler_t *pooler,
 			   void (*each)(pooler_t *pooler, const roster_node_t *hub, void *data),
 			   void *data);
 
-/* Calls each with all proxies of the roster that ask this one for news. */
+/* Calls each for all downstream proxies that are on the roster. */
 void upstream_for_each_downstream(pooler_t *pooler, usec_t now,
 				  void (*each)(pooler_t *pooler, const roster_node_t *peer,
 					       void *data),
