--- a/pooler/state.h
+++ b/pooler/state.h
@@ -358,7 +358,7 @@
 	size_t proxy_count;	/* of the roster */
 	bool primary_changing;	/* a primary of the roster is about to change */
 	usec_t adopted_at;	/* when the roster was received */
-	bool groups_changed;	/* the roster changed the primary of a service */
+	bool groups_changed;	/* the last update of the roster changed a group */
 	usec_t agreed_at;	/* when more than half of the fleet held no newer roster; see
 				   permit_on_agreed() */
 	usec_t peers_agreed_at; /* the same, as reported by another proxy */
@@ -413,9 +413,8 @@
 	/* Our own leader lease. */
 	bool acquiring;
 	uint64_t lease;
-	int64_t lease_era; /* era of the store that granted the lease */
-	uint64_t
-		former_lease; /* lease of an earlier process of this proxy that we ended; 0: none */
+	int64_t lease_era;     /* era of the store that granted the lease */
+	uint64_t former_lease; /* of an earlier process of this proxy, ended by us; 0: none */
 	bool leading;
 	uint64_t own_token;	      /* fencing token of our leadership */
 	uint64_t former_token;	      /* fencing token of our previous leadership */
