--- a/pooler/ask.c
+++ b/pooler/ask.c
@@ -47,7 +47,7 @@
 
 /* --- reports in a query --- */
 
-static char *add_word(char *list, const char *word)
+static char *append_word(char *list, const char *word)
 {
 	return talloc_asprintf_append(list, "%s%s", *list != '\0' ? " " : "", word);
 }
@@ -60,7 +60,7 @@
 	bool in_use;  /* this proxy has work on the primary though it is about to change */
 } primary_view_t;
 
-static primary_view_t view_primary(const service_t *service, usec_t now)
+static primary_view_t get_primary_view(const service_t *service, usec_t now)
 {
 	const roster_group_t *group = service->group;
 	const member_t *primary = service->primary;
@@ -78,14 +78,14 @@
  * Digest that changes as soon as the leader must receive a report at once. It is compared in each
  * tick, so it is computed without the lists of fill_report().
  */
-static uint64_t report_digest(const pooler_t *pooler, usec_t now)
+static uint64_t compute_report_digest(const pooler_t *pooler, usec_t now)
 {
 	uint64_t digest =
 		ask_must_report_revision(pooler) ? (uint64_t)pooler->sync.roster->revision : 0;
 
 	list_for_each (it, &pooler->active_services) {
 		const service_t *service = list_entry(it, service_t, active);
-		primary_view_t view = view_primary(service, now);
+		primary_view_t view = get_primary_view(service, now);
 
 		if (view.down || view.failing || view.in_use)
 			digest ^= XXH64(service->name, strlen(service->name),
@@ -104,16 +104,16 @@
 
 	list_for_each (it, &pooler->active_services) {
 		const service_t *service = list_entry(it, service_t, active);
-		primary_view_t view = view_primary(service, now);
+		primary_view_t view = get_primary_view(service, now);
 
 		if (view.down)
-			down = add_word(down, service->name);
+			down = append_word(down, service->name);
 		if (view.alive)
-			alive = add_word(alive, service->name);
+			alive = append_word(alive, service->name);
 		if (view.failing)
-			failing = add_word(failing, service->name);
+			failing = append_word(failing, service->name);
 		if (view.in_use)
-			in_use = add_word(in_use, service->name);
+			in_use = append_word(in_use, service->name);
 	}
 	message->down = down;
 	message->alive = alive;
@@ -187,7 +187,7 @@
 	list_for_each (it, &pooler->sync.reports) {
 		const peer_report_t *report = list_entry(it, peer_report_t, node);
 
-		if (!upstream_is_downstream(report, now))
+		if (!upstream_has_recent_query(report, now))
 			continue;
 		reports[message->report_count++] = (peer_message_t){
 			.from = report->name,
@@ -229,7 +229,7 @@
 	return !upstream_uses_hubs(pooler) || upstream_is_hub(pooler) || hold_is_ours(pooler, now);
 }
 
-static size_t index_on_roster(const pooler_t *pooler, const char *name)
+static size_t find_roster_index(const pooler_t *pooler, const char *name)
 {
 	size_t index = 0;
 
@@ -242,7 +242,7 @@
 }
 
 /* The first proxy on the roster from that index on that is not declared gone, or NULL. */
-static const roster_node_t *node_from(const pooler_t *pooler, size_t index)
+static const roster_node_t *find_node_from(const pooler_t *pooler, size_t index)
 {
 	const roster_node_t *first = NULL;
 	size_t i = 0;
@@ -268,8 +268,8 @@
 	sync_t *sync = &pooler->sync;
 	size_t step = sync->proxy_count / (ASK_OTHERS + 1);
 	size_t turn = 1 + sync->next_peer_index++ % ASK_OTHERS;
-	size_t index = index_on_roster(pooler, pooler->config.name) + turn * step;
-	const roster_node_t *node = node_from(pooler, index % sync->proxy_count);
+	size_t index = find_roster_index(pooler, pooler->config.name) + turn * step;
+	const roster_node_t *node = find_node_from(pooler, index % sync->proxy_count);
 
 	return node != NULL && strcmp(node->name, pooler->config.name) != 0 ? node : NULL;
 }
@@ -321,7 +321,7 @@
 {
 	sync_t *sync = &pooler->sync;
 	peer_message_t message = {.kind = PEER_QUERY, .echo = now};
-	uint64_t digest = report_digest(pooler, now);
+	uint64_t digest = compute_report_digest(pooler, now);
 	void *parent;
 
 	if (now < sync->query_next && digest == sync->reported_digest)
--- a/pooler/env.h
+++ b/pooler/env.h
@@ -177,7 +177,7 @@
 				    left for each, as a list of "SERVICE:MS " */
 	usec_t leader_age;	 /* STATE: time since the sender last received the leader's state;
 				    USEC_NEVER: never */
-	usec_t quorum_age; /* STATE: time since more than half of the fleet was known to agree on
+	usec_t agreement_age; /* STATE: time since more than half of the fleet was known to agree on
 			      the roster; USEC_NEVER: never */
 	const char *agreements; /* STATE of a hub: downstream proxies that agree on the roster and
 				   for how long, as a list of "PROXY:MS " */
@@ -254,7 +254,7 @@
 			  const peer_message_t *message);
 	/* Asks the platform to promote a member; pooler_on_promoted follows. */
 	void (*promote)(struct env *env, const char *service, const char *member,
-			const char *holder, uint64_t fence);
+			const char *leader, uint64_t fencing_token);
 	/* Reads the whole configuration or list of members again; changes are reported as usual. */
 	void (*refresh_config)(struct env *env);
 	void (*refresh_members)(struct env *env);
--- a/pooler/exchange.c
+++ b/pooler/exchange.c
@@ -106,7 +106,7 @@
 	}
 }
 
-static usec_t leader_age_of(const pooler_t *pooler, usec_t now)
+static usec_t get_leader_age(const pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
 
@@ -126,14 +126,14 @@
 	usec_t at = permit_agreed_at(pooler);
 	char *agreed;
 
-	message->quorum_age = at != 0 ? now - at : USEC_NEVER;
+	message->agreement_age = at != 0 ? now - at : USEC_NEVER;
 	if (!upstream_uses_hubs(pooler) || !ask_roster_is_unconfirmed(pooler, now))
 		return;
 	agreed = talloc_strdup(parent, "");
 	list_for_each (it, &sync->reports) {
 		const peer_report_t *report = list_entry(it, peer_report_t, node);
 
-		if (upstream_is_downstream(report, now) && report->agreed_at != 0)
+		if (upstream_has_recent_query(report, now) && report->agreed_at != 0)
 			agreed = talloc_asprintf_append(agreed, "%s:%" PRIu64 " ", report->name,
 							(now - report->agreed_at) / USEC_PER_MSEC);
 	}
@@ -145,7 +145,7 @@
  * flight, the proxy's queries still report an older revision. Answering each of them with all
  * changes again would fill our link after a restart of the fleet, when every entry has changed.
  */
-static const char *roster_update_for(const pooler_t *pooler, const peer_report_t *report,
+static const char *get_roster_update(const pooler_t *pooler, const peer_report_t *report,
 				     const peer_message_t *query, usec_t now)
 {
 	int64_t receiver_revision = query != NULL ? query->revision : report->revision;
@@ -173,14 +173,14 @@
 	message.members_digest = refresh_members_digest(pooler);
 	message.roster_age =
 		sync->confirmed_at != USEC_NEVER ? now - sync->confirmed_at : USEC_NEVER;
-	message.roster = roster_update_for(pooler, report, query, now);
+	message.roster = get_roster_update(pooler, report, query, now);
 	if (hold_is_ours(pooler, now))
 		message.change_ends = describe_ends(pooler, now, parent);
 	message.suspected_primaries = verdict_doubts(pooler, now, parent);
 	message.leader = sync->leader;
 	message.leader_address = sync->leader_address;
 	message.fencing_token = sync->fencing_token;
-	message.leader_age = leader_age_of(pooler, now);
+	message.leader_age = get_leader_age(pooler, now);
 	fill_agreement(pooler, now, &message, parent);
 	refresh_fill_state(pooler, name, query, &message, parent);
 	sent = exchange_send(pooler, name, address, &message);
@@ -317,7 +317,7 @@
 
 		join_on_report(pooler, report);
 		changed |= save_report(pooler, report,
-					now > report->report_age ? now - report->report_age : 0);
+				       now > report->report_age ? now - report->report_age : 0);
 	}
 	record_downstream(pooler, message, now);
 	if (message->revision > pooler->sync.roster->revision)
@@ -356,9 +356,9 @@
 		at += strcspn(at, " ");
 		at += strspn(at, " ");
 	}
-	if (message->quorum_age < message->echo &&
-	    message->echo - message->quorum_age > sync->peers_agreed_at)
-		sync->peers_agreed_at = message->echo - message->quorum_age;
+	if (message->agreement_age < message->echo &&
+	    message->echo - message->agreement_age > sync->peers_agreed_at)
+		sync->peers_agreed_at = message->echo - message->agreement_age;
 	permit_on_agreed(pooler);
 }
 
@@ -400,7 +400,7 @@
  * True if the state answers a query of this process and not of an earlier one of the same name,
  * which may have used another clock.
  */
-static bool answers_this_process(const pooler_t *pooler, const peer_message_t *message)
+static bool is_answer_to_this_process(const pooler_t *pooler, const peer_message_t *message)
 {
 	return message->echo >= pooler->started && message->echo <= now_of(pooler);
 }
@@ -439,7 +439,7 @@
 {
 	peer_message_t state = *message;
 
-	if (message->echo != 0 && !answers_this_process(pooler, message)) {
+	if (message->echo != 0 && !is_answer_to_this_process(pooler, message)) {
 		LOG_EVENT(LOG_INFO, "state answers a query of an earlier process",
 			  LOG_STR("proxy", message->from), LOG_INT("echo", (int64_t)message->echo),
 			  LOG_INT("started", (int64_t)pooler->started));
--- a/pooler/follow.c
+++ b/pooler/follow.c
@@ -438,7 +438,7 @@
 follow_changes_status_t follow_collect_changes(const follow_t *follow, int64_t since, void *parent,
 					       follow_changes_t *changes)
 {
-	bool whole = since < follow->complete_since;
+	bool complete = since < follow->complete_since;
 	kv_item_t *items;
 	size_t count = 0;
 	size_t bytes = 0;
@@ -448,14 +448,14 @@
 		return FOLLOW_UP_TO_DATE;
 	items = talloc_array(parent, kv_item_t,
 			     list_length(&follow->keys) + list_length(&follow->removed));
-	collect_entries(&follow->keys, whole ? 0 : since, items, &count, &bytes);
-	collect_entries(&follow->removed, whole ? 0 : since, items, &count, &bytes);
-	if (count == 0 && !whole)
+	collect_entries(&follow->keys, complete ? 0 : since, items, &count, &bytes);
+	collect_entries(&follow->removed, complete ? 0 : since, items, &count, &bytes);
+	if (count == 0 && !complete)
 		return FOLLOW_UP_TO_DATE;
 	if (bytes > FOLLOW_CHANGES_MAX_BYTES)
 		return FOLLOW_CHANGES_TOO_LARGE;
 	*changes = (follow_changes_t){
-		.complete = whole, .as_of = follow->as_of, .items = items, .count = count};
+		.complete = complete, .as_of = follow->as_of, .items = items, .count = count};
 	return FOLLOW_HAS_CHANGES;
 }
 
@@ -488,14 +488,14 @@
 
 const char *follow_pack_changes(follow_t *follow, int64_t since)
 {
-	bool whole = since < follow->complete_since;
+	bool complete = since < follow->complete_since;
 	json_t *items;
 	json_t *root;
 	char *text;
 
 	if (follow->complete_since == 0)
 		return NULL;
-	if (whole)
+	if (complete)
 		since = 0;
 	if (follow->packed != NULL && follow->packed_as_of == follow->as_of &&
 	    follow->packed_since == since)
@@ -503,7 +503,7 @@
 	items = json_array();
 	encode_entries(items, &follow->keys, since);
 	encode_entries(items, &follow->removed, since);
-	root = json_pack("{s:I, s:b, s:o}", "as_of", (json_int_t)follow->as_of, "whole", whole,
+	root = json_pack("{s:I, s:b, s:o}", "as_of", (json_int_t)follow->as_of, "whole", complete,
 			 "items", items);
 	text = json_dumps(root, JSON_COMPACT);
 	json_decref(root);
--- a/pooler/pooler.c
+++ b/pooler/pooler.c
@@ -386,7 +386,7 @@
 
 kv_t *pooler_store(pooler_t *pooler)
 {
-	return relay_kv(pooler->relay);
+	return relay_get_kv(pooler->relay);
 }
 
 /* True if every primary of the roster is listed, so that this proxy has its address. */
--- a/pooler/refresh.c
+++ b/pooler/refresh.c
@@ -120,7 +120,7 @@
  * The leader's directory is current as long as its reads are answered; otherwise it is as old as
  * the first read without an answer.
  */
-static usec_t leader_directory_age(const pooler_t *pooler)
+static usec_t get_leader_directory_age(const pooler_t *pooler)
 {
 	usec_t config;
 	usec_t members;
@@ -134,16 +134,16 @@
 	return age > READ_USUAL_TIME ? age : 0;
 }
 
-static usec_t directory_age(const pooler_t *pooler, usec_t now)
+static usec_t get_directory_age(const pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
 
 	if (sync->leading)
-		return leader_directory_age(pooler);
+		return get_leader_directory_age(pooler);
 	return sync->directory_as_of != 0 ? now - sync->directory_as_of : USEC_NEVER;
 }
 
-static usec_t stale_after(pooler_t *pooler)
+static usec_t stale_age(pooler_t *pooler)
 {
 	unsigned percent = upstream_uses_hubs(pooler) && !upstream_is_hub(pooler)
 				   ? STALE_DOWNSTREAM_PERCENT
@@ -162,7 +162,7 @@
 	if (pooler->config_follow == NULL)
 		return sync->leader != NULL && now < sync->leader_seen_at + LEADER_SILENT_AFTER;
 	return pooler->members_follow->read_deferred || now < pooler->started + START_GRACE ||
-	       directory_age(pooler, now) < stale_after(pooler);
+	       get_directory_age(pooler, now) < stale_age(pooler);
 }
 
 static void set_directory_source(pooler_t *pooler, bool from_peer, usec_t now)
@@ -242,8 +242,8 @@
 /* --- between proxies --- */
 
 /* Sets *out to the changes to send, or NULL. */
-static follow_changes_status_t changes_since(const follow_t *follow, int64_t since, void *parent,
-					     const follow_changes_t **out)
+static follow_changes_status_t collect_changes(const follow_t *follow, int64_t since, void *parent,
+					       const follow_changes_t **out)
 {
 	follow_changes_t *changes = talloc_zero(parent, follow_changes_t);
 	follow_changes_status_t status = follow_collect_changes(follow, since, parent, changes);
@@ -327,7 +327,7 @@
 	if (follow == NULL || pooler->routes == NULL ||
 	    (report->config_sent_at != 0 && now < report->config_sent_at + interval))
 		return;
-	status = changes_since(follow, since, parent, &message->config_changes);
+	status = collect_changes(follow, since, parent, &message->config_changes);
 	if (status == FOLLOW_CHANGES_TOO_LARGE) {
 		message->config_packed =
 			pack_or_hint(pooler, follow, report, &report->config_hint, since);
@@ -343,7 +343,7 @@
 	follow_t *follow = pooler->members_follow;
 	usec_t now = now_of(pooler);
 
-	if (changes_since(follow, since, parent, &message->members_changes) !=
+	if (collect_changes(follow, since, parent, &message->members_changes) !=
 		    FOLLOW_CHANGES_TOO_LARGE ||
 	    (report->members_sent_at != 0 &&
 	     now < report->members_sent_at + MEMBERS_IN_FLIGHT_TIME))
@@ -361,7 +361,7 @@
 	int64_t config_as_of = query != NULL ? query->config_as_of : report->config_as_of;
 	int64_t members_as_of = query != NULL ? query->members_as_of : report->members_as_of;
 
-	message->directory_age = directory_age(pooler, now_of(pooler));
+	message->directory_age = get_directory_age(pooler, now_of(pooler));
 	message->keys_confirmed_age = proof_age(&pooler->config_proof, now_of(pooler));
 	/* A proxy that gets a state without a query may not need all of it. */
 	if (query != NULL || config_as_of != 0)
--- a/pooler/relay.c
+++ b/pooler/relay.c
@@ -114,7 +114,7 @@
  * Retries reads that wait for a back-off, since they failed while the store did not serve this
  * proxy.
  */
-static void retry_readings(pooler_t *pooler)
+static void retry_reads(pooler_t *pooler)
 {
 	usec_t now = now_of(pooler);
 
@@ -140,7 +140,7 @@
 	if (failed)
 		return;
 	resume_direct_calls(relay);
-	retry_readings(relay->pooler);
+	retry_reads(relay->pooler);
 }
 
 /*
@@ -301,7 +301,7 @@
 	talloc_free(call);
 }
 
-static void on_direct(void *data, const kv_result_t *result)
+static void on_direct_done(void *data, const kv_result_t *result)
 {
 	call_t *call = data;
 	bool relay_call = result->status == KV_REFUSED ||
@@ -324,7 +324,7 @@
 	if (call->relay->cut_off && relay_to_peer(call))
 		return;
 	call->began_at = now_of(call->relay->pooler);
-	make_call(call->relay->direct, &call->request, on_direct, call);
+	make_call(call->relay->direct, &call->request, on_direct_done, call);
 }
 
 /*
@@ -340,7 +340,7 @@
 			continue;
 		list_del(&call->node);
 		call->began_at = now_of(relay->pooler);
-		make_call(relay->direct, &call->request, on_direct, call);
+		make_call(relay->direct, &call->request, on_direct_done, call);
 	}
 }
 
@@ -576,7 +576,7 @@
 	return relay;
 }
 
-kv_t *relay_kv(relay_t *relay)
+kv_t *relay_get_kv(relay_t *relay)
 {
 	return &relay->kv;
 }
--- a/pooler/relay.h
+++ b/pooler/relay.h
@@ -19,7 +19,7 @@
 relay_t *relay_create(struct pooler *pooler, kv_t *direct);
 
 /* Returns the store interface that uses either path. Watches are never relayed. */
-kv_t *relay_kv(relay_t *relay);
+kv_t *relay_get_kv(relay_t *relay);
 
 /* True while this proxy's own calls to the store fail. */
 bool relay_is_cut_off(const relay_t *relay);
--- a/pooler/upstream.c
+++ b/pooler/upstream.c
@@ -248,7 +248,7 @@
 
 void upstream_on_query(peer_report_t *report, usec_t now)
 {
-	if (!upstream_is_downstream(report, now))
+	if (!upstream_has_recent_query(report, now))
 		report->querying_since = now;
 	report->last_query_at = now;
 	report->pinged_silent = false;
@@ -256,7 +256,7 @@
 
 void upstream_on_pong(peer_report_t *report, usec_t now)
 {
-	if (!upstream_is_downstream(report, now))
+	if (!upstream_has_recent_query(report, now))
 		report->querying_since = 0;
 }
 
@@ -266,7 +266,7 @@
  */
 static bool needs_ping(const peer_report_t *report, usec_t now)
 {
-	return report->querying_since != 0 && !upstream_is_downstream(report, now) &&
+	return report->querying_since != 0 && !upstream_has_recent_query(report, now) &&
 	       report->last_query_at >= report->querying_since + UPSTREAM_DOWNSTREAM_TIMEOUT &&
 	       now < report->last_query_at + PING_DURATION;
 }
@@ -345,7 +345,7 @@
 	       (sync->upstream != NULL && strcmp(sync->upstream, name) == 0);
 }
 
-bool upstream_is_downstream(const peer_report_t *report, usec_t now)
+bool upstream_has_recent_query(const peer_report_t *report, usec_t now)
 {
 	return report->last_query_at != 0 &&
 	       now < report->last_query_at + UPSTREAM_DOWNSTREAM_TIMEOUT;
@@ -360,7 +360,7 @@
 		const peer_report_t *report = list_entry(it, peer_report_t, node);
 		const roster_node_t *node = roster_find_node(pooler->sync.roster, report->name);
 
-		if (node != NULL && upstream_is_downstream(report, now))
+		if (node != NULL && upstream_has_recent_query(report, now))
 			each(pooler, node, data);
 	}
 }
--- a/pooler/upstream.h
+++ b/pooler/upstream.h
@@ -80,7 +80,7 @@
 bool upstream_is_trusted(const pooler_t *pooler, const char *name);
 
 /* True if that proxy has queried us within UPSTREAM_DOWNSTREAM_TIMEOUT. */
-bool upstream_is_downstream(const peer_report_t *report, usec_t now);
+bool upstream_has_recent_query(const peer_report_t *report, usec_t now);
 
 /* Calls each for all hubs except this proxy. */
 void upstream_for_each_hub(pooler_t *pooler,
--- a/tests/test_pooler_config.c
+++ b/tests/test_pooler_config.c
@@ -224,7 +224,7 @@
 		.config_version = world->config_version,
 		.echo = clock_now(&world->clock.base),
 		.roster_age = USEC_NEVER,
-		.quorum_age = USEC_NEVER,
+		.agreement_age = USEC_NEVER,
 		.leader_age = USEC_NEVER,
 	};
 
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -36,8 +36,8 @@
 	size_t count = 0;
 
 	list_for_each (it, &pooler->sync.reports)
-		count +=
-			upstream_is_downstream(list_entry(it, peer_report_t, node), now_of(pooler));
+		count += upstream_has_recent_query(list_entry(it, peer_report_t, node),
+						   now_of(pooler));
 	return count;
 }
 
