--- a/pooler/refresh.c
+++ b/pooler/refresh.c
@@ -182,8 +182,8 @@
 					  ? (int64_t)((now - sync->directory_as_of) / USEC_PER_MSEC)
 					  : -1));
 	/*
-	 * The watch brings the changes that were missed, so full reads go on at their usual
-	 * interval, in case a watch failed.
+	 * The watch brings the changes that were missed. Full reads follow at their usual interval,
+	 * in case the watch misses something.
 	 */
 	sync->config_read_due = now + config_read_interval(pooler);
 	sync->members_read_due = now + members_read_interval(pooler);
@@ -363,7 +363,10 @@
 
 	message->directory_age = get_directory_age(pooler, now_of(pooler));
 	message->keys_confirmed_age = proof_age(&pooler->config_proof, now_of(pooler));
-	/* A proxy that gets a state without a query may not need all of it. */
+	/*
+	 * A proxy that is sent a state without a query may not need the whole directory, so nothing
+	 * is sent while the revision that it has is unknown.
+	 */
 	if (query != NULL || config_as_of != 0)
 		fill_config(pooler, report, config_as_of, message, parent);
 	if (pooler->members_follow != NULL && (query != NULL || members_as_of != 0))
--- a/pooler/upstream.c
+++ b/pooler/upstream.c
@@ -329,8 +329,8 @@
 		return;
 	report->query_unanswered_since = 0;
 	/*
-	 * A silent leader is detected by the age of its last state; only as a hub can it be
-	 * replaced by another one.
+	 * The silence of a leader is detected by the age of its last state. Another proxy can
+	 * replace a leader only in its role as a hub.
 	 */
 	if (is_leader(sync, name) && (!upstream_uses_hubs(pooler) || upstream_is_hub(pooler)))
 		return;
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -321,8 +321,9 @@
 /*
  * Callers were refused for ten seconds while operators made many edits. Each configuration was sent
  * to all proxies at once, which filled the links, so that probes timed out and healthy primaries
- * were replaced. With 24 proxies on links of 2 Mbit/s 86% of the requests were answered in time
- * (worst of three runs); with the interval between configurations 97% in each of three.
+ * were replaced. With 24 proxies on links of 2 Mbit/s, 86% of a day's requests were answered in
+ * time in the worst run (one of three); with an interval between configurations 97% in each of
+ * three runs.
  */
 static void test_configurations_are_spaced(void)
 {
