--- a/pooler/active.c
+++ b/pooler/active.c
@@ -1,6 +1,6 @@
 #include "active.h"
 
-#include "hold.h"
+#include "leader.h"
 #include "permit.h"
 #include "relay.h"
 #include "upstream.h"
--- a/pooler/adopt.c
+++ b/pooler/adopt.c
@@ -8,8 +8,8 @@
 #include "ask.h"
 #include "caller.h"
 #include "conn.h"
-#include "duty.h"
 #include "exchange.h"
+#include "failover.h"
 #include "quota.h"
 
 #define LOG_MODULE "adopt"
--- a/pooler/ask.c
+++ b/pooler/ask.c
@@ -6,8 +6,8 @@
 #include <xxhash.h>
 
 #include "exchange.h"
-#include "hold.h"
 #include "join.h"
+#include "leader.h"
 #include "permit.h"
 #include "refresh.h"
 #include "upstream.h"
--- a/pooler/conn.c
+++ b/pooler/conn.c
@@ -7,7 +7,7 @@
 #include "active.h"
 #include "caller.h"
 #include "dispatch.h"
-#include "duty.h"
+#include "failover.h"
 #include "member.h"
 #include "permit.h"
 
--- a/pooler/dispatch.c
+++ b/pooler/dispatch.c
@@ -5,7 +5,7 @@
 #include "active.h"
 #include "caller.h"
 #include "conn.h"
-#include "duty.h"
+#include "failover.h"
 #include "forward.h"
 #include "member.h"
 #include "permit.h"
--- a/pooler/exchange.c
+++ b/pooler/exchange.c
@@ -8,11 +8,11 @@
 
 #include "adopt.h"
 #include "ask.h"
-#include "duty.h"
+#include "failover.h"
 #include "forward.h"
-#include "hold.h"
 #include "job.h"
 #include "join.h"
+#include "leader.h"
 #include "permit.h"
 #include "push.h"
 #include "quota.h"
--- a/pooler/duty.c
+++ b/pooler/failover.c
@@ -1,4 +1,4 @@
-#include "duty.h"
+#include "failover.h"
 
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #include "active.h"
 #include "conn.h"
 #include "exchange.h"
-#include "hold.h"
+#include "leader.h"
 #include "member.h"
 #include "permit.h"
 #include "push.h"
--- a/pooler/join.c
+++ b/pooler/join.c
@@ -6,7 +6,7 @@
 
 #include "ask.h"
 #include "exchange.h"
-#include "hold.h"
+#include "leader.h"
 #include "permit.h"
 #include "restore.h"
 #include "sync.h"
--- a/pooler/hold.c
+++ b/pooler/leader.c
@@ -1,11 +1,11 @@
-#include "hold.h"
+#include "leader.h"
 
 #include <inttypes.h>
 
 #include <talloc.h>
 
-#include "duty.h"
 #include "exchange.h"
+#include "failover.h"
 #include "permit.h"
 #include "push.h"
 #include "restore.h"
--- a/pooler/seat.c
+++ b/pooler/limit_shards.c
@@ -1,4 +1,4 @@
-#include "seat.h"
+#include "limit_shards.h"
 
 #include <string.h>
 
--- a/pooler/push.c
+++ b/pooler/push.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "exchange.h"
-#include "hold.h"
+#include "leader.h"
 #include "refresh.h"
 #include "upstream.h"
 
--- a/pooler/quota.c
+++ b/pooler/quota.c
@@ -9,7 +9,7 @@
 #include "caller.h"
 #include "exchange.h"
 #include "home.h"
-#include "seat.h"
+#include "limit_shards.h"
 
 #define LOG_MODULE "quota"
 #include "counter.h"
--- a/pooler/restore.c
+++ b/pooler/restore.c
@@ -3,7 +3,7 @@
 #include <talloc.h>
 
 #include "adopt.h"
-#include "hold.h"
+#include "leader.h"
 #include "permit.h"
 #include "sync.h"
 
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -412,7 +412,7 @@
 	uint64_t votes_count; /* counts of votes so far */
 	usec_t votes_due;     /* the next one */
 	bool votes_differ;    /* it is due now, since somebody reports trouble */
-	list_t *watched_last; /* of the services, by the holder; see duty.c */
+	list_t *watched_last; /* of the services, by the holder; see failover.c */
 	bool renewing;
 	usec_t renew_next;
 	usec_t acquire_after;
--- a/pooler/verdict.c
+++ b/pooler/verdict.c
@@ -6,8 +6,8 @@
 
 #include "active.h"
 #include "exchange.h"
-#include "hold.h"
 #include "home.h"
+#include "leader.h"
 #include "member.h"
 #include "sync.h"
 
--- a/tests/pool_check.c
+++ b/tests/pool_check.c
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-#include "hold.h"
+#include "leader.h"
 #include "permit.h"
 
 void assert_begins(const char *text, const char *with)
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -7,8 +7,8 @@
 
 #include "caller.h"
 #include "conn.h"
+#include "limit_shards.h"
 #include "pool_world.h"
-#include "seat.h"
 
 #define MSEC USEC_PER_MSEC
 #define SEC  USEC_PER_SEC
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -4,7 +4,7 @@
  */
 #include <glib.h>
 
-#include "hold.h"
+#include "leader.h"
 #include "permit.h"
 #include "pool_check.h"
 #include "sync.h"
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -7,7 +7,7 @@
 #include <glib.h>
 #include <talloc.h>
 
-#include "hold.h"
+#include "leader.h"
 #include "permit.h"
 #include "pool_check.h"
 #include "sync.h"
--- a/tests/test_pooler_scale.c
+++ b/tests/test_pooler_scale.c
@@ -5,8 +5,8 @@
 #include <talloc.h>
 
 #include "adopt.h"
-#include "duty.h"
 #include "exchange.h"
+#include "failover.h"
 #include "pool_check.h"
 #include "state.h"
 #include "sync.h"
