--- a/pooler/adopt.c
+++ b/pooler/adopt.c
@@ -58,7 +58,7 @@
 	service->changing_since = is->changing ? now_of(pooler) : USEC_NEVER;
 	if (is->changing)
 		active_add_service(service);
-	service->change_end = now_of(pooler) + CHANGE_USUAL;
+	service->change_end = now_of(pooler) + CHANGE_USUAL_TIME;
 	if (moved || is->changing)
 		revoke(service);
 }
--- a/pooler/ask.c
+++ b/pooler/ask.c
@@ -63,7 +63,7 @@
 		.alive = primary != NULL && !primary->down &&
 			 primary->last_reply + ALIVE_WITHIN > now,
 		.failing = primary != NULL && outlier_is_failing(&primary->outlier, now),
-		.in_use = group != NULL && group->changing && permit_in_use(service),
+		.in_use = group != NULL && group->changing && permit_is_in_use(service),
 	};
 }
 
@@ -111,7 +111,7 @@
 	message->alive = alive;
 	message->failing = failing;
 	message->in_use = in_use;
-	message->fleet = (int64_t)permit_listed(pooler);
+	message->fleet = (int64_t)permit_count_listed(pooler);
 	message->members_digest = refresh_members_digest(pooler);
 	message->config_at = pooler->config_follow != NULL ? pooler->config_follow->told : 0;
 	message->members_at = pooler->members_follow != NULL ? pooler->members_follow->told : 0;
@@ -149,8 +149,8 @@
 
 /*
  * The news is old: the store seems to be away, and the permission can only be prolonged together.
- * Everybody has to be heard within PERMIT_ALONE, so a part is asked each time: if all asked all,
- * the messages would grow with the square of the fleet.
+ * Everybody has to be heard within PERMIT_LEASE_TIME, so a part is asked each time: if all asked
+ * all, the messages would grow with the square of the fleet.
  */
 static void ask_part(pooler_t *pooler, const peer_message_t *message)
 {
@@ -217,7 +217,7 @@
 /* False if it leaves the agreement without the store to the hubs of a large fleet. */
 static bool agrees_by_itself(pooler_t *pooler, usec_t now)
 {
-	return !upstream_applies(pooler) || upstream_is_hub(pooler) || hold_is_ours(pooler, now);
+	return !upstream_applies(pooler) || upstream_is_hub(pooler) || leader_is_self(pooler, now);
 }
 
 static size_t index_on_roster(const pooler_t *pooler, const char *name)
@@ -326,6 +326,6 @@
 void ask_tick(pooler_t *pooler, usec_t now)
 {
 	/* The holder knows what the others ask it for. */
-	if (!hold_is_ours(pooler, now) || ask_news_is_old(pooler, now))
+	if (!leader_is_self(pooler, now) || ask_news_is_old(pooler, now))
 		ask(pooler, now);
 }
--- a/pooler/caller.c
+++ b/pooler/caller.c
@@ -113,7 +113,7 @@
 /* The statement has failed, and the transaction that it belongs to. */
 static void end_statement(caller_t *caller)
 {
-	quota_leave(caller);
+	quota_cancel(caller);
 	dispatch_leave(caller);
 	forward_forget(caller);
 	if (caller->tx == TX_OPEN)
@@ -614,7 +614,7 @@
 		caller_refuse(caller, code_of_refusal(reason), reason, RETRY_KEYS);
 		return;
 	}
-	if (quota_enter(caller))
+	if (quota_admit(caller))
 		caller_on_admitted(caller);
 }
 
@@ -762,7 +762,7 @@
 {
 	pooler_t *pooler = caller->pooler;
 
-	quota_leave(caller);
+	quota_cancel(caller);
 	dispatch_leave(caller);
 	forward_forget(caller);
 	timers_cancel(pooler->timers, &caller->timer);
--- a/pooler/conn.c
+++ b/pooler/conn.c
@@ -53,11 +53,11 @@
 }
 
 /* The statement that is at the member did not go well there. */
-static void note_failure(conn_t *conn, evidence_t evidence)
+static void note_failure(conn_t *conn, statement_outcome_t evidence)
 {
 	if (conn->caller != NULL)
 		conn->caller->failed_at = conn->member;
-	member_note(conn->member, evidence);
+	member_record_outcome(conn->member, evidence);
 }
 
 /*
@@ -73,7 +73,7 @@
 	if (now < member->lost_at + SAME_LOSS)
 		return;
 	member->lost_at = now;
-	member_note(member, EVIDENCE_FAILED);
+	member_record_outcome(member, STATEMENT_FAILED);
 }
 
 /* --- open and close --- */
@@ -143,7 +143,7 @@
 	env->ops->member_close(env, conn->link);
 	if (failed_probe) {
 		member->open_after = now_of(member->pooler) + PROBE_INTERVAL;
-		member_found_down(member, reason);
+		member_mark_down(member, reason);
 	}
 	end(conn, reason);
 }
@@ -160,7 +160,7 @@
 {
 	member_t *member = conn->member;
 
-	member_heard(member);
+	member_on_reply(member);
 	if (conn->probe) {
 		conn_ask_status(conn);
 		return;
@@ -182,7 +182,7 @@
 		return;
 	}
 	counter_add(&full_total, 1);
-	member_heard(member);
+	member_on_reply(member);
 	member->full_until = now + FULL_FOR;
 	member->open_after = now + FULL_RETRY + pooler_random(member->pooler, FULL_RETRY);
 }
@@ -200,7 +200,7 @@
 		on_refused(conn, code);
 	} else if (conn->probe) {
 		member->open_after = now_of(pooler) + PROBE_INTERVAL;
-		member_found_down(member, reason);
+		member_mark_down(member, reason);
 	} else {
 		member->open_after = now_of(pooler) + (opening ? REOPEN_AFTER : 0) +
 				     pooler_random(pooler, 20000);
@@ -406,7 +406,7 @@
 		return;
 	}
 	if (conn->setup_code == CODE_BUSY)
-		note_failure(conn, EVIDENCE_REFUSED);
+		note_failure(conn, STATEMENT_REFUSED);
 	/* Only BEGIN can be refused without leaving the connection in an unknown state. */
 	conn->caller = NULL;
 	code = conn->setup_code;
@@ -459,7 +459,7 @@
 		conn_close(conn, "probe done");
 	else
 		conn_release(conn);
-	duty_tick(member->pooler, now_of(member->pooler));
+	failover_tick(member->pooler, now_of(member->pooler));
 }
 
 /* The member is done with what nobody waits for. */
@@ -481,11 +481,11 @@
 static void note_outcome(conn_t *conn, const reply_t *reply)
 {
 	if (reply->ok && reply->is_signed)
-		member_note(conn->member, EVIDENCE_GOOD);
+		member_record_outcome(conn->member, STATEMENT_GOOD);
 	else if (reply->ok || reply->code == CODE_FAILED || reply->code == CODE_TIMEOUT)
-		note_failure(conn, EVIDENCE_FAILED);
+		note_failure(conn, STATEMENT_FAILED);
 	else if (reply->code == CODE_BUSY)
-		note_failure(conn, EVIDENCE_REFUSED);
+		note_failure(conn, STATEMENT_REFUSED);
 }
 
 /*
@@ -506,7 +506,7 @@
 {
 	/* A refusal is quick and says nothing of how long work takes. */
 	if (reply->ok)
-		member_measure(conn->member, now - conn->sent_at);
+		member_record_response_time(conn->member, now - conn->sent_at);
 	else if (reply->code == CODE_LAGGING)
 		conn->member->lagged_at = now;
 	conn->in_tx = reply->tx != TX_NONE;
@@ -519,7 +519,7 @@
 {
 	usec_t now = now_of(conn->member->pooler);
 
-	member_heard(conn->member);
+	member_on_reply(conn->member);
 	if (conn->state == CONN_PROBING) {
 		on_status(conn, reply, status);
 		return;
--- a/pooler/dispatch.c
+++ b/pooler/dispatch.c
@@ -84,7 +84,7 @@
 {
 	const freshness_t *freshness = caller->service->freshness;
 
-	if (!freshness_position(freshness, caller->received_at, caller->max_age, wanted))
+	if (!freshness_min_position(freshness, caller->received_at, caller->max_age, wanted))
 		return false;
 	if (caller->reads == READS_SESSION && caller->has_commit &&
 	    !position_covers(wanted->position, caller->commit)) {
@@ -106,7 +106,7 @@
 		cost += IS_PRIMARY;
 	if (conn_idle(member, caller) == NULL)
 		cost += NO_CONNECTION;
-	if (!outlier_takes(&member->outlier, member_load(member), now_of(caller->pooler)) ||
+	if (!outlier_accepts_read(&member->outlier, member_load(member), now_of(caller->pooler)) ||
 	    (caller->attempts != 0 && caller->failed_at == member))
 		cost += LAST_CHOICE;
 	return cost;
@@ -120,7 +120,8 @@
 
 static bool may_read_at(const member_t *member, const caller_t *caller, usec_t now)
 {
-	return outlier_takes(&member->outlier, member_load(member), now) || takes_any(caller, now);
+	return outlier_accepts_read(&member->outlier, member_load(member), now) ||
+	       takes_any(caller, now);
 }
 
 /* True if the caller has waited long enough for a connection beyond our share. */
@@ -161,7 +162,7 @@
 	if (position_covers(replica->applied, wanted->position) ||
 	    now >= replica->lagged_at + LAG_BELIEVED)
 		return true;
-	caught_up_to = freshness_time_of(replica->service->freshness, replica->applied);
+	caught_up_to = freshness_position_time(replica->service->freshness, replica->applied);
 	return caught_up_to != 0 &&
 	       wanted->sent_at + (replica->applied_at - caught_up_to) + LAG_MARGIN <= now;
 }
@@ -421,7 +422,7 @@
 		return service->change_end > now ? service->change_end : now + OVERDUE_CHANGE;
 	if (sync->confirmed_at == USEC_NEVER && now < service->pooler->started + FIRST_READ_LONGEST)
 		return now + FIRST_READ_USUAL;
-	if (now >= permit_end(service->pooler))
+	if (now >= permit_expires_at(service->pooler))
 		return now < sync->adopted_at + AGREE_USUAL ? sync->adopted_at + AGREE_USUAL
 							    : USEC_NEVER;
 	if (!permit_is_registered(service->pooler))
@@ -429,7 +430,7 @@
 	group = roster_group(sync->roster, service->name);
 	primary = group != NULL ? member_find(service->pooler, group->primary) : NULL;
 	if (primary != NULL && primary->down)
-		return primary->silent_since + DETECTION_USUAL + CHANGE_USUAL;
+		return primary->silent_since + DETECTION_USUAL + CHANGE_USUAL_TIME;
 	return USEC_NEVER;
 }
 
@@ -470,7 +471,7 @@
 
 	list_for_each (it, &caller->service->members) {
 		member_t *member = list_entry(it, member_t, in_service);
-		conn_t *conn = member_longest_held(member);
+		conn_t *conn = member_longest_held_conn(member);
 
 		if (conn == NULL || now < conn->since + RESTS_AFTER ||
 		    (caller->want == WANT_PRIMARY && member != primary) ||
--- a/pooler/env.h
+++ b/pooler/env.h
@@ -153,7 +153,8 @@
 	int64_t revision; /* of the roster that the sender holds */
 	int64_t config_version;
 	uint64_t members_digest; /* of the list of members that the sender holds */
-	int64_t fleet; /* ASK: proxies that the sender has seen on the roster for PERMIT_TOGETHER */
+	int64_t fleet; /* ASK: proxies that the sender has seen on the roster for PERMIT_LEASE_MAX
+			*/
 	usec_t age;    /* STATE: since the store was asked, USEC_NEVER: never */
 	const char *roster; /* STATE: the roster if the receiver's is older, else NULL */
 	const char *holder; /* STATE: who holds the duty to promote, NULL if unknown */
--- a/pooler/exchange.c
+++ b/pooler/exchange.c
@@ -81,7 +81,8 @@
 
 		if (service->change.step != CHANGE_NONE)
 			ends = talloc_asprintf_append(ends, "%s:%" PRIu64 " ", service->name,
-						      duty_remaining(service, now) / USEC_PER_MSEC);
+						      failover_remaining(service, now) /
+							      USEC_PER_MSEC);
 	}
 	return ends;
 }
@@ -108,7 +109,7 @@
 {
 	const sync_t *sync = &pooler->sync;
 
-	if (hold_is_ours(pooler, now))
+	if (leader_is_self(pooler, now))
 		return 0;
 	return sync->holder_heard != 0 ? now - sync->holder_heard : USEC_NEVER;
 }
@@ -121,7 +122,7 @@
 			       void *parent)
 {
 	const sync_t *sync = &pooler->sync;
-	usec_t at = permit_agreed_at(pooler);
+	usec_t at = permit_quorum_confirmed_at(pooler);
 	char *agreed;
 
 	message->quorum_age = at != 0 ? now - at : USEC_NEVER;
@@ -170,9 +171,9 @@
 	message.members_digest = refresh_members_digest(pooler);
 	message.age = sync->confirmed_at != USEC_NEVER ? now - sync->confirmed_at : USEC_NEVER;
 	message.roster = news_of_roster(pooler, report, ask, now);
-	if (hold_is_ours(pooler, now))
+	if (leader_is_self(pooler, now))
 		message.ends = describe_ends(pooler, now, parent);
-	message.doubted = verdict_doubts(pooler, now, parent);
+	message.doubted = verdict_suspects(pooler, now, parent);
 	message.holder = sync->holder;
 	message.holder_address = sync->holder_address;
 	message.fence = sync->fence;
@@ -319,8 +320,8 @@
 		send_state(pooler, message->from, message->address, message);
 	join_on_ask(pooler, message);
 	/* Only what a change may wait for: with 75 proxies four questions a second each come in. */
-	if (news && hold_is_ours(pooler, now))
-		duty_tick(pooler, now);
+	if (news && leader_is_self(pooler, now))
+		failover_tick(pooler, now);
 	else if (news && upstream_is_hub(pooler))
 		pooler->sync.ask_next = 0;
 }
@@ -347,7 +348,7 @@
 	if (message->quorum_age < message->echo &&
 	    message->echo - message->quorum_age > sync->agreed_told)
 		sync->agreed_told = message->echo - message->quorum_age;
-	permit_on_agreed(pooler);
+	permit_update_quorum_confirmed(pooler);
 }
 
 static void take_holder(pooler_t *pooler, const peer_message_t *message, usec_t now)
@@ -407,7 +408,7 @@
 	if (message->ends != NULL)
 		take_ends(pooler, message->ends, now);
 	if (message->doubted != NULL && upstream_is(pooler, message->from))
-		verdict_on_doubts(pooler, message->doubted, now);
+		verdict_on_suspects(pooler, message->doubted, now);
 	refresh_on_state(pooler, message, now);
 	sync_run_services(pooler);
 }
--- a/pooler/failover.c
+++ b/pooler/failover.c
@@ -90,7 +90,7 @@
 	service->wanted.primary = NULL;
 }
 
-void duty_abandon(pooler_t *pooler)
+void failover_abandon(pooler_t *pooler)
 {
 	list_for_each (it, &pooler->services)
 		clear(list_entry(it, service_t, node));
@@ -112,7 +112,7 @@
 			service->change.busy = service->wanted.primary != NULL;
 		}
 	}
-	duty_tick(pooler, now_of(pooler));
+	failover_tick(pooler, now_of(pooler));
 }
 
 /*
@@ -174,16 +174,18 @@
 
 static void start_change(service_t *service, const char *reason, usec_t now)
 {
-	const member_t *primary = verdict_primary(service);
+	const member_t *primary = service_roster_primary(service);
 	change_t *change = &service->change;
 
 	change->started = now;
 	change->planned = primary != NULL && !primary->down && !primary->gone;
 	LOG_EVENT(LOG_WARN, "primary is to be replaced", LOG_STR("service", service->name),
-		  LOG_STR("reason", reason), LOG_STR("member", verdict_group(service)->primary));
-	change->failing = reason == verdict_failing;
+		  LOG_STR("reason", reason),
+		  LOG_STR("member", service_roster_group(service)->primary));
+	change->failing = reason == verdict_reason_failing;
 	set_step(service, CHANGE_MARKING, now);
-	store_group(service, verdict_group(service)->primary, true, verdict_group(service)->term);
+	store_group(service, service_roster_group(service)->primary, true,
+		    service_roster_group(service)->term);
 }
 
 /*
@@ -207,7 +209,7 @@
 			store_group(service, member->id, false, member->status.term);
 		} else if (now >= change->next_probe) {
 			change->next_probe = now + SURVEY_INTERVAL;
-			member_ask_status(member);
+			member_query_status(member);
 		}
 		return;
 	}
@@ -228,7 +230,7 @@
  */
 static void take_up(service_t *service, usec_t now)
 {
-	const roster_group_t *group = verdict_group(service);
+	const roster_group_t *group = service_roster_group(service);
 	change_t *change = &service->change;
 	bool is_own;
 
@@ -258,7 +260,7 @@
 
 static void watch(service_t *service, usec_t now)
 {
-	const roster_group_t *group = verdict_group(service);
+	const roster_group_t *group = service_roster_group(service);
 	change_t *change = &service->change;
 	const char *reason;
 
@@ -286,7 +288,7 @@
 	change->settled_at = 0;
 	change->may_have_called = false;
 	service->taken_up = false;
-	reason = verdict_reason(service, now);
+	reason = verdict_replace_reason(service, now);
 	if (reason != NULL)
 		start_change(service, reason, now);
 }
@@ -311,13 +313,13 @@
 	change_t *change = &service->change;
 
 	if (change->may_have_called || primary == NULL || primary->down ||
-	    verdict_reason(service, now) != NULL)
+	    verdict_replace_reason(service, now) != NULL)
 		return false;
 	if (now < primary->last_reply + ALIVE_WITHIN)
 		return true;
 	if (now >= change->next_probe) {
 		change->next_probe = now + SURVEY_INTERVAL;
-		member_ask_status(primary);
+		member_query_status(primary);
 	}
 	return false;
 }
@@ -329,7 +331,7 @@
 	const peer_report_t *report = exchange_report(service->pooler, node->name);
 
 	if (node->gone)
-		return report != NULL && sweep_has_ended(service->pooler, report);
+		return report != NULL && sweep_permission_ended(service->pooler, report);
 	return report != NULL && report->incarnation == node->incarnation &&
 	       report->revision >= service->change.marked_revision &&
 	       !exchange_lists(report->in_use, service->name);
@@ -339,7 +341,7 @@
 static size_t count_unreleased(const service_t *service)
 {
 	const pooler_t *pooler = service->pooler;
-	size_t unreleased = permit_in_use(service);
+	size_t unreleased = permit_is_in_use(service);
 
 	list_for_each (it, &pooler->sync.roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
@@ -353,20 +355,20 @@
 static void release(service_t *service, usec_t now)
 {
 	change_t *change = &service->change;
-	size_t total = permit_fleet(service->pooler, change->marked_revision);
+	size_t total = permit_fleet_size(service->pooler, change->marked_revision);
 	size_t unreleased = count_unreleased(service);
-	member_t *primary = verdict_primary(service);
+	member_t *primary = service_roster_primary(service);
 
 	if (is_back(service, primary, now)) {
-		keep_primary(service, primary, verdict_group(service)->term, now);
+		keep_primary(service, primary, service_roster_group(service)->term, now);
 		return;
 	}
 	if (unreleased >= permit_quorum(total))
 		change->few_since = USEC_NEVER;
 	else if (change->few_since == USEC_NEVER)
 		change->few_since = now;
-	if (unreleased != 0 && now < change->marked_at + PERMIT_TOGETHER &&
-	    (change->few_since == USEC_NEVER || now < change->few_since + PERMIT_ALONE))
+	if (unreleased != 0 && now < change->marked_at + PERMIT_LEASE_MAX &&
+	    (change->few_since == USEC_NEVER || now < change->few_since + PERMIT_LEASE_TIME))
 		return;
 	LOG_EVENT(LOG_INFO, "old primary is released", LOG_STR("service", service->name),
 		  LOG_INT("unreleased", (int64_t)unreleased), LOG_INT("proxies", (int64_t)total),
@@ -402,7 +404,7 @@
 static bool can_stay(const service_t *service, const member_t *old, usec_t now)
 {
 	return old != NULL && old->survey_done && old->status.primary && !old->leaving &&
-	       verdict_reason(service, now) == NULL;
+	       verdict_replace_reason(service, now) == NULL;
 }
 
 /*
@@ -419,15 +421,15 @@
 static void survey(service_t *service, usec_t now)
 {
 	change_t *change = &service->change;
-	member_t *old = verdict_primary(service);
+	member_t *old = service_roster_primary(service);
 	member_t *leader;
 	member_t *best;
 	bool stays;
 
-	survey_ask(service, now);
-	if (!survey_is_done(service, now))
+	survey_query_members(service, now);
+	if (!survey_is_complete(service, now))
 		return;
-	leader = survey_leader(service, old);
+	leader = survey_newer_primary(service, old);
 	if (leader != NULL) {
 		commit_primary(service, leader, leader->status.term, now);
 		return;
@@ -441,22 +443,22 @@
 	 * A member that was promoted unseen leads a newer term when it comes back. So the old
 	 * primary is promoted like any other; if it still leads, the call changes nothing.
 	 */
-	best = stays ? old : survey_best(service, old);
+	best = stays ? old : survey_best_candidate(service, old);
 	if (best == NULL)
 		return;
 	/* With the writers stopped, a replica soon has all that an old primary still has. */
 	if (old != NULL && old->survey_done && now < change->step_since + CATCH_UP_TIME &&
-	    survey_is_further(old->status.received, best->status.received))
+	    survey_is_ahead(old->status.received, best->status.received))
 		return;
 	if (now < change->settled_at || now < foreign_settled_at(service) ||
-	    !survey_holds_acknowledged(service, best, old, now))
+	    !survey_has_acknowledged_commits(service, best, old, now))
 		return;
 	promote(service, best, now);
 }
 
 /* --- promoting --- */
 
-void duty_on_promoted(service_t *service, promote_status_t status)
+void failover_on_promoted(service_t *service, promote_status_t status)
 {
 	static const char *const names[] = {
 		[PROMOTE_OK] = "ok", [PROMOTE_REFUSED] = "refused", [PROMOTE_LOST] = "lost"};
@@ -507,7 +509,7 @@
 	}
 	if (now >= change->next_probe) {
 		change->next_probe = now + SURVEY_INTERVAL;
-		member_ask_status(target);
+		member_query_status(target);
 	}
 	if (now < change->step_since + LEAD_TIME)
 		return;
@@ -519,7 +521,7 @@
 
 static void commit(service_t *service, usec_t now)
 {
-	const roster_group_t *group = verdict_group(service);
+	const roster_group_t *group = service_roster_group(service);
 	change_t *change = &service->change;
 	usec_t quiet = change->quiet_until;
 
@@ -544,7 +546,7 @@
 static void step(service_t *service, usec_t now)
 {
 	if (service->change.step != CHANGE_NONE)
-		service->change_end = now + duty_remaining(service, now);
+		service->change_end = now + failover_remaining(service, now);
 	switch (service->change.step) {
 	case CHANGE_NONE:
 	case CHANGE_MARKING:
@@ -587,33 +589,33 @@
 	}
 }
 
-void duty_tick(pooler_t *pooler, usec_t now)
+void failover_tick(pooler_t *pooler, usec_t now)
 {
-	if (!hold_is_ours(pooler, now) || restore_is_due(pooler))
+	if (!leader_is_self(pooler, now) || restore_is_due(pooler))
 		return;
 	sweep_tick(pooler, now);
-	verdict_count(pooler, now);
+	verdict_count_votes(pooler, now);
 	list_for_each (it, &pooler->active_services)
 		step(list_entry(it, service_t, active), now);
 	watch_others(pooler, now);
 	flush(pooler, now);
 }
 
-usec_t duty_remaining(const service_t *service, usec_t now)
+usec_t failover_remaining(const service_t *service, usec_t now)
 {
 	const change_t *change = &service->change;
-	usec_t end = now + CHANGE_USUAL;
+	usec_t end = now + CHANGE_USUAL_TIME;
 
 	switch (change->step) {
 	case CHANGE_RELEASING:
 		if (change->few_since != USEC_NEVER)
-			end = change->few_since + PERMIT_ALONE + CHANGE_USUAL;
+			end = change->few_since + PERMIT_LEASE_TIME + CHANGE_USUAL_TIME;
 		else
-			end = change->marked_at + PERMIT_TOGETHER + CHANGE_USUAL;
+			end = change->marked_at + PERMIT_LEASE_MAX + CHANGE_USUAL_TIME;
 		break;
 	case CHANGE_PROMOTING:
 	case CHANGE_VERIFYING:
-		end = change->called_at + PROMOTE_USUAL;
+		end = change->called_at + PROMOTE_USUAL_TIME;
 		break;
 	case CHANGE_COMMITTING:
 		end = now;
--- a/pooler/failover.h
+++ b/pooler/failover.h
@@ -8,15 +8,15 @@
 #include "state.h"
 
 /* From the call to promote until the member is seen to lead: 1 s on the users' sites. */
-#define PROMOTE_USUAL (1150 * USEC_PER_MSEC)
+#define PROMOTE_USUAL_TIME (1150 * USEC_PER_MSEC)
 /* All of a change if every proxy lets go at once. */
-#define CHANGE_USUAL (PROMOTE_USUAL + 100 * USEC_PER_MSEC)
+#define CHANGE_USUAL_TIME (PROMOTE_USUAL_TIME + 100 * USEC_PER_MSEC)
 
-void duty_tick(pooler_t *pooler, usec_t now);
-void duty_on_promoted(service_t *service, promote_status_t status);
+void failover_tick(pooler_t *pooler, usec_t now);
+void failover_on_promoted(service_t *service, promote_status_t status);
 
 /* How long the change of primary under way will still take, as the holder knows it. */
-usec_t duty_remaining(const service_t *service, usec_t now);
+usec_t failover_remaining(const service_t *service, usec_t now);
 
 /* The duty was lost: whoever has it now finds the rest in the roster. */
-void duty_abandon(pooler_t *pooler);
+void failover_abandon(pooler_t *pooler);
--- a/pooler/forward.c
+++ b/pooler/forward.c
@@ -93,7 +93,7 @@
 	pooler_t *pooler = caller->pooler;
 	const roster_node_t *home;
 
-	if (caller->job != NULL || !home_applies(caller->service) ||
+	if (caller->job != NULL || !home_is_needed(caller->service) ||
 	    permit_primary(caller->service, now) == NULL)
 		return FORWARD_NOT;
 	home = home_find(caller->service, now);
@@ -178,7 +178,7 @@
 	const peer_report_t *report = exchange_report(pooler, peer);
 
 	if (report != NULL && report->unanswered_since != 0)
-		home_on_heard(pooler, peer, count_at(pooler, peer), now_of(pooler));
+		home_on_received(pooler, peer, count_at(pooler, peer), now_of(pooler));
 }
 
 /* Nothing more is expected of the home for what the caller has asked. */
--- a/pooler/freshness.c
+++ b/pooler/freshness.c
@@ -10,7 +10,7 @@
 
 static const sample_t *newest(const freshness_t *freshness)
 {
-	return &freshness->ring[(freshness->next + FRESHNESS_KEPT - 1) % FRESHNESS_KEPT];
+	return &freshness->ring[(freshness->next + FRESHNESS_SAMPLES - 1) % FRESHNESS_SAMPLES];
 }
 
 void freshness_add(freshness_t *freshness, usec_t sent_at, position_t position)
@@ -19,18 +19,20 @@
 	if (freshness->len != 0 && sent_at < newest(freshness)->sent_at + FRESHNESS_SPACING)
 		return;
 	freshness->ring[freshness->next] = (sample_t){.sent_at = sent_at, .position = position};
-	freshness->next = (freshness->next + 1) % FRESHNESS_KEPT;
-	if (freshness->len < FRESHNESS_KEPT)
+	freshness->next = (freshness->next + 1) % FRESHNESS_SAMPLES;
+	if (freshness->len < FRESHNESS_SAMPLES)
 		freshness->len++;
 }
 
 /* The sample that is so many places before the end of the ring. */
 static const sample_t *sample_at(const freshness_t *freshness, size_t before_end)
 {
-	return &freshness->ring[(freshness->next + FRESHNESS_KEPT - before_end) % FRESHNESS_KEPT];
+	return &freshness->ring[(freshness->next + FRESHNESS_SAMPLES - before_end) %
+				FRESHNESS_SAMPLES];
 }
 
-bool freshness_position(const freshness_t *freshness, usec_t now, usec_t max_age, sample_t *sample)
+bool freshness_min_position(const freshness_t *freshness, usec_t now, usec_t max_age,
+			    sample_t *sample)
 {
 	for (size_t i = freshness != NULL ? freshness->len : 0; i > 0; i--) {
 		*sample = *sample_at(freshness, i);
@@ -40,7 +42,7 @@
 	return false;
 }
 
-usec_t freshness_time_of(const freshness_t *freshness, position_t position)
+usec_t freshness_position_time(const freshness_t *freshness, position_t position)
 {
 	for (size_t i = 1; freshness != NULL && i <= freshness->len; i++) {
 		const sample_t *sample = sample_at(freshness, i);
--- a/pooler/freshness.h
+++ b/pooler/freshness.h
@@ -15,7 +15,7 @@
 /* Between two kept samples. */
 #define FRESHNESS_SPACING (40 * USEC_PER_MSEC)
 /* Samples kept: 5 s of them at that spacing, longer than the usual bound of a route. */
-#define FRESHNESS_KEPT 128
+#define FRESHNESS_SAMPLES 128
 
 typedef struct sample {
 	usec_t sent_at;
@@ -23,7 +23,7 @@
 } sample_t;
 
 typedef struct freshness {
-	sample_t ring[FRESHNESS_KEPT];
+	sample_t ring[FRESHNESS_SAMPLES];
 	size_t next;
 	size_t len;
 } freshness_t;
@@ -36,10 +36,11 @@
 void freshness_add(freshness_t *freshness, usec_t sent_at, position_t position);
 
 /* When the primary was last known to have no more than position; 0 if that is not known. */
-usec_t freshness_time_of(const freshness_t *freshness, position_t position);
+usec_t freshness_position_time(const freshness_t *freshness, position_t position);
 
 /*
  * The oldest position that makes a read at most max_age old at now; replicas
  * are most likely to hold that one. Returns false if no sample is young enough.
  */
-bool freshness_position(const freshness_t *freshness, usec_t now, usec_t max_age, sample_t *sample);
+bool freshness_min_position(const freshness_t *freshness, usec_t now, usec_t max_age,
+			    sample_t *sample);
--- a/pooler/home.c
+++ b/pooler/home.c
@@ -56,7 +56,7 @@
 COUNTER_DEFINE(suspected_total, "homes_suspected_total", COUNTER_SUM,
 	       "Times that a proxy which holds connections for us did not answer.");
 
-bool home_applies(const service_t *service)
+bool home_is_needed(const service_t *service)
 {
 	return !service->pooler->config.alone &&
 	       service->pooler->sync.proxies * 100 >
@@ -215,7 +215,7 @@
 	const roster_node_t *node;
 	peer_report_t *report;
 
-	if (!home_applies(service))
+	if (!home_is_needed(service))
 		return true;
 	homes = homes_of(service);
 	name = homes->len != 0 ? homes->names[0] : NULL;
@@ -267,7 +267,7 @@
 	return false;
 }
 
-bool home_is_candidate(service_t *service)
+bool home_self_is_candidate(service_t *service)
 {
 	return names(homes_of(service), service->pooler->config.name);
 }
@@ -312,7 +312,7 @@
 	return NULL;
 }
 
-bool home_serves(service_t *service, usec_t now)
+bool home_holds_conns(service_t *service, usec_t now)
 {
 	const roster_node_t *home;
 
@@ -335,7 +335,7 @@
 	pooler_hasten(pooler);
 }
 
-void home_on_heard(pooler_t *pooler, const char *name, size_t outstanding, usec_t now)
+void home_on_received(pooler_t *pooler, const char *name, size_t outstanding, usec_t now)
 {
 	peer_report_t *report = exchange_get_report(pooler, name);
 
--- a/pooler/home.h
+++ b/pooler/home.h
@@ -15,10 +15,10 @@
 #include "state.h"
 
 /* True if the fleet is too large for connections of every proxy to the service's members. */
-bool home_applies(const service_t *service);
+bool home_is_needed(const service_t *service);
 
 /* True if this proxy is the service's home in its zone, or the next one. */
-bool home_is_candidate(service_t *service);
+bool home_self_is_candidate(service_t *service);
 
 /* The homes of the service in the fleet. */
 size_t home_count(service_t *service);
@@ -27,7 +27,7 @@
 const roster_node_t *home_find(service_t *service, usec_t now);
 
 /* True if this proxy keeps connections to the service's members: for its zone, or for whom asks. */
-bool home_serves(service_t *service, usec_t now);
+bool home_holds_conns(service_t *service, usec_t now);
 
 /* --- what is known of a peer that statements are handed to --- */
 
@@ -35,7 +35,7 @@
 void home_on_sent(pooler_t *pooler, const char *name, usec_t now);
 
 /* Any message of it has come; outstanding: statements that it has not answered. */
-void home_on_heard(pooler_t *pooler, const char *name, size_t outstanding, usec_t now);
+void home_on_received(pooler_t *pooler, const char *name, size_t outstanding, usec_t now);
 
 /* It does not take statements now. */
 void home_on_declined(pooler_t *pooler, const char *name, usec_t now);
--- a/pooler/join.c
+++ b/pooler/join.c
@@ -334,7 +334,7 @@
 {
 	const sync_t *sync = &pooler->sync;
 
-	return goes_by_hubs(pooler) && !hold_is_ours(pooler, now) &&
+	return goes_by_hubs(pooler) && !leader_is_self(pooler, now) &&
 	       is_other(pooler, sync->holder) && now < sync->holder_heard + HOLDER_SILENT;
 }
 
@@ -374,7 +374,7 @@
 
 void join_on_report(pooler_t *pooler, const peer_message_t *report)
 {
-	if (report->address != NULL && hold_is_ours(pooler, now_of(pooler)) &&
+	if (report->address != NULL && leader_is_self(pooler, now_of(pooler)) &&
 	    put_joiner(pooler, report, false))
 		join_run(pooler, now_of(pooler));
 }
--- a/pooler/leader.c
+++ b/pooler/leader.c
@@ -42,7 +42,7 @@
 COUNTER_DEFINE(duty_held, "duty_held", COUNTER_GAUGE,
 	       "1 while this proxy holds the duty to promote.");
 
-void hold_lose(pooler_t *pooler, const char *reason)
+void leader_step_down(pooler_t *pooler, const char *reason)
 {
 	sync_t *sync = &pooler->sync;
 
@@ -53,7 +53,7 @@
 	counter_set(&duty_held, 0);
 	LOG_EVENT(LOG_WARN, "duty lost", LOG_STR("reason", reason),
 		  LOG_INT("fence", (int64_t)sync->own_fence));
-	duty_abandon(pooler);
+	failover_abandon(pooler);
 }
 
 static void ignore_result(void *data, const kv_result_t *result)
@@ -82,7 +82,7 @@
 	pooler->sync.behind = true;
 }
 
-void hold_end_former(pooler_t *pooler, uint64_t lease)
+void leader_end_former_lease(pooler_t *pooler, uint64_t lease)
 {
 	kv_t *kv = pooler_store(pooler);
 
@@ -127,7 +127,7 @@
 		end_lease(pooler);
 }
 
-void hold_on_own_key(pooler_t *pooler, uint64_t incarnation, uint64_t fence)
+void leader_on_own_key(pooler_t *pooler, uint64_t incarnation, uint64_t fence)
 {
 	sync_t *sync = &pooler->sync;
 
@@ -238,7 +238,7 @@
 			if (result->era > sync->lease_era)
 				restore_on_lease_ended(pooler);
 			sync->behind = true;
-			hold_lose(pooler, "the lease ended");
+			leader_step_down(pooler, "the lease ended");
 		} else {
 			sync->renew_next = result->status == KV_LOST ? now : now + RENEW_RETRY;
 		}
@@ -266,23 +266,23 @@
 	if (!sync->holding)
 		return;
 	if (now >= sync->hold_until)
-		hold_lose(pooler, "the lease was not renewed in time");
+		leader_step_down(pooler, "the lease was not renewed in time");
 	else if (now >= sync->renew_next && !sync->renewing)
 		renew(pooler, now);
 }
 
-bool hold_is_ours(const pooler_t *pooler, usec_t now)
+bool leader_is_self(const pooler_t *pooler, usec_t now)
 {
 	return pooler->sync.holding && now < pooler->sync.hold_until;
 }
 
-void hold_release(pooler_t *pooler)
+void leader_release(pooler_t *pooler)
 {
-	hold_lose(pooler, "shutting down");
+	leader_step_down(pooler, "shutting down");
 	end_lease(pooler);
 }
 
-void hold_tick(pooler_t *pooler, usec_t now)
+void leader_tick(pooler_t *pooler, usec_t now)
 {
 	keep(pooler, now);
 	consider_acquiring(pooler, now);
--- a/pooler/limit_shards.c
+++ b/pooler/limit_shards.c
@@ -17,7 +17,7 @@
  * nothing: the predecessor may not have heard, and goes on until its permission by the older roster
  * has ended. More than half of the fleet have heard by then and prolong it no more.
  */
-#define VACANT_FOR (PERMIT_ALONE + 700 * USEC_PER_MSEC)
+#define VACANT_FOR (PERMIT_LEASE_TIME + 700 * USEC_PER_MSEC)
 /* Between two questions to a predecessor. */
 #define RELEASE_INTERVAL (100 * USEC_PER_MSEC)
 /*
@@ -32,7 +32,7 @@
 	       "Questions to this proxy as a keeper that found no token.");
 
 typedef struct seat {
-	UT_hash_handle hh; /* in seats_t.by_name */
+	UT_hash_handle hh; /* in limit_shards_t.by_name */
 	char *name;	   /* "NUMBER CUSTOMER" */
 	usec_t since;	   /* keepers_since() when it was last looked at */
 	bucket_t bucket;
@@ -52,15 +52,15 @@
 	seat_t *by_name;
 };
 
-static int seats_destructor(seats_t *seats)
+static int seats_destructor(limit_shards_t *seats)
 {
 	HASH_CLEAR(hh, seats->by_name);
 	return 0;
 }
 
-seats_t *seats_create(void *parent, pooler_t *pooler)
+limit_shards_t *limit_shards_create(void *parent, pooler_t *pooler)
 {
-	seats_t *seats = talloc_zero(parent, seats_t);
+	limit_shards_t *seats = talloc_zero(parent, limit_shards_t);
 
 	seats->pooler = pooler;
 	talloc_set_destructor(seats, seats_destructor);
@@ -77,7 +77,8 @@
 	seat->question = 0;
 }
 
-static seat_t *get_seat(seats_t *seats, const quota_request_t *request, usec_t since, usec_t now)
+static seat_t *get_seat(limit_shards_t *seats, const quota_request_t *request, usec_t since,
+			usec_t now)
 {
 	char *name = talloc_asprintf(seats, "%u %s", request->seat, request->customer);
 	seat_t *seat;
@@ -107,7 +108,7 @@
  */
 static bool is_kept(const pooler_t *pooler, const seat_t *seat, usec_t now)
 {
-	if (now >= permit_end(pooler) || seat->released)
+	if (now >= permit_expires_at(pooler) || seat->released)
 		return false;
 	return seat->since == 0 || seat->taken_over || now >= seat->since + VACANT_FOR;
 }
@@ -127,7 +128,8 @@
 		    from < now ? from : now);
 }
 
-static void ask_predecessor(seats_t *seats, seat_t *seat, const quota_request_t *from, usec_t now)
+static void ask_predecessor(limit_shards_t *seats, seat_t *seat, const quota_request_t *from,
+			    usec_t now)
 {
 	pooler_t *pooler = seats->pooler;
 	const char *name =
@@ -150,7 +152,8 @@
 	seat->asked_at = now;
 }
 
-quota_answer_t seats_release(seats_t *seats, const quota_request_t *request, int64_t revision)
+quota_answer_t limit_shards_release(limit_shards_t *seats, const quota_request_t *request,
+				    int64_t revision)
 {
 	seat_t *seat = get_seat(seats, request, USEC_NEVER, 0);
 	quota_answer_t answer = {
@@ -180,7 +183,7 @@
 		start_counting(seat, now);
 }
 
-void seats_on_released(seats_t *seats, const quota_answer_t *answer, usec_t now)
+void limit_shards_on_released(limit_shards_t *seats, const quota_answer_t *answer, usec_t now)
 {
 	for (seat_t *seat = seats->by_name; seat != NULL; seat = seat->hh.next) {
 		if (seat->question == 0 || seat->question != answer->number)
@@ -219,7 +222,7 @@
 			     request->seat);
 }
 
-quota_answer_t seats_take(seats_t *seats, const quota_request_t *request, usec_t now)
+quota_answer_t limit_shards_take(limit_shards_t *seats, const quota_request_t *request, usec_t now)
 {
 	const pooler_t *pooler = seats->pooler;
 	const customer_t *customer =
--- a/pooler/limit_shards.h
+++ b/pooler/limit_shards.h
@@ -10,15 +10,16 @@
 
 #include "state.h"
 
-typedef struct seats seats_t;
+typedef struct seats limit_shards_t;
 
-seats_t *seats_create(void *parent, pooler_t *pooler);
+limit_shards_t *limit_shards_create(void *parent, pooler_t *pooler);
 
 /* Tokens for another proxy, or for this one. */
-quota_answer_t seats_take(seats_t *seats, const quota_request_t *request, usec_t now);
+quota_answer_t limit_shards_take(limit_shards_t *seats, const quota_request_t *request, usec_t now);
 
 /* A seat's keeper by the roster of that revision asks this proxy to give nothing more for it. */
-quota_answer_t seats_release(seats_t *seats, const quota_request_t *request, int64_t revision);
+quota_answer_t limit_shards_release(limit_shards_t *seats, const quota_request_t *request,
+				    int64_t revision);
 
 /* The predecessor's answer; of one that is not waited for any more nothing follows. */
-void seats_on_released(seats_t *seats, const quota_answer_t *answer, usec_t now);
+void limit_shards_on_released(limit_shards_t *seats, const quota_answer_t *answer, usec_t now);
--- a/pooler/member.c
+++ b/pooler/member.c
@@ -78,7 +78,7 @@
 	member->outlier = (outlier_t){0};
 	member->survey_done = false;
 	member->status = (member_status_t){0};
-	if (verdict_primary(member->service) == member)
+	if (service_roster_primary(member->service) == member)
 		freshness_reset(member->service->freshness);
 }
 
@@ -126,7 +126,7 @@
 		close_unused(member);
 }
 
-void member_set_gone(member_t *member)
+void member_set_unlisted(member_t *member)
 {
 	member->gone = true;
 	active_add_member(member);
@@ -165,7 +165,7 @@
 	talloc_free(member);
 }
 
-void member_heard(member_t *member)
+void member_on_reply(member_t *member)
 {
 	member->last_reply = now_of(member->pooler);
 	member->silent_since = USEC_NEVER;
@@ -184,7 +184,7 @@
 	member->probe_conn = conn_open(member, NULL);
 }
 
-void member_ask_status(member_t *member)
+void member_query_status(member_t *member)
 {
 	list_for_each (it, &member->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
@@ -248,7 +248,7 @@
 	return oldest;
 }
 
-conn_t *member_longest_held(const member_t *member)
+conn_t *member_longest_held_conn(const member_t *member)
 {
 	conn_t *longest = NULL;
 
@@ -274,7 +274,7 @@
 
 		if (conn->state == CONN_ORPHANED && now >= conn->since + ORPHAN_TIME) {
 			if (now >= conn->sent_at + usual + ORPHAN_TIME)
-				member_note(member, EVIDENCE_FAILED);
+				member_record_outcome(member, STATEMENT_FAILED);
 			conn_close(conn, "no answer to what nobody waits for");
 			return;
 		}
@@ -293,7 +293,7 @@
 	if (now >= oldest->sent_at + MEMBER_SILENCE && now >= member->last_reply + MEMBER_SILENCE)
 		member_suspect(member, "silent");
 	if (now >= oldest->sent_at + CONN_SILENCE) {
-		member_note(member, EVIDENCE_FAILED);
+		member_record_outcome(member, STATEMENT_FAILED);
 		conn_close(oldest, "no reply");
 	}
 }
@@ -321,7 +321,7 @@
 /* Proxies that have connections to the service's members in normal times. */
 static size_t sharers(service_t *service)
 {
-	return home_applies(service) ? home_count(service) : service->pooler->sync.proxies;
+	return home_is_needed(service) ? home_count(service) : service->pooler->sync.proxies;
 }
 
 size_t member_share(const member_t *member)
@@ -330,7 +330,8 @@
 	size_t shared = (size_t)member->service->max_connections / MEMBER_SHARED_PART;
 
 	/* What is opened all the same, since no home answers, is closed when it is idle. */
-	if (home_applies(member->service) && !home_serves(member->service, now_of(member->pooler)))
+	if (home_is_needed(member->service) &&
+	    !home_holds_conns(member->service, now_of(member->pooler)))
 		return 0;
 
 	return nodes != 0 && shared > nodes ? shared / nodes : 1;
@@ -351,7 +352,7 @@
 	return member->conn_count < most;
 }
 
-void member_measure(member_t *member, usec_t took)
+void member_record_response_time(member_t *member, usec_t took)
 {
 	member->response = (member->response * (RESPONSE_WEIGHT - 1) + took) / RESPONSE_WEIGHT;
 }
@@ -377,7 +378,7 @@
 		const member_t *member = list_entry(it, member_t, in_service);
 
 		if (member != self)
-			outlier_count(&member->outlier, now, others);
+			outlier_count_recent(&member->outlier, now, others);
 	}
 }
 
@@ -388,8 +389,8 @@
 
 	if (member->outlier.out || !can_do_without(member->service))
 		return;
-	outlier_count(&member->outlier, now, &tally);
-	outlier_take_out(&member->outlier, now);
+	outlier_count_recent(&member->outlier, now, &tally);
+	outlier_eject(&member->outlier, now);
 	LOG_EVENT(LOG_WARN, "member gets no reads", LOG_STR("service", member->service->name),
 		  LOG_STR("member", member->id), LOG_INT("failed", (int64_t)tally.failed),
 		  LOG_INT("refused", (int64_t)tally.refused),
@@ -397,7 +398,7 @@
 		  LOG_INT("for_ms", (int64_t)(member->outlier.out_for / USEC_PER_MSEC)));
 }
 
-void member_found_down(member_t *member, const char *reason)
+void member_mark_down(member_t *member, const char *reason)
 {
 	if (member->down)
 		return;
@@ -408,13 +409,13 @@
 	outlier_on_down(&member->outlier, now_of(member->pooler));
 }
 
-void member_note(member_t *member, evidence_t evidence)
+void member_record_outcome(member_t *member, statement_outcome_t evidence)
 {
 	usec_t now = now_of(member->pooler);
 	bool was_out = member->outlier.out;
 	tally_t others = {0};
 
-	outlier_note(&member->outlier, evidence, now);
+	outlier_record(&member->outlier, evidence, now);
 	if (was_out) {
 		if (!member->outlier.out)
 			LOG_EVENT(LOG_INFO, "member gets reads again",
@@ -422,7 +423,7 @@
 				  LOG_STR("member", member->id));
 		return;
 	}
-	if (evidence == EVIDENCE_GOOD)
+	if (evidence == STATEMENT_GOOD)
 		return;
 	count_others(member, now, &others);
 	if (outlier_is_worse(&member->outlier, &others, now))
--- a/pooler/member.h
+++ b/pooler/member.h
@@ -26,16 +26,16 @@
 void member_update(member_t *member, const member_entry_t *entry);
 
 /* It is no longer listed. */
-void member_set_gone(member_t *member);
+void member_set_unlisted(member_t *member);
 
 /* Close all connections; callers learn what became of their statements. */
 void member_destroy(member_t *member);
 
 /* A reply came: the member lives. */
-void member_heard(member_t *member);
+void member_on_reply(member_t *member);
 
 /* A probe found that it does not answer. */
-void member_found_down(member_t *member, const char *reason);
+void member_mark_down(member_t *member, const char *reason);
 
 /* A connection failed or broke: ask again before believing it. */
 void member_suspect(member_t *member, const char *reason);
@@ -53,13 +53,13 @@
 void member_probe(member_t *member);
 
 /* The same over a connection at hand, if there is one: the member may be full. */
-void member_ask_status(member_t *member);
+void member_query_status(member_t *member);
 
 /* The connection that is in a transaction without a statement for longest, or NULL. */
-conn_t *member_longest_held(const member_t *member);
+conn_t *member_longest_held_conn(const member_t *member);
 
 /* A statement was answered after so long. */
-void member_measure(member_t *member, usec_t took);
+void member_record_response_time(member_t *member, usec_t took);
 
 /* True if the member can be given one more statement now. */
 bool member_has_room(const member_t *member);
@@ -68,7 +68,7 @@
 size_t member_load(const member_t *member);
 
 /* A statement sent to the member has ended so; may take it out of use for reads. */
-void member_note(member_t *member, evidence_t evidence);
+void member_record_outcome(member_t *member, statement_outcome_t evidence);
 
 /* Usable for new work. */
 bool member_is_usable(const member_t *member);
--- a/pooler/metrics.c
+++ b/pooler/metrics.c
@@ -19,7 +19,7 @@
 static void write_fleet(const pooler_t *pooler, FILE *out, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
-	usec_t end = permit_end(pooler);
+	usec_t end = permit_expires_at(pooler);
 
 	head(out, "roster_proxies", "Proxies on the roster.");
 	fprintf(out, "cyclamenspan_roster_proxies %zu\n", sync->proxies);
--- a/pooler/outlier.c
+++ b/pooler/outlier.c
@@ -53,25 +53,25 @@
 COUNTER_DEFINE(out_total, "members_taken_out_total", COUNTER_SUM,
 	       "Times that a member got no reads for a while since it failed statements.");
 
-void outlier_count(const outlier_t *outlier, usec_t now, tally_t *tally)
+void outlier_count_recent(const outlier_t *outlier, usec_t now, tally_t *tally)
 {
 	for (size_t i = 0; i < OUTLIER_WINDOW; i++) {
 		if (outlier->last[i].at == 0 || outlier->last[i].at + EVIDENCE_AGE < now)
 			continue;
 		tally->total++;
-		tally->refused += outlier->last[i].evidence == EVIDENCE_REFUSED;
-		tally->failed += outlier->last[i].evidence == EVIDENCE_FAILED;
+		tally->refused += outlier->last[i].evidence == STATEMENT_REFUSED;
+		tally->failed += outlier->last[i].evidence == STATEMENT_FAILED;
 	}
 }
 
-void outlier_believe_failing(outlier_t *outlier, usec_t now)
+void outlier_mark_failing(outlier_t *outlier, usec_t now)
 {
 	outlier->failing_until = now + FAILING_HELD;
 }
 
-static void sum_up(outlier_t *outlier, evidence_t evidence, usec_t now)
+static void sum_up(outlier_t *outlier, statement_outcome_t evidence, usec_t now)
 {
-	if (evidence == EVIDENCE_GOOD) {
+	if (evidence == STATEMENT_GOOD) {
 		outlier->sum -= outlier->sum < FAILING_DOWN ? outlier->sum : FAILING_DOWN;
 		return;
 	}
@@ -84,7 +84,7 @@
 	if (outlier->sum > 2 * FAILING_SUM)
 		outlier->sum = 2 * FAILING_SUM;
 	if (outlier->sum >= FAILING_SUM && now >= outlier->bad_since + FAILING_LASTS)
-		outlier_believe_failing(outlier, now);
+		outlier_mark_failing(outlier, now);
 }
 
 static void forget(outlier_t *outlier)
@@ -94,10 +94,10 @@
 }
 
 /* A statement while it is out and its time is over: a trial. */
-static void on_trial(outlier_t *outlier, evidence_t evidence, usec_t now)
+static void on_trial(outlier_t *outlier, statement_outcome_t evidence, usec_t now)
 {
-	if (evidence != EVIDENCE_GOOD) {
-		outlier_take_out(outlier, now);
+	if (evidence != STATEMENT_GOOD) {
+		outlier_eject(outlier, now);
 		return;
 	}
 	outlier->trials--;
@@ -107,7 +107,7 @@
 	forget(outlier);
 }
 
-void outlier_note(outlier_t *outlier, evidence_t evidence, usec_t now)
+void outlier_record(outlier_t *outlier, statement_outcome_t evidence, usec_t now)
 {
 	outlier->last[outlier->next].at = now;
 	outlier->last[outlier->next].evidence = evidence;
@@ -121,7 +121,7 @@
 void outlier_on_down(outlier_t *outlier, usec_t now)
 {
 	if (outlier->down_at != 0 && now < outlier->down_at + DOWN_AGAIN)
-		outlier_believe_failing(outlier, now);
+		outlier_mark_failing(outlier, now);
 	outlier->down_at = now;
 }
 
@@ -130,7 +130,7 @@
 	tally_t own = {0};
 	size_t bad;
 
-	outlier_count(outlier, now, &own);
+	outlier_count_recent(outlier, now, &own);
 	bad = own.failed + own.refused;
 	/* Without a few at others nothing shows that those would do better. */
 	return others->total >= OTHERS_LEAST && bad >= BAD_LEAST &&
@@ -139,7 +139,7 @@
 		       WORSE_THAN_OTHERS * (others->failed + others->refused) * own.total;
 }
 
-void outlier_take_out(outlier_t *outlier, usec_t now)
+void outlier_eject(outlier_t *outlier, usec_t now)
 {
 	if (outlier->out_for == 0 || (!outlier->out && now >= outlier->out_until + OUT_FORGET))
 		outlier->out_for = OUT_FIRST;
@@ -151,7 +151,7 @@
 	counter_add(&out_total, 1);
 }
 
-bool outlier_takes(const outlier_t *outlier, size_t load, usec_t now)
+bool outlier_accepts_read(const outlier_t *outlier, size_t load, usec_t now)
 {
 	return !outlier->out || (now >= outlier->out_until && load == 0);
 }
--- a/pooler/outlier.h
+++ b/pooler/outlier.h
@@ -23,15 +23,15 @@
 #define OUTLIER_WINDOW 16
 
 typedef enum {
-	EVIDENCE_GOOD,
-	EVIDENCE_REFUSED, /* it did not run the statement, and may for a good reason */
-	EVIDENCE_FAILED,  /* ran badly, broken off or never answered */
-} evidence_t;
+	STATEMENT_GOOD,
+	STATEMENT_REFUSED, /* it did not run the statement, and may for a good reason */
+	STATEMENT_FAILED,  /* ran badly, broken off or never answered */
+} statement_outcome_t;
 
 typedef struct outlier {
 	struct {
 		usec_t at; /* 0: none */
-		evidence_t evidence;
+		statement_outcome_t evidence;
 	} last[OUTLIER_WINDOW];
 	size_t next;
 	bool out;	      /* it gets no reads, or only trials */
@@ -53,10 +53,10 @@
 } tally_t;
 
 /* A statement at the member has ended so. */
-void outlier_note(outlier_t *outlier, evidence_t evidence, usec_t now);
+void outlier_record(outlier_t *outlier, statement_outcome_t evidence, usec_t now);
 
 /* For FAILING_HELD from now on outlier_is_failing() is true. */
-void outlier_believe_failing(outlier_t *outlier, usec_t now);
+void outlier_mark_failing(outlier_t *outlier, usec_t now);
 
 /*
  * It was found down. A second time within DOWN_AGAIN makes it count as failing, since it hangs in
@@ -65,16 +65,16 @@
 void outlier_on_down(outlier_t *outlier, usec_t now);
 
 /* Add the outcomes of late to tally. */
-void outlier_count(const outlier_t *outlier, usec_t now, tally_t *tally);
+void outlier_count_recent(const outlier_t *outlier, usec_t now, tally_t *tally);
 
 /* True if it fails a good part of its statements, and far more than the others together. */
 bool outlier_is_worse(const outlier_t *outlier, const tally_t *others, usec_t now);
 
 /* No reads for a while; longer each time that follows soon after another. */
-void outlier_take_out(outlier_t *outlier, usec_t now);
+void outlier_eject(outlier_t *outlier, usec_t now);
 
 /* True if it may be given a read; load: statements that are at it now. */
-bool outlier_takes(const outlier_t *outlier, size_t load, usec_t now);
+bool outlier_accepts_read(const outlier_t *outlier, size_t load, usec_t now);
 
 /* True if it fails so much that a primary is better replaced. */
 bool outlier_is_failing(const outlier_t *outlier, usec_t now);
--- a/pooler/permit.c
+++ b/pooler/permit.c
@@ -23,7 +23,7 @@
 	return (x < y) - (x > y);
 }
 
-void permit_on_agreed(pooler_t *pooler)
+void permit_update_quorum_confirmed(pooler_t *pooler)
 {
 	sync_t *sync = &pooler->sync;
 	size_t needed = permit_quorum(sync->proxies);
@@ -43,7 +43,7 @@
 	talloc_free(times);
 }
 
-usec_t permit_agreed_at(const pooler_t *pooler)
+usec_t permit_quorum_confirmed_at(const pooler_t *pooler)
 {
 	const sync_t *sync = &pooler->sync;
 
@@ -52,7 +52,7 @@
 	return sync->agreed_told > sync->agreed_at ? sync->agreed_told : sync->agreed_at;
 }
 
-usec_t permit_end(const pooler_t *pooler)
+usec_t permit_expires_at(const pooler_t *pooler)
 {
 	const sync_t *sync = &pooler->sync;
 	usec_t alone;
@@ -60,12 +60,12 @@
 
 	if (sync->confirmed_at == USEC_NEVER)
 		return 0;
-	alone = sync->confirmed_at + PERMIT_ALONE;
+	alone = sync->confirmed_at + PERMIT_LEASE_TIME;
 	if (now_of(pooler) < alone)
 		return alone;
-	together = permit_agreed_at(pooler) + PERMIT_ALONE;
-	if (together > sync->confirmed_at + PERMIT_TOGETHER)
-		together = sync->confirmed_at + PERMIT_TOGETHER;
+	together = permit_quorum_confirmed_at(pooler) + PERMIT_LEASE_TIME;
+	if (together > sync->confirmed_at + PERMIT_LEASE_MAX)
+		together = sync->confirmed_at + PERMIT_LEASE_MAX;
 	return together > alone ? together : alone;
 }
 
@@ -73,8 +73,8 @@
 {
 	const pooler_t *pooler = service->pooler;
 
-	if (service->group == NULL || service->group->changing || now >= permit_end(pooler) ||
-	    !permit_is_registered(pooler))
+	if (service->group == NULL || service->group->changing ||
+	    now >= permit_expires_at(pooler) || !permit_is_registered(pooler))
 		return NULL;
 	return service->primary;
 }
@@ -84,7 +84,7 @@
 	return permit_primary(member->service, now) == member;
 }
 
-size_t permit_listed(const pooler_t *pooler)
+size_t permit_count_listed(const pooler_t *pooler)
 {
 	usec_t now = now_of(pooler);
 	size_t listed = 0;
@@ -93,7 +93,7 @@
 		const peer_report_t *report = list_entry(it, peer_report_t, node);
 
 		listed +=
-			report->listed_since != 0 && now >= report->listed_since + PERMIT_TOGETHER;
+			report->listed_since != 0 && now >= report->listed_since + PERMIT_LEASE_MAX;
 	}
 	return listed;
 }
@@ -104,9 +104,9 @@
 	       report->revision >= revision;
 }
 
-size_t permit_fleet(const pooler_t *pooler, int64_t revision)
+size_t permit_fleet_size(const pooler_t *pooler, int64_t revision)
 {
-	size_t fleet = permit_listed(pooler);
+	size_t fleet = permit_count_listed(pooler);
 
 	list_for_each (it, &pooler->sync.roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
@@ -118,7 +118,7 @@
 	return fleet;
 }
 
-bool permit_is_known(const pooler_t *pooler, int64_t revision)
+bool permit_quorum_has_revision(const pooler_t *pooler, int64_t revision)
 {
 	size_t behind = 0;
 
@@ -130,10 +130,10 @@
 			continue;
 		behind += !holds(node, report, revision);
 	}
-	return behind < permit_quorum(permit_fleet(pooler, revision));
+	return behind < permit_quorum(permit_fleet_size(pooler, revision));
 }
 
-bool permit_in_use(const service_t *service)
+bool permit_is_in_use(const service_t *service)
 {
 	list_for_each (it, &service->members) {
 		const member_t *member = list_entry(it, member_t, in_service);
--- a/pooler/pooler.c
+++ b/pooler/pooler.c
@@ -189,7 +189,7 @@
  */
 static bool serves_nobody(pooler_t *pooler, usec_t now)
 {
-	if (now < permit_end(pooler))
+	if (now < permit_expires_at(pooler))
 		pooler->last_permitted = now;
 	if (pooler->last_permitted != 0 && now >= pooler->last_permitted + LET_GO_AFTER)
 		return true;
@@ -299,14 +299,14 @@
 	summary_tick(&pooler->summary, now);
 	active_tick(pooler, now);
 	tick_members(pooler, now);
-	hold_tick(pooler, now);
+	leader_tick(pooler, now);
 	refresh_tick(pooler, now);
 	relay_tick(pooler->relay, now);
 	sync_tick(pooler, now);
 	exchange_tick(pooler, now);
 	home_tick(pooler, now);
 	forward_tick(pooler, now);
-	duty_tick(pooler, now);
+	failover_tick(pooler, now);
 	list_for_each (it, &pooler->active_services) {
 		service_t *service = list_entry(it, service_t, active);
 
@@ -404,7 +404,7 @@
 	usec_t now = now_of(pooler);
 
 	/* Getting on the roster takes some ms more; statements wait for it. */
-	if (pooler->routes == NULL || pooler->draining || now >= permit_end(pooler) ||
+	if (pooler->routes == NULL || pooler->draining || now >= permit_expires_at(pooler) ||
 	    proof_is_old(&pooler->config_proof, now))
 		return false;
 	return knows_primaries(pooler) || now >= pooler->started + LISTED_TIME;
@@ -437,7 +437,7 @@
 	pooler->drain_started = now_of(pooler);
 	LOG_EVENT(LOG_INFO, "draining", LOG_INT("callers", (int64_t)list_length(&pooler->callers)));
 	/* Another proxy can take the duty at once. */
-	hold_release(pooler);
+	leader_release(pooler);
 	tick_callers(pooler, pooler->drain_started);
 }
 
@@ -507,12 +507,12 @@
 	if (member == NULL || member->gone)
 		return;
 	pooler->members_digest ^= refresh_member_digest(member);
-	member_set_gone(member);
+	member_set_unlisted(member);
 }
 
 void pooler_on_promoted(pooler_t *pooler, const char *service, promote_status_t status)
 {
-	duty_on_promoted(service_get(pooler, service), status);
+	failover_on_promoted(service_get(pooler, service), status);
 }
 
 void pooler_on_message(pooler_t *pooler, const peer_message_t *message)
@@ -566,6 +566,6 @@
 					      ? (now - sync->confirmed_at) / USEC_PER_MSEC
 					      : 0),
 			 "holder", sync->holder != NULL ? sync->holder : "", "fence",
-			 (json_int_t)sync->fence, "holding", hold_is_ours(pooler, now), "callers",
+			 (json_int_t)sync->fence, "holding", leader_is_self(pooler, now), "callers",
 			 (int)list_length(&pooler->callers), "services", services);
 }
--- a/pooler/push.c
+++ b/pooler/push.c
@@ -87,7 +87,7 @@
 		return;
 	sync->config_news = false;
 	sync->config_pushed_at = now;
-	if (hold_is_ours(pooler, now))
+	if (leader_is_self(pooler, now))
 		push_fleet(pooler);
 	else if (upstream_is_hub(pooler))
 		push_listeners(pooler);
--- a/pooler/quota.c
+++ b/pooler/quota.c
@@ -24,7 +24,7 @@
 /* Longest that an operation waits for a token: its client would come again after as long. */
 #define TOKEN_PATIENCE (50 * USEC_PER_MSEC)
 /* Longest that an operation waits for a keeper that answers. */
-#define QUOTA_PATIENCE (400 * USEC_PER_MSEC)
+#define QUOTA_WAIT_MAX (400 * USEC_PER_MSEC)
 /* When to come back if no keeper answers. */
 #define RETRY_UNKNOWN (200 * USEC_PER_MSEC)
 /* At the soonest, if a limit is reached. */
@@ -49,17 +49,17 @@
 	unsigned tried;	   /* seats asked for those that wait now, as bits */
 	usec_t empty_until[LIMIT_SEATS];
 	run_timer_t timer; /* of the question, or until the next round */
-} allowance_t;
+} quota_queue_t;
 
 struct quota {
 	pooler_t *pooler;
-	allowance_t *by_customer;
-	seats_t *seats;
+	quota_queue_t *by_customer;
+	limit_shards_t *seats;
 };
 
-static void ask_next(allowance_t *allowance, usec_t now);
+static void ask_next(quota_queue_t *allowance, usec_t now);
 
-static int allowance_destructor(allowance_t *allowance)
+static int allowance_destructor(quota_queue_t *allowance)
 {
 	timers_cancel(allowance->quota->pooler->timers, &allowance->timer);
 	return 0;
@@ -70,7 +70,7 @@
 	quota_t *quota = talloc_zero(pooler, quota_t);
 
 	quota->pooler = pooler;
-	quota->seats = seats_create(quota, pooler);
+	quota->seats = limit_shards_create(quota, pooler);
 	return quota;
 }
 
@@ -80,9 +80,9 @@
 	talloc_free(quota);
 }
 
-static allowance_t *find_allowance(quota_t *quota, const char *customer)
+static quota_queue_t *find_allowance(quota_t *quota, const char *customer)
 {
-	allowance_t *allowance;
+	quota_queue_t *allowance;
 
 	HASH_FIND_STR(quota->by_customer, customer, allowance);
 	return allowance;
@@ -95,13 +95,13 @@
 	return XXH64(name, strlen(name), XXH64(customer, strlen(customer), 0));
 }
 
-static allowance_t *get_allowance(quota_t *quota, const char *customer)
+static quota_queue_t *get_allowance(quota_t *quota, const char *customer)
 {
-	allowance_t *allowance = find_allowance(quota, customer);
+	quota_queue_t *allowance = find_allowance(quota, customer);
 
 	if (allowance != NULL)
 		return allowance;
-	allowance = talloc_zero(quota, allowance_t);
+	allowance = talloc_zero(quota, quota_queue_t);
 	allowance->quota = quota;
 	allowance->customer = talloc_strdup(allowance, customer);
 	list_init(&allowance->waiting);
@@ -113,30 +113,30 @@
 
 /* --- those that wait --- */
 
-static caller_t *first_waiting(const allowance_t *allowance)
+static caller_t *first_waiting(const quota_queue_t *allowance)
 {
 	return list_empty(&allowance->waiting)
 		       ? NULL
 		       : list_entry(allowance->waiting.next, caller_t, admission);
 }
 
-void quota_leave(caller_t *caller)
+void quota_cancel(caller_t *caller)
 {
 	list_del(&caller->admission);
 }
 
-static void admit(allowance_t *allowance, unsigned count)
+static void admit(quota_queue_t *allowance, unsigned count)
 {
 	caller_t *caller;
 
 	while (count-- != 0 && (caller = first_waiting(allowance)) != NULL) {
-		quota_leave(caller);
+		quota_cancel(caller);
 		caller_on_admitted(caller);
 	}
 }
 
 /* Until a keeper may have a token again, as far as they have told; RETRY_LEAST at least. */
-static usec_t until_token(const allowance_t *allowance, usec_t now)
+static usec_t until_token(const quota_queue_t *allowance, usec_t now)
 {
 	usec_t least = USEC_NEVER;
 
@@ -148,7 +148,7 @@
 }
 
 /* True if no keeper that was heard of has a token now. */
-static bool is_used_up(const allowance_t *allowance, usec_t now)
+static bool is_used_up(const quota_queue_t *allowance, usec_t now)
 {
 	for (unsigned seat = 0; seat < LIMIT_SEATS; seat++) {
 		if (now < allowance->empty_until[seat])
@@ -157,7 +157,8 @@
 	return false;
 }
 
-static void refuse_one(caller_t *caller, const allowance_t *allowance, reason_t reason, usec_t back)
+static void refuse_one(caller_t *caller, const quota_queue_t *allowance, reason_t reason,
+		       usec_t back)
 {
 	if (reason == REASON_LIMIT_REACHED)
 		counter_add(&refused_total, 1);
@@ -168,26 +169,26 @@
 		      back);
 }
 
-static void refuse_all(allowance_t *allowance, reason_t reason, usec_t back)
+static void refuse_all(quota_queue_t *allowance, reason_t reason, usec_t back)
 {
 	caller_t *caller;
 
 	while ((caller = first_waiting(allowance)) != NULL) {
-		quota_leave(caller);
+		quota_cancel(caller);
 		refuse_one(caller, allowance, reason, back);
 	}
 }
 
 /* --- questions --- */
 
-static const char *keeper_of(const allowance_t *allowance, unsigned seat)
+static const char *keeper_of(const quota_queue_t *allowance, unsigned seat)
 {
 	return keepers_find(allowance->quota->pooler->keepers, allowance->customer, seat);
 }
 
 static void on_timer(run_timer_t *timer, usec_t now)
 {
-	allowance_t *allowance = list_entry(timer, allowance_t, timer);
+	quota_queue_t *allowance = list_entry(timer, quota_queue_t, timer);
 	const char *name = keeper_of(allowance, allowance->seat);
 
 	if (allowance->question != 0) {
@@ -204,7 +205,7 @@
 	ask_next(allowance, now);
 }
 
-static void wait_for(allowance_t *allowance, usec_t until)
+static void wait_for(quota_queue_t *allowance, usec_t until)
 {
 	timers_arm(allowance->quota->pooler->timers, &allowance->timer, until, on_timer);
 }
@@ -213,7 +214,7 @@
  * Ask the keeper of a seat for all that wait; if it is this proxy it has answered. False if there
  * is none, or no link to it yet.
  */
-static bool ask(allowance_t *allowance, unsigned seat, usec_t now)
+static bool ask(quota_queue_t *allowance, unsigned seat, usec_t now)
 {
 	quota_t *quota = allowance->quota;
 	pooler_t *pooler = quota->pooler;
@@ -234,7 +235,7 @@
 	allowance->seat = seat;
 	allowance->question = request.number;
 	if (strcmp(name, pooler->config.name) == 0) {
-		answer = seats_take(quota->seats, &request, now);
+		answer = limit_shards_take(quota->seats, &request, now);
 		message.kind = PEER_TAKEN;
 		message.taken = &answer;
 		quota_on_answer(pooler, &message);
@@ -251,7 +252,7 @@
 	return true;
 }
 
-static bool is_near(const allowance_t *allowance, unsigned seat)
+static bool is_near(const quota_queue_t *allowance, unsigned seat)
 {
 	const pooler_t *pooler = allowance->quota->pooler;
 	const char *zone = keepers_zone(pooler->keepers, allowance->customer, seat);
@@ -259,7 +260,7 @@
 	return zone != NULL && strcmp(zone, pooler->config.zone) == 0;
 }
 
-static bool is_passed_over(const allowance_t *allowance, unsigned seat, usec_t now)
+static bool is_passed_over(const quota_queue_t *allowance, unsigned seat, usec_t now)
 {
 	const pooler_t *pooler = allowance->quota->pooler;
 	const char *name = keeper_of(allowance, seat);
@@ -269,7 +270,7 @@
 	       (now < report->passed_over_until || home_is_suspect(pooler, report->name, now));
 }
 
-static bool may_ask(const allowance_t *allowance, unsigned seat, usec_t now)
+static bool may_ask(const quota_queue_t *allowance, unsigned seat, usec_t now)
 {
 	return (allowance->tried & 1u << seat) == 0 && now >= allowance->empty_until[seat] &&
 	       !is_passed_over(allowance, seat, now);
@@ -281,7 +282,7 @@
  * in some ms. Else nobody has answered, as when all proxies have just started, and all are asked
  * again.
  */
-static void end_round(allowance_t *allowance, const caller_t *oldest, usec_t now)
+static void end_round(quota_queue_t *allowance, const caller_t *oldest, usec_t now)
 {
 	usec_t wait = until_token(allowance, now);
 
@@ -291,7 +292,7 @@
 			wait_for(allowance, now + wait);
 		else
 			refuse_all(allowance, REASON_LIMIT_REACHED, wait);
-	} else if (now >= oldest->received_at + QUOTA_PATIENCE) {
+	} else if (now >= oldest->received_at + QUOTA_WAIT_MAX) {
 		refuse_all(allowance, REASON_LIMIT_UNKNOWN, RETRY_UNKNOWN);
 	} else {
 		allowance->tried = 0;
@@ -300,7 +301,7 @@
 }
 
 /* Ask a keeper of our zone, or of another one; false if there is none to ask. */
-static bool ask_one_of(allowance_t *allowance, bool near, usec_t now)
+static bool ask_one_of(quota_queue_t *allowance, bool near, usec_t now)
 {
 	for (unsigned i = 0; i < LIMIT_SEATS; i++) {
 		unsigned seat = (allowance->first + i) % LIMIT_SEATS;
@@ -313,7 +314,7 @@
 }
 
 /* Ask one keeper after the other for those that wait, the nearest first. */
-static void ask_next(allowance_t *allowance, usec_t now)
+static void ask_next(quota_queue_t *allowance, usec_t now)
 {
 	const caller_t *oldest = first_waiting(allowance);
 
@@ -323,12 +324,12 @@
 		end_round(allowance, oldest, now);
 }
 
-bool quota_enter(caller_t *caller)
+bool quota_admit(caller_t *caller)
 {
 	pooler_t *pooler = caller->pooler;
 	const customer_t *customer = customers_by_name(pooler->routes->customers, caller->customer);
 	usec_t now = now_of(pooler);
-	allowance_t *allowance;
+	quota_queue_t *allowance;
 	bool alone;
 
 	if (customer == NULL || customer->rate <= 0)
@@ -345,7 +346,7 @@
 	return false;
 }
 
-static void take_answer(allowance_t *allowance, const quota_answer_t *answer, usec_t now)
+static void take_answer(quota_queue_t *allowance, const quota_answer_t *answer, usec_t now)
 {
 	unsigned seat = allowance->seat;
 
@@ -365,10 +366,10 @@
 void quota_on_answer(pooler_t *pooler, const peer_message_t *message)
 {
 	const quota_answer_t *answer = message->taken;
-	allowance_t *allowance = find_allowance(pooler->quota, answer->customer);
+	quota_queue_t *allowance = find_allowance(pooler->quota, answer->customer);
 
 	if (answer->release) {
-		seats_on_released(pooler->quota->seats, answer, now_of(pooler));
+		limit_shards_on_released(pooler->quota->seats, answer, now_of(pooler));
 		return;
 	}
 	/* A token that comes too late is not used: another keeper was asked for its operation. */
@@ -378,10 +379,11 @@
 
 void quota_on_request(pooler_t *pooler, const peer_message_t *message)
 {
-	seats_t *seats = pooler->quota->seats;
-	quota_answer_t answer = message->take->release
-					? seats_release(seats, message->take, message->revision)
-					: seats_take(seats, message->take, now_of(pooler));
+	limit_shards_t *seats = pooler->quota->seats;
+	quota_answer_t answer =
+		message->take->release
+			? limit_shards_release(seats, message->take, message->revision)
+			: limit_shards_take(seats, message->take, now_of(pooler));
 
 	outbox_answer(&pooler->outbox, message->from, message->address, &answer);
 }
--- a/pooler/quota.h
+++ b/pooler/quota.h
@@ -21,12 +21,12 @@
 
 /*
  * An operation of the caller is about to begin. True if it may at once; else caller_on_admitted()
- * or caller_refuse() follows, within QUOTA_PATIENCE.
+ * or caller_refuse() follows, within QUOTA_WAIT_MAX.
  */
-bool quota_enter(caller_t *caller);
+bool quota_admit(caller_t *caller);
 
 /* The caller does not wait any more. */
-void quota_leave(caller_t *caller);
+void quota_cancel(caller_t *caller);
 
 /* Another proxy asks for tokens. */
 void quota_on_request(pooler_t *pooler, const peer_message_t *message);
--- a/pooler/restore.c
+++ b/pooler/restore.c
@@ -46,14 +46,14 @@
 	}
 	counter_add(&copies_total, 1);
 	sync->restored = revision;
-	if (hold_is_ours(pooler, now))
+	if (leader_is_self(pooler, now))
 		sync->led_until = sync->hold_until;
 	sync->groups_known = knows_groups(pooler, now);
 	LOG_EVENT(LOG_WARN, "store holds a copy of the roster", LOG_INT("era", kv_era(revision)),
 		  LOG_INT("written_in", copy->era), LOG_INT("copy", kv_number(revision)),
 		  LOG_INT("ours", kv_number(sync->roster->revision)),
 		  LOG_INT("groups_known", sync->groups_known));
-	hold_lose(pooler, "the store came back from a copy");
+	leader_step_down(pooler, "the store came back from a copy");
 	/* A process that has just started learns who the others are, in the order of that era. */
 	if (sync->roster->revision == 0) {
 		copy->revision = kv_in_era(copy->era, kv_number(revision));
@@ -96,7 +96,7 @@
 	sync_t *sync = &pooler->sync;
 	roster_t *roster;
 
-	if (!restore_is_due(pooler) || sync->restoring || !hold_is_ours(pooler, now))
+	if (!restore_is_due(pooler) || sync->restoring || !leader_is_self(pooler, now))
 		return;
 	sync->restoring = true;
 	roster = roster_copy(NULL, sync->roster);
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -136,7 +136,7 @@
 	line_t *line;	    /* of the same */
 	bool by_open_route; /* its operation needs no key */
 	bool barred;	    /* its key is no customer's any more, or another one's */
-	list_t admission;   /* in allowance_t.waiting */
+	list_t admission;   /* in quota_queue_t.waiting */
 	variables_t variables;
 	list_t prepared;
 	bool has_commit;
@@ -235,7 +235,7 @@
 	size_t count; /* homes in the fleet */
 } homes_t;
 
-/* What the proxies see of a primary; see verdict_count(). */
+/* What the proxies see of a primary; see verdict_count_votes(). */
 typedef struct votes {
 	size_t down;
 	size_t alive;
@@ -298,7 +298,7 @@
 	uint64_t incarnation;
 	usec_t heard_at;
 	int64_t revision; /* of the roster it holds */
-	int64_t fleet;	  /* proxies on it for PERMIT_TOGETHER, as that proxy knows */
+	int64_t fleet;	  /* proxies on it for PERMIT_LEASE_MAX, as that proxy knows */
 	char *down;
 	char *alive;
 	char *failing;
@@ -352,7 +352,8 @@
 	bool changing;	     /* it has a primary that is about to change */
 	usec_t adopted_at;   /* when it came */
 	bool groups_changed; /* by it */
-	usec_t agreed_at;    /* enough proxies knew no newer roster then; see permit_on_agreed() */
+	usec_t agreed_at;    /* enough proxies knew no newer roster then; see
+				permit_update_quorum_confirmed() */
 	usec_t agreed_told;  /* the same, as another proxy knows it */
 	usec_t confirmed_at; /* the store held it when asked at this time; USEC_NEVER: never */
 	bool reading;
--- a/pooler/survey.c
+++ b/pooler/survey.c
@@ -24,7 +24,7 @@
 		list_entry(it, member_t, in_service)->survey_done = false;
 }
 
-bool survey_is_further(position_t a, position_t b)
+bool survey_is_ahead(position_t a, position_t b)
 {
 	return a.term != b.term ? a.term > b.term : a.lsn > b.lsn;
 }
@@ -34,9 +34,9 @@
  * superseded primary that is cut off calls itself primary too: taking it back would bring
  * writes back that were rolled back, and lose those since.
  */
-member_t *survey_leader(const service_t *service, const member_t *old)
+member_t *survey_newer_primary(const service_t *service, const member_t *old)
 {
-	uint64_t term = verdict_group(service)->term;
+	uint64_t term = service_roster_group(service)->term;
 
 	if (old != NULL && old->survey_done && old->status.term > term)
 		term = old->status.term;
@@ -88,7 +88,7 @@
 	return limits != NULL && limits->sync_replicas;
 }
 
-void survey_ask(service_t *service, usec_t now)
+void survey_query_members(service_t *service, usec_t now)
 {
 	if (now < service->change.next_probe)
 		return;
@@ -98,7 +98,7 @@
 
 		/* The store alone may have lost it. */
 		if (!member->gone || (is_sync(service) && log_is_missing(member)))
-			member_ask_status(member);
+			member_query_status(member);
 	}
 }
 
@@ -124,15 +124,15 @@
 {
 	if (a->status.term != b->status.term)
 		return a->status.term > b->status.term;
-	if (survey_is_further(a->status.received, b->status.received))
+	if (survey_is_ahead(a->status.received, b->status.received))
 		return true;
-	if (survey_is_further(b->status.received, a->status.received))
+	if (survey_is_ahead(b->status.received, a->status.received))
 		return false;
 	return stays(a) != stays(b) ? stays(a) : is_healthier(a, b);
 }
 
 /* A member that leaves may be the only one that has the last commits of a synchronous service. */
-member_t *survey_best(const service_t *service, const member_t *old)
+member_t *survey_best_candidate(const service_t *service, const member_t *old)
 {
 	bool sync = is_sync(service);
 	member_t *best = NULL;
@@ -148,7 +148,7 @@
 	return best;
 }
 
-bool survey_is_done(const service_t *service, usec_t now)
+bool survey_is_complete(const service_t *service, usec_t now)
 {
 	usec_t limit = is_sync(service) ? SURVEY_TIME_SYNC : SURVEY_TIME;
 
@@ -174,15 +174,15 @@
 	return missing;
 }
 
-bool survey_holds_acknowledged(const service_t *service, const member_t *best, const member_t *old,
-			       usec_t now)
+bool survey_has_acknowledged_commits(const service_t *service, const member_t *best,
+				     const member_t *old, usec_t now)
 {
 	size_t missing;
 
 	if (!is_sync(service) || now >= service->change.started + SYNC_PATIENCE)
 		return true;
 	if (old != NULL && old->survey_done &&
-	    !survey_is_further(old->status.received, best->status.received))
+	    !survey_is_ahead(old->status.received, best->status.received))
 		return true;
 	/* What the old primary has acknowledged, a replica has too. */
 	missing = count_missing(service);
--- a/pooler/sweep.c
+++ b/pooler/sweep.c
@@ -18,7 +18,7 @@
  */
 #define NODE_SILENT (4 * USEC_PER_SEC)
 /* Marked for so long, it is taken off the roster. */
-#define NODE_REMOVE (2 * PERMIT_TOGETHER)
+#define NODE_REMOVE (2 * PERMIT_LEASE_MAX)
 
 static void on_swept(void *data, const kv_result_t *result)
 {
@@ -52,7 +52,7 @@
 		report->gone_revision = pooler->sync.roster->revision;
 		report->gone_known = 0;
 	}
-	if (report->gone_known == 0 && permit_is_known(pooler, report->gone_revision))
+	if (report->gone_known == 0 && permit_quorum_has_revision(pooler, report->gone_revision))
 		report->gone_known = now;
 	return now < report->gone_seen + NODE_REMOVE ? ENTRY_STAYS : ENTRY_REMOVED;
 }
@@ -67,14 +67,14 @@
 	roster_node(roster, name)->gone = true;
 }
 
-bool sweep_has_ended(const pooler_t *pooler, const peer_report_t *report)
+bool sweep_permission_ended(const pooler_t *pooler, const peer_report_t *report)
 {
 	usec_t now = now_of(pooler);
 
 	if (report->gone_seen == 0)
 		return false;
-	return now >= report->gone_seen + PERMIT_TOGETHER ||
-	       (report->gone_known != 0 && now >= report->gone_known + PERMIT_ALONE);
+	return now >= report->gone_seen + PERMIT_LEASE_MAX ||
+	       (report->gone_known != 0 && now >= report->gone_known + PERMIT_LEASE_TIME);
 }
 
 void sweep_tick(pooler_t *pooler, usec_t now)
--- a/pooler/sweep.h
+++ b/pooler/sweep.h
@@ -9,6 +9,6 @@
 /*
  * True if a proxy that the roster calls gone can't be permitted anything any more: the proxies
  * that may still answer it as if nothing had changed are too few, and its last permission has
- * ended. Else PERMIT_TOGETHER after it was marked.
+ * ended. Else PERMIT_LEASE_MAX after it was marked.
  */
-bool sweep_has_ended(const pooler_t *pooler, const peer_report_t *report);
+bool sweep_permission_ended(const pooler_t *pooler, const peer_report_t *report);
--- a/pooler/sync.c
+++ b/pooler/sync.c
@@ -100,7 +100,7 @@
 		return;
 	/* Two with one token must never promote, however we hear of the other. */
 	if (sync->holding && fence > sync->own_fence)
-		hold_lose(pooler, "another proxy holds it");
+		leader_step_down(pooler, "another proxy holds it");
 	talloc_free(sync->holder);
 	talloc_free(sync->holder_address);
 	sync->holder = talloc_strdup(pooler, name);
@@ -134,7 +134,7 @@
 	if (item == NULL) {
 		/* A read that was sent before we got hold of it proves nothing. */
 		if (sync->holding && asked_at > sync->held_since)
-			hold_lose(pooler, "the store no longer has the key");
+			leader_step_down(pooler, "the store no longer has the key");
 		forget_holder(pooler);
 		return;
 	}
@@ -142,9 +142,9 @@
 	if (json_unpack(value, "{s:s, s:s, s:I}", "name", &name, "address", &address, "incarnation",
 			&incarnation) == 0) {
 		if (strcmp(name, pooler->config.name) == 0) {
-			hold_on_own_key(pooler, (uint64_t)incarnation, (uint64_t)item->created);
+			leader_on_own_key(pooler, (uint64_t)incarnation, (uint64_t)item->created);
 			if ((uint64_t)incarnation < pooler->config.incarnation)
-				hold_end_former(pooler, item->lease);
+				leader_end_former_lease(pooler, item->lease);
 		}
 		sync_set_holder(pooler, name, address, (uint64_t)item->created);
 	}
@@ -250,9 +250,9 @@
 	usec_t most = (upstream_applies(pooler) ? READ_BELOW : READ_OTHERS) + sync->read_jitter;
 
 	if (sync->behind ||
-	    (hold_is_ours(pooler, now) && now >= sync->last_read_ok + READ_HOLDER_MOST))
+	    (leader_is_self(pooler, now) && now >= sync->last_read_ok + READ_HOLDER_MOST))
 		most = 0;
-	else if (hold_is_ours(pooler, now))
+	else if (leader_is_self(pooler, now))
 		most = READ_HOLDER;
 	/* The duty may become vacant: whoever sees that first takes it. */
 	else if (now >= sync->holder_heard + HOLDER_SILENT && !upstream_applies(pooler))
--- a/pooler/verdict.c
+++ b/pooler/verdict.c
@@ -41,7 +41,7 @@
 /* Between two counts of the votes while nobody reports trouble. */
 #define COUNT_INTERVAL (200 * USEC_PER_MSEC)
 
-const char *const verdict_failing = "primary fails statements";
+const char *const verdict_reason_failing = "primary fails statements";
 
 /*
  * From the begin of our hold, for a primary that this process has never heard of: members' entries
@@ -49,12 +49,12 @@
  */
 #define UNLISTED_TIME (3 * USEC_PER_SEC)
 
-roster_group_t *verdict_group(const service_t *service)
+roster_group_t *service_roster_group(const service_t *service)
 {
 	return service->group;
 }
 
-member_t *verdict_primary(const service_t *service)
+member_t *service_roster_primary(const service_t *service)
 {
 	return service->primary;
 }
@@ -109,7 +109,7 @@
 	       (report->failing != NULL && *report->failing != '\0');
 }
 
-void verdict_count(pooler_t *pooler, usec_t now)
+void verdict_count_votes(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 
@@ -251,14 +251,14 @@
 static bool is_doubted(const service_t *service, usec_t now)
 {
 	const member_t *primary =
-		hold_is_ours(service->pooler, now) ? verdict_primary(service) : NULL;
+		leader_is_self(service->pooler, now) ? service_roster_primary(service) : NULL;
 
 	if (primary != NULL)
 		return primary->down;
 	return service->doubted_at != 0 && now < service->doubted_at + DOUBT_VALID;
 }
 
-char *verdict_doubts(const pooler_t *pooler, usec_t now, void *parent)
+char *verdict_suspects(const pooler_t *pooler, usec_t now, void *parent)
 {
 	char *doubts = talloc_strdup(parent, "");
 
@@ -277,10 +277,11 @@
  */
 static bool is_witness(service_t *service, usec_t now)
 {
-	return !home_applies(service) || home_serves(service, now) || home_is_candidate(service);
+	return !home_is_needed(service) || home_holds_conns(service, now) ||
+	       home_self_is_candidate(service);
 }
 
-void verdict_on_doubts(pooler_t *pooler, const char *doubts, usec_t now)
+void verdict_on_suspects(pooler_t *pooler, const char *doubts, usec_t now)
 {
 	const char *word;
 	size_t len;
@@ -294,16 +295,16 @@
 			continue;
 		service->doubted_at = now;
 		active_add_service(service);
-		primary = verdict_primary(service);
+		primary = service_roster_primary(service);
 		if (primary != NULL && !primary->down && is_witness(service, now) &&
 		    now >= primary->last_reply + ALIVE_WITHIN)
 			check_unused(primary, now, DOUBTED_CHECK);
 	}
 }
 
-const char *verdict_reason(const service_t *service, usec_t now)
+const char *verdict_replace_reason(const service_t *service, usec_t now)
 {
-	member_t *primary = verdict_primary(service);
+	member_t *primary = service_roster_primary(service);
 	votes_t votes;
 
 	if (primary == NULL)
@@ -320,7 +321,7 @@
 	if (is_lost(service, primary, votes))
 		return "primary does not answer";
 	if (is_failing(service, votes, now))
-		return verdict_failing;
+		return verdict_reason_failing;
 	if (votes.down != 0)
 		check_unused(primary, now, DOUBTED_CHECK);
 	else if (votes.alive == 0)
--- a/tests/pool_check.c
+++ b/tests/pool_check.c
@@ -24,7 +24,7 @@
 
 bool holds_duty(const pool_world_t *world, size_t node)
 {
-	return hold_is_ours(world->nodes[node].pooler, clock_now(&world->clock.base));
+	return leader_is_self(world->nodes[node].pooler, clock_now(&world->clock.base));
 }
 
 static size_t find_node(const pool_world_t *world, bool holds)
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -574,22 +574,23 @@
 {
 	pool_world_t *world = start_limited(3);
 	pooler_t *pooler = world->nodes[0].pooler;
-	seats_t *seats = seats_create(NULL, pooler);
+	limit_shards_t *seats = limit_shards_create(NULL, pooler);
 	quota_request_t request = {.number = 1, .customer = "ada", .wanted = 1};
 	int64_t successor = pooler->sync.roster->revision + 5;
 
 	request.seat = seat_of_first(world);
-	g_assert_cmpuint(seats_take(seats, &request, now_in(world)).granted, ==, 1);
-	g_assert_true(seats_release(seats, &request, successor).released);
-	g_assert_true(seats_take(seats, &request, now_in(world)).vacant);
+	g_assert_cmpuint(limit_shards_take(seats, &request, now_in(world)).granted, ==, 1);
+	g_assert_true(limit_shards_release(seats, &request, successor).released);
+	g_assert_true(limit_shards_take(seats, &request, now_in(world)).vacant);
 	world_run(world, 5 * SEC);
-	g_assert_true(seats_take(seats, &request, now_in(world)).vacant);
+	g_assert_true(limit_shards_take(seats, &request, now_in(world)).vacant);
 	pooler->sync.roster->revision = successor + 1;
-	g_assert_true(seats_take(seats, &request, now_in(world)).vacant);
+	g_assert_true(limit_shards_take(seats, &request, now_in(world)).vacant);
 	world_run(world, 100 * MSEC);
 	pooler->sync.roster->revision = successor + 1;
 	pooler->sync.confirmed_at = now_in(world) + 3 * SEC;
-	g_assert_cmpuint(seats_take(seats, &request, now_in(world) + 3 * SEC).granted, ==, 1);
+	g_assert_cmpuint(limit_shards_take(seats, &request, now_in(world) + 3 * SEC).granted, ==,
+			 1);
 	talloc_free(seats);
 	world_destroy(world);
 }
--- a/tests/test_pooler_faults.c
+++ b/tests/test_pooler_faults.c
@@ -143,7 +143,7 @@
 			"p%zu: roster %ld, primary %s changing %d, confirmed %.3f, permitted to "
 			"%.3f, store cut %d, peers cut %d, frozen %d, holding %d, holder %s fence %lu, registered %d registering %d reading %d\n",
 			i, (long)pooler->sync.roster->revision, group->primary, group->changing,
-			seconds(pooler->sync.confirmed_at), seconds(permit_end(pooler)),
+			seconds(pooler->sync.confirmed_at), seconds(permit_expires_at(pooler)),
 			play->world->nodes[i].kv.cut, play->world->nodes[i].cut_from_peers,
 			play->world->nodes[i].frozen, pooler->sync.holding,
 			pooler->sync.holder != NULL ? pooler->sync.holder : "none",
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -182,8 +182,8 @@
 
 	world_settle(world);
 	holder = world->nodes[find_holder(world)].pooler;
-	g_assert_true(hold_is_ours(holder, holder->sync.hold_until - 1));
-	g_assert_false(hold_is_ours(holder, holder->sync.hold_until));
+	g_assert_true(leader_is_self(holder, holder->sync.hold_until - 1));
+	g_assert_false(leader_is_self(holder, holder->sync.hold_until));
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_outlier.c
+++ b/tests/test_pooler_outlier.c
@@ -19,12 +19,12 @@
 /* Outcomes 50 ms apart: '+' good, 'r' refused, '-' failed. */
 static void note_all(outlier_t *outlier, const char *evidence, usec_t *now)
 {
-	static const evidence_t kinds[] = {
-		['+'] = EVIDENCE_GOOD, ['r'] = EVIDENCE_REFUSED, ['-'] = EVIDENCE_FAILED};
+	static const statement_outcome_t kinds[] = {
+		['+'] = STATEMENT_GOOD, ['r'] = STATEMENT_REFUSED, ['-'] = STATEMENT_FAILED};
 
 	for (; *evidence != '\0'; evidence++) {
 		*now += 50 * MSEC;
-		outlier_note(outlier, kinds[(unsigned char)*evidence], *now);
+		outlier_record(outlier, kinds[(unsigned char)*evidence], *now);
 	}
 }
 
@@ -38,7 +38,7 @@
 	note_all(&other, others, &now);
 	now = START;
 	note_all(&outlier, own, &now);
-	outlier_count(&other, now, &tally);
+	outlier_count_recent(&other, now, &tally);
 	return outlier_is_worse(&outlier, &tally, now);
 }
 
@@ -66,7 +66,7 @@
 	g_assert_true(outlier_is_failing(&outlier, now));
 	now += 4 * SEC;
 	g_assert_false(outlier_is_failing(&outlier, now));
-	outlier_count(&outlier, now, &tally);
+	outlier_count_recent(&outlier, now, &tally);
 	g_assert_cmpuint(tally.total, ==, 0);
 }
 
@@ -93,18 +93,18 @@
 	outlier_t outlier = {0};
 	usec_t now = START;
 
-	outlier_take_out(&outlier, now);
-	g_assert_false(outlier_takes(&outlier, 0, now));
+	outlier_eject(&outlier, now);
+	g_assert_false(outlier_accepts_read(&outlier, 0, now));
 	now = outlier.out_until;
-	g_assert_true(outlier_takes(&outlier, 0, now));
-	g_assert_false(outlier_takes(&outlier, 1, now));
+	g_assert_true(outlier_accepts_read(&outlier, 0, now));
+	g_assert_false(outlier_accepts_read(&outlier, 1, now));
 	note_all(&outlier, "+-", &now);
 	g_assert_true(outlier.out);
 	g_assert_cmpuint(outlier.out_until, ==, now + 2 * SEC);
 	now = outlier.out_until;
 	note_all(&outlier, "+++", &now);
 	g_assert_false(outlier.out);
-	g_assert_true(outlier_takes(&outlier, 5, now));
+	g_assert_true(outlier_accepts_read(&outlier, 5, now));
 }
 
 /* --- reads --- */
@@ -394,7 +394,7 @@
 static void find_down(pool_world_t *world)
 {
 	for (size_t i = 0; i < 2; i++)
-		member_found_down(member_find(world->nodes[i].pooler, "core-0"), "test");
+		member_mark_down(member_find(world->nodes[i].pooler, "core-0"), "test");
 	for (int i = 0; i < 10; i++) {
 		ask_often(world, "strict", "READ job-1", 3);
 	}
@@ -453,7 +453,7 @@
 	member_t *primary = member_find(pooler, "core-0");
 
 	active_add_service(primary->service);
-	outlier_believe_failing(&primary->outlier, now);
+	outlier_mark_failing(&primary->outlier, now);
 }
 
 /*
@@ -497,7 +497,7 @@
 			pooler_t *pooler = world->nodes[i].pooler;
 
 			find_failing(pooler, now_in(world));
-			outlier_take_out(&member_find(pooler, id)->outlier, now_in(world));
+			outlier_eject(&member_find(pooler, id)->outlier, now_in(world));
 		}
 		world_run(world, 3 * SEC);
 		g_assert_cmpuint(world->promote_count, ==, 1);
@@ -538,7 +538,7 @@
 		member_t *primary = member_find(world->nodes[0].pooler, "core-0");
 
 		for (int j = 0; j < 4; j++)
-			outlier_note(&primary->outlier, EVIDENCE_FAILED, now_in(world));
+			outlier_record(&primary->outlier, STATEMENT_FAILED, now_in(world));
 		ask_often(world, "strict", "WRITE job-1 a", 6);
 	}
 	g_assert_cmpuint(world->promote_count, ==, 0);
--- a/tests/test_pooler_parts.c
+++ b/tests/test_pooler_parts.c
@@ -30,15 +30,16 @@
 	for (uint64_t i = 0; i < 100; i++)
 		freshness_add(&freshness, SEC + i * 50 * MSEC, (position_t){.term = 1, .lsn = i});
 	/* At 6.0 s, 1.5 s back: the sample of 4.5 s. */
-	g_assert_true(freshness_position(&freshness, 6 * SEC, 1500 * MSEC, &sample));
+	g_assert_true(freshness_min_position(&freshness, 6 * SEC, 1500 * MSEC, &sample));
 	g_assert_cmpuint(sample.sent_at, ==, 4500 * MSEC);
 	g_assert_cmpuint(sample.position.lsn, ==, 70);
-	g_assert_false(freshness_position(&freshness, 60 * SEC, 1500 * MSEC, &sample));
-	g_assert_cmpuint(freshness_time_of(&freshness, (position_t){.term = 1, .lsn = 70}), ==,
-			 4500 * MSEC);
-	g_assert_cmpuint(freshness_time_of(&freshness, (position_t){.term = 0, .lsn = 70}), ==, 0);
+	g_assert_false(freshness_min_position(&freshness, 60 * SEC, 1500 * MSEC, &sample));
+	g_assert_cmpuint(freshness_position_time(&freshness, (position_t){.term = 1, .lsn = 70}),
+			 ==, 4500 * MSEC);
+	g_assert_cmpuint(freshness_position_time(&freshness, (position_t){.term = 0, .lsn = 70}),
+			 ==, 0);
 	freshness_reset(&freshness);
-	g_assert_false(freshness_position(&freshness, 6 * SEC, 1500 * MSEC, &sample));
+	g_assert_false(freshness_min_position(&freshness, 6 * SEC, 1500 * MSEC, &sample));
 }
 
 static void test_samples_too_close(void)
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -460,7 +460,7 @@
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = i != holder;
 	fake_kv_revoke(world->kv, "fleet/holder");
-	hold_lose(world->nodes[holder].pooler, "test");
+	leader_step_down(world->nodes[holder].pooler, "test");
 	lost_at = clock_now(&world->clock.base);
 	while (world->promote_count == 0)
 		world_run(world, MSEC);
@@ -500,7 +500,7 @@
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = i != second;
 	fake_kv_revoke(world->kv, "fleet/holder");
-	hold_lose(world->nodes[second].pooler, "test");
+	leader_step_down(world->nodes[second].pooler, "test");
 	while (!holds_duty(world, second))
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
@@ -615,13 +615,13 @@
 
 	world_settle(world);
 	world_run(world, 15 * SEC);
-	g_assert_cmpuint(permit_listed(world->nodes[1].pooler), ==, 4);
+	g_assert_cmpuint(permit_count_listed(world->nodes[1].pooler), ==, 4);
 	world_kill(world, 1);
 	world_start(world, 1);
 	world_run(world, 2 * SEC);
-	g_assert_cmpuint(permit_listed(world->nodes[1].pooler), ==, 0);
+	g_assert_cmpuint(permit_count_listed(world->nodes[1].pooler), ==, 0);
 	world_run(world, 15 * SEC);
-	g_assert_cmpuint(permit_listed(world->nodes[1].pooler), ==, 4);
+	g_assert_cmpuint(permit_count_listed(world->nodes[1].pooler), ==, 4);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_restore.c
+++ b/tests/test_pooler_restore.c
@@ -91,7 +91,7 @@
 	world_kill(world, holder);
 	fake_kv_restore(world->kv);
 	g_assert_true(is_served_by(world, (holder + 1) % world->node_count, leader,
-				   PERMIT_TOGETHER + SETTLED));
+				   PERMIT_LEASE_MAX + SETTLED));
 	world_run(world, SETTLED);
 	g_assert_cmpuint(world_permitted(world, leader), ==, world->node_count - 1);
 	world_destroy(world);
@@ -144,7 +144,7 @@
 	world_start(world, 1);
 	check_copy_unused(world, 1);
 	/* The others, which don't come back, may have used it for this long. */
-	g_assert_true(is_served_by(world, 1, leader, PERMIT_TOGETHER + SETTLED));
+	g_assert_true(is_served_by(world, 1, leader, PERMIT_LEASE_MAX + SETTLED));
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_scale.c
+++ b/tests/test_pooler_scale.c
@@ -59,7 +59,7 @@
 	add_services(pooler, services);
 	began = clock();
 	for (int i = 0; i < LOOKS / services; i++)
-		talloc_free(verdict_doubts(pooler, now_of(pooler), NULL));
+		talloc_free(verdict_suspects(pooler, now_of(pooler), NULL));
 	took = (double)(clock() - began) / CLOCKS_PER_SEC / LOOKS;
 	world_destroy(world);
 	return took;
@@ -89,10 +89,10 @@
 				talloc_asprintf_append(report->alive, "%sorders-replicated-%d",
 						       j != 0 ? " " : "", i * SERVICES_EACH + j);
 	}
-	duty_tick(pooler, now_of(pooler));
+	failover_tick(pooler, now_of(pooler));
 	began = clock();
 	for (int i = 0; i < looks; i++)
-		duty_tick(pooler, now_of(pooler));
+		failover_tick(pooler, now_of(pooler));
 	took = (double)(clock() - began) / CLOCKS_PER_SEC / (looks * services);
 	world_destroy(world);
 	return took;
