--- a/pooler/active.c
+++ b/pooler/active.c
@@ -36,14 +36,14 @@
 
 static bool member_is_active(const member_t *member)
 {
-	return !list_empty(&member->conns) || member->down || member->gone;
+	return !list_empty(&member->conns) || member->down || member->unlisted;
 }
 
 static bool service_is_active(const service_t *service, usec_t now)
 {
 	return now < service->active_until || !list_empty(&service->waiting) ||
 	       service->changing_since != USEC_NEVER || service->change.step != CHANGE_NONE ||
-	       service->change.busy || service->storing;
+	       service->change.write_pending || service->write_in_flight;
 }
 
 static bool member_is_busy(const member_t *member)
--- a/pooler/adopt.c
+++ b/pooler/adopt.c
@@ -52,13 +52,13 @@
 	if (is->fence != pooler->sync.own_fence)
 		pooler->sync.foreign_change = now_of(pooler);
 	if (moved) {
-		service->settled_at = now_of(pooler);
-		service->settled_revision = pooler->sync.roster->revision;
+		service->primary_since = now_of(pooler);
+		service->primary_revision = pooler->sync.roster->revision;
 	}
 	service->changing_since = is->changing ? now_of(pooler) : USEC_NEVER;
 	if (is->changing)
 		active_add_service(service);
-	service->change_end = now_of(pooler) + CHANGE_USUAL_TIME;
+	service->change_expected_end = now_of(pooler) + CHANGE_USUAL_TIME;
 	if (moved || is->changing)
 		revoke(service);
 }
--- a/pooler/ask.c
+++ b/pooler/ask.c
@@ -61,7 +61,7 @@
 	return (sight_t){
 		.down = primary != NULL && primary->down,
 		.alive = primary != NULL && !primary->down &&
-			 primary->last_reply + ALIVE_WITHIN > now,
+			 primary->last_reply_at + ALIVE_WITHIN > now,
 		.failing = primary != NULL && outlier_is_failing(&primary->outlier, now),
 		.in_use = group != NULL && group->changing && permit_is_in_use(service),
 	};
--- a/pooler/conn.c
+++ b/pooler/conn.c
@@ -70,9 +70,9 @@
 	usec_t now = now_of(member->pooler);
 
 	conn->caller->failed_at = member;
-	if (now < member->lost_at + SAME_LOSS)
+	if (now < member->conn_lost_at + SAME_LOSS)
 		return;
-	member->lost_at = now;
+	member->conn_lost_at = now;
 	member_record_outcome(member, STATEMENT_FAILED);
 }
 
@@ -95,7 +95,7 @@
 	conn->link = pooler->env->ops->member_connect(
 		pooler->env, member->address, member->service->name, customer, member->id, conn);
 	if (conn->link == NULL) {
-		member->open_after = now_of(pooler) + REOPEN_AFTER;
+		member->connect_not_before = now_of(pooler) + REOPEN_AFTER;
 		talloc_free(conn);
 		return NULL;
 	}
@@ -142,7 +142,7 @@
 
 	env->ops->member_close(env, conn->link);
 	if (failed_probe) {
-		member->open_after = now_of(member->pooler) + PROBE_INTERVAL;
+		member->connect_not_before = now_of(member->pooler) + PROBE_INTERVAL;
 		member_mark_down(member, reason);
 	}
 	end(conn, reason);
@@ -178,13 +178,13 @@
 
 	if (code == CODE_MISROUTED) {
 		/* Another process has the address now; the list of members will say so. */
-		member->open_after = now + FULL_FOR;
+		member->connect_not_before = now + FULL_FOR;
 		return;
 	}
 	counter_add(&full_total, 1);
 	member_on_reply(member);
-	member->full_until = now + FULL_FOR;
-	member->open_after = now + FULL_RETRY + pooler_random(member->pooler, FULL_RETRY);
+	member->no_borrow_until = now + FULL_FOR;
+	member->connect_not_before = now + FULL_RETRY + pooler_random(member->pooler, FULL_RETRY);
 }
 
 void conn_on_down(conn_t *conn, code_t code, const char *reason)
@@ -199,11 +199,11 @@
 	if (opening && code != CODE_NONE) {
 		on_refused(conn, code);
 	} else if (conn->probe) {
-		member->open_after = now_of(pooler) + PROBE_INTERVAL;
+		member->connect_not_before = now_of(pooler) + PROBE_INTERVAL;
 		member_mark_down(member, reason);
 	} else {
-		member->open_after = now_of(pooler) + (opening ? REOPEN_AFTER : 0) +
-				     pooler_random(pooler, 20000);
+		member->connect_not_before = now_of(pooler) + (opening ? REOPEN_AFTER : 0) +
+					     pooler_random(pooler, 20000);
 		if (conn->state == CONN_RUNNING)
 			note_loss(conn);
 		end(conn, reason);
@@ -436,10 +436,11 @@
 	member->applied_at = now;
 	if (!permit_covers(member, now))
 		return;
-	if (service->fresh_primary == NULL || strcmp(service->fresh_primary, member->id) != 0) {
+	if (service->freshness_primary == NULL ||
+	    strcmp(service->freshness_primary, member->id) != 0) {
 		freshness_reset(service->freshness);
-		talloc_free(service->fresh_primary);
-		service->fresh_primary = talloc_strdup(service, member->id);
+		talloc_free(service->freshness_primary);
+		service->freshness_primary = talloc_strdup(service, member->id);
 	}
 	if (service->freshness == NULL)
 		service->freshness = talloc_zero(service, freshness_t);
@@ -452,7 +453,7 @@
 
 	if (reply->ok && status != NULL) {
 		member->status = *status;
-		member->survey_done = true;
+		member->survey_answered = true;
 	}
 	set_state(conn, CONN_IDLE);
 	if (conn->probe)
--- a/pooler/dispatch.c
+++ b/pooler/dispatch.c
@@ -98,7 +98,7 @@
 
 static usec_t cost_of(const member_t *member, const caller_t *caller, bool primary)
 {
-	usec_t cost = member->response * (1 + member_load(member));
+	usec_t cost = member->response_time * (1 + member_load(member));
 
 	if (strcmp(member->zone, caller->pooler->config.zone) != 0)
 		cost += OTHER_ZONE;
@@ -133,7 +133,7 @@
 /* An idle connection that may give way to one of the caller's customer, or NULL. */
 static conn_t *find_spare(const member_t *member, const caller_t *caller, usec_t now)
 {
-	if (now < member->open_after || member_share(member) == 0)
+	if (now < member->connect_not_before || member_share(member) == 0)
 		return NULL;
 	return conn_spare(member, caller, now >= caller->received_at + TAKE_AFTER);
 }
@@ -305,28 +305,28 @@
 static void on_retry(run_timer_t *timer, usec_t now)
 {
 	(void)now;
-	dispatch_run(list_entry(timer, service_t, retry));
+	dispatch_run(list_entry(timer, service_t, retry_timer));
 }
 
 static void arm_retry(service_t *service, usec_t at)
 {
 	if (at == USEC_NEVER)
 		return;
-	timers_arm(service->pooler->timers, &service->retry, at, on_retry);
+	timers_arm(service->pooler->timers, &service->retry_timer, at, on_retry);
 }
 
 /* How long the members that may serve the caller take of late. */
 static usec_t expected_response(const caller_t *caller, usec_t now)
 {
 	const member_t *primary = permit_primary(caller->service, now);
-	usec_t least = primary != NULL ? primary->response : USEC_NEVER;
+	usec_t least = primary != NULL ? primary->response_time : USEC_NEVER;
 
 	list_for_each (it, &caller->service->members) {
 		const member_t *member = list_entry(it, member_t, in_service);
 
 		if (caller->want == WANT_ANY && member_is_usable(member) &&
-		    member->response < least)
-			least = member->response;
+		    member->response_time < least)
+			least = member->response_time;
 	}
 	return least != USEC_NEVER ? least : 0;
 }
@@ -419,7 +419,8 @@
 	const member_t *primary;
 
 	if (service->changing_since != USEC_NEVER)
-		return service->change_end > now ? service->change_end : now + OVERDUE_CHANGE;
+		return service->change_expected_end > now ? service->change_expected_end
+							  : now + OVERDUE_CHANGE;
 	if (sync->confirmed_at == USEC_NEVER && now < service->pooler->started + FIRST_READ_LONGEST)
 		return now + FIRST_READ_USUAL;
 	if (now >= permit_expires_at(service->pooler))
@@ -430,7 +431,7 @@
 	group = roster_group(sync->roster, service->name);
 	primary = group != NULL ? member_find(service->pooler, group->primary) : NULL;
 	if (primary != NULL && primary->down)
-		return primary->silent_since + DETECTION_USUAL + CHANGE_USUAL_TIME;
+		return primary->suspect_since + DETECTION_USUAL + CHANGE_USUAL_TIME;
 	return USEC_NEVER;
 }
 
--- a/pooler/exchange.c
+++ b/pooler/exchange.c
@@ -101,7 +101,8 @@
 			continue;
 		HASH_FIND(hh, pooler->services_by_name, word, (size_t)(colon - word), service);
 		if (service != NULL && service->changing_since != USEC_NEVER)
-			service->change_end = now + strtoull(colon + 1, NULL, 10) * USEC_PER_MSEC;
+			service->change_expected_end =
+				now + strtoull(colon + 1, NULL, 10) * USEC_PER_MSEC;
 	}
 }
 
--- a/pooler/failover.c
+++ b/pooler/failover.c
@@ -86,8 +86,8 @@
 {
 	talloc_free(service->change.target);
 	service->change = (change_t){.step = CHANGE_NONE};
-	talloc_free(service->wanted.primary);
-	service->wanted.primary = NULL;
+	talloc_free(service->pending_write.primary);
+	service->pending_write.primary = NULL;
 }
 
 void failover_abandon(pooler_t *pooler)
@@ -107,9 +107,9 @@
 	list_for_each (it, &pooler->active_services) {
 		service_t *service = list_entry(it, service_t, active);
 
-		if (service->storing) {
-			service->storing = false;
-			service->change.busy = service->wanted.primary != NULL;
+		if (service->write_in_flight) {
+			service->write_in_flight = false;
+			service->change.write_pending = service->pending_write.primary != NULL;
 		}
 	}
 	failover_tick(pooler, now_of(pooler));
@@ -130,16 +130,16 @@
 	list_for_each (it, &pooler->active_services) {
 		service_t *service = list_entry(it, service_t, active);
 
-		if (service->wanted.primary == NULL)
+		if (service->pending_write.primary == NULL)
 			continue;
 		if (roster == NULL)
 			roster = roster_copy(NULL, pooler->sync.roster);
-		roster_put_group(roster, service->name, service->wanted.primary,
-				 service->wanted.changing, service->wanted.term,
+		roster_put_group(roster, service->name, service->pending_write.primary,
+				 service->pending_write.changing, service->pending_write.term,
 				 pooler->sync.own_fence);
-		talloc_free(service->wanted.primary);
-		service->wanted.primary = NULL;
-		service->storing = true;
+		talloc_free(service->pending_write.primary);
+		service->pending_write.primary = NULL;
+		service->write_in_flight = true;
 	}
 	if (roster == NULL)
 		return;
@@ -152,12 +152,12 @@
 
 static void store_group(service_t *service, const char *primary, bool changing, uint64_t term)
 {
-	service->change.busy = true;
+	service->change.write_pending = true;
 	active_add_service(service);
-	talloc_free(service->wanted.primary);
-	service->wanted.primary = talloc_strdup(service, primary);
-	service->wanted.changing = changing;
-	service->wanted.term = term;
+	talloc_free(service->pending_write.primary);
+	service->pending_write.primary = talloc_strdup(service, primary);
+	service->pending_write.changing = changing;
+	service->pending_write.term = term;
 }
 
 /* Write down who is the primary from now on. */
@@ -178,11 +178,11 @@
 	change_t *change = &service->change;
 
 	change->started = now;
-	change->planned = primary != NULL && !primary->down && !primary->gone;
+	change->planned = primary != NULL && !primary->down && !primary->unlisted;
 	LOG_EVENT(LOG_WARN, "primary is to be replaced", LOG_STR("service", service->name),
 		  LOG_STR("reason", reason),
 		  LOG_STR("member", service_roster_group(service)->primary));
-	change->failing = reason == verdict_reason_failing;
+	change->due_to_failures = reason == verdict_reason_failing;
 	set_step(service, CHANGE_MARKING, now);
 	store_group(service, service_roster_group(service)->primary, true,
 		    service_roster_group(service)->term);
@@ -196,16 +196,16 @@
 {
 	change_t *change = &service->change;
 
-	if (change->busy)
+	if (change->write_pending)
 		return;
 	list_for_each (it, &service->members) {
 		member_t *member = list_entry(it, member_t, in_service);
 
-		if (!member->says_primary || member->gone)
+		if (!member->claims_primary || member->unlisted)
 			continue;
 		if (change->started == 0)
 			change->started = now;
-		if (member->survey_done || now >= change->started + FIRST_TERM_TIME) {
+		if (member->survey_answered || now >= change->started + FIRST_TERM_TIME) {
 			store_group(service, member->id, false, member->status.term);
 		} else if (now >= change->next_probe) {
 			change->next_probe = now + SURVEY_INTERVAL;
@@ -220,7 +220,7 @@
 {
 	if (!is_own)
 		return service->pooler->sync.held_since + SETTLE_TIME;
-	return service->last_call != 0 ? service->last_call + SETTLE_TIME : 0;
+	return service->last_promote_call_at != 0 ? service->last_promote_call_at + SETTLE_TIME : 0;
 }
 
 /*
@@ -234,7 +234,7 @@
 	change_t *change = &service->change;
 	bool is_own;
 
-	if (change->busy)
+	if (change->write_pending)
 		return;
 	if (change->step == CHANGE_NONE)
 		change->started = now;
@@ -242,10 +242,10 @@
 	 * Nobody has called since our own mark: who calls has written to the roster before. But a
 	 * mark of ours on a change that we took up is no proof that its beginner had not called.
 	 */
-	is_own = group->fence == service->pooler->sync.past_fence && !service->taken_up;
-	service->taken_up = !is_own;
-	change->settled_at = settled_at(service, is_own);
-	change->may_have_called = !is_own || service->last_call != 0;
+	is_own = group->fence == service->pooler->sync.past_fence && !service->change_taken_over;
+	service->change_taken_over = !is_own;
+	change->promote_not_before = settled_at(service, is_own);
+	change->may_have_promoted = !is_own || service->last_promote_call_at != 0;
 	set_step(service, CHANGE_MARKING, now);
 	store_group(service, group->primary, true, group->term);
 }
@@ -277,17 +277,17 @@
 		if (change->step == CHANGE_NONE)
 			change->started = now;
 		change->marked_at = now;
-		change->few_since = USEC_NEVER;
+		change->minority_since = USEC_NEVER;
 		change->marked_revision = service->pooler->sync.roster->revision;
 		set_step(service, CHANGE_RELEASING, now);
 		return;
 	}
-	if (change->busy || now < change->quiet_until)
+	if (change->write_pending || now < change->cooldown_until)
 		return;
 	change->step = CHANGE_NONE;
-	change->settled_at = 0;
-	change->may_have_called = false;
-	service->taken_up = false;
+	change->promote_not_before = 0;
+	change->may_have_promoted = false;
+	service->change_taken_over = false;
 	reason = verdict_replace_reason(service, now);
 	if (reason != NULL)
 		start_change(service, reason, now);
@@ -298,8 +298,8 @@
 /* End the change with the primary that it began with. */
 static void keep_primary(service_t *service, const member_t *primary, uint64_t term, usec_t now)
 {
-	service->change.quiet_until = now + QUIET_AFTER_CANCEL;
-	service->change.kept = true;
+	service->change.cooldown_until = now + QUIET_AFTER_CANCEL;
+	service->change.primary_kept = true;
 	commit_primary(service, primary, term, now);
 }
 
@@ -312,10 +312,10 @@
 {
 	change_t *change = &service->change;
 
-	if (change->may_have_called || primary == NULL || primary->down ||
+	if (change->may_have_promoted || primary == NULL || primary->down ||
 	    verdict_replace_reason(service, now) != NULL)
 		return false;
-	if (now < primary->last_reply + ALIVE_WITHIN)
+	if (now < primary->last_reply_at + ALIVE_WITHIN)
 		return true;
 	if (now >= change->next_probe) {
 		change->next_probe = now + SURVEY_INTERVAL;
@@ -364,11 +364,12 @@
 		return;
 	}
 	if (unreleased >= permit_quorum(total))
-		change->few_since = USEC_NEVER;
-	else if (change->few_since == USEC_NEVER)
-		change->few_since = now;
+		change->minority_since = USEC_NEVER;
+	else if (change->minority_since == USEC_NEVER)
+		change->minority_since = now;
 	if (unreleased != 0 && now < change->marked_at + PERMIT_LEASE_MAX &&
-	    (change->few_since == USEC_NEVER || now < change->few_since + PERMIT_LEASE_TIME))
+	    (change->minority_since == USEC_NEVER ||
+	     now < change->minority_since + PERMIT_LEASE_TIME))
 		return;
 	LOG_EVENT(LOG_INFO, "old primary is released", LOG_STR("service", service->name),
 		  LOG_INT("unreleased", (int64_t)unreleased), LOG_INT("proxies", (int64_t)total),
@@ -386,14 +387,14 @@
 	if (change->target == NULL || strcmp(change->target, target->id) != 0) {
 		talloc_free(change->target);
 		change->target = talloc_strdup(service, target->id);
-		change->calls = 0;
+		change->promote_calls = 0;
 	}
-	change->calls++;
-	change->called_at = now;
-	service->last_call = now;
-	change->may_have_called = true;
-	change->target_led = target->status.primary;
-	change->target_term = target->status.term;
+	change->promote_calls++;
+	change->promote_called_at = now;
+	service->last_promote_call_at = now;
+	change->may_have_promoted = true;
+	change->target_was_primary = target->status.primary;
+	change->target_old_term = target->status.term;
 	counter_add(&promotes_total, 1);
 	set_step(service, CHANGE_PROMOTING, now);
 	pooler->env->ops->promote(pooler->env, service->name, target->id, pooler->config.name,
@@ -403,7 +404,7 @@
 /* The old primary leads and has no reason to go. */
 static bool can_stay(const service_t *service, const member_t *old, usec_t now)
 {
-	return old != NULL && old->survey_done && old->status.primary && !old->leaving &&
+	return old != NULL && old->survey_answered && old->status.primary && !old->leaving &&
 	       verdict_replace_reason(service, now) == NULL;
 }
 
@@ -435,7 +436,7 @@
 		return;
 	}
 	stays = can_stay(service, old, now);
-	if (stays && !change->may_have_called) {
+	if (stays && !change->may_have_promoted) {
 		keep_primary(service, old, old->status.term, now);
 		return;
 	}
@@ -447,10 +448,10 @@
 	if (best == NULL)
 		return;
 	/* With the writers stopped, a replica soon has all that an old primary still has. */
-	if (old != NULL && old->survey_done && now < change->step_since + CATCH_UP_TIME &&
+	if (old != NULL && old->survey_answered && now < change->step_since + CATCH_UP_TIME &&
 	    survey_is_ahead(old->status.received, best->status.received))
 		return;
-	if (now < change->settled_at || now < foreign_settled_at(service) ||
+	if (now < change->promote_not_before || now < foreign_settled_at(service) ||
 	    !survey_has_acknowledged_commits(service, best, old, now))
 		return;
 	promote(service, best, now);
@@ -475,7 +476,7 @@
 	}
 	target = member_find(service->pooler, service->change.target);
 	if (target != NULL)
-		target->survey_done = false;
+		target->survey_answered = false;
 	set_step(service, CHANGE_VERIFYING, now);
 }
 
@@ -488,9 +489,9 @@
 {
 	const change_t *change = &service->change;
 
-	if (!target->survey_done || !target->status.primary)
+	if (!target->survey_answered || !target->status.primary)
 		return false;
-	return !change->target_led || target->status.term > change->target_term ||
+	return !change->target_was_primary || target->status.term > change->target_old_term ||
 	       now >= change->step_since + EFFECT_TIME;
 }
 
@@ -499,7 +500,7 @@
 	change_t *change = &service->change;
 	member_t *target = member_find(service->pooler, change->target);
 
-	if (target == NULL || target->gone) {
+	if (target == NULL || target->unlisted) {
 		begin_survey(service, now);
 		return;
 	}
@@ -513,7 +514,7 @@
 	}
 	if (now < change->step_since + LEAD_TIME)
 		return;
-	if (change->calls < CALLS_MAX && !target->down)
+	if (change->promote_calls < CALLS_MAX && !target->down)
 		promote(service, target, now);
 	else
 		begin_survey(service, now);
@@ -523,30 +524,30 @@
 {
 	const roster_group_t *group = service_roster_group(service);
 	change_t *change = &service->change;
-	usec_t quiet = change->quiet_until;
+	usec_t quiet = change->cooldown_until;
 
-	if (change->busy)
+	if (change->write_pending)
 		return;
 	if (group->changing) {
 		store_group(service, change->target, false, change->new_term);
 		return;
 	}
-	if (!change->kept)
+	if (!change->primary_kept)
 		counter_add(&changes_total, 1);
-	LOG_EVENT(LOG_WARN, change->kept ? "primary kept" : "primary replaced",
+	LOG_EVENT(LOG_WARN, change->primary_kept ? "primary kept" : "primary replaced",
 		  LOG_STR("service", service->name), LOG_STR("member", group->primary),
 		  LOG_INT("took_ms", (int64_t)((now - change->started) / USEC_PER_MSEC)),
 		  LOG_INT("roster", service->pooler->sync.roster->revision));
-	if (change->failing && !change->kept)
-		service->failing_until = now + FAILING_PAUSE;
+	if (change->due_to_failures && !change->primary_kept)
+		service->failing_cooldown_until = now + FAILING_PAUSE;
 	clear(service);
-	change->quiet_until = quiet;
+	change->cooldown_until = quiet;
 }
 
 static void step(service_t *service, usec_t now)
 {
 	if (service->change.step != CHANGE_NONE)
-		service->change_end = now + failover_remaining(service, now);
+		service->change_expected_end = now + failover_remaining(service, now);
 	switch (service->change.step) {
 	case CHANGE_NONE:
 	case CHANGE_MARKING:
@@ -608,14 +609,14 @@
 
 	switch (change->step) {
 	case CHANGE_RELEASING:
-		if (change->few_since != USEC_NEVER)
-			end = change->few_since + PERMIT_LEASE_TIME + CHANGE_USUAL_TIME;
+		if (change->minority_since != USEC_NEVER)
+			end = change->minority_since + PERMIT_LEASE_TIME + CHANGE_USUAL_TIME;
 		else
 			end = change->marked_at + PERMIT_LEASE_MAX + CHANGE_USUAL_TIME;
 		break;
 	case CHANGE_PROMOTING:
 	case CHANGE_VERIFYING:
-		end = change->called_at + PROMOTE_USUAL_TIME;
+		end = change->promote_called_at + PROMOTE_USUAL_TIME;
 		break;
 	case CHANGE_COMMITTING:
 		end = now;
--- a/pooler/home.c
+++ b/pooler/home.c
@@ -145,7 +145,7 @@
 /* Our zone's pick if it has a home of the service, else NULL. */
 static const zone_pick_t *find_near(const service_t *service, const zone_pick_t *picks)
 {
-	for (size_t i = 0; i < service->homes.count; i++) {
+	for (size_t i = 0; i < service->homes.fleet_count; i++) {
 		if (strcmp(picks[i].zone, service->pooler->config.zone) == 0)
 			return &picks[i];
 	}
@@ -163,7 +163,7 @@
 	homes->parent = talloc_new(service);
 	homes->nodes_revision = service->pooler->sync.roster->nodes_revision;
 	homes->len = 0;
-	homes->count = count_homes(service, count);
+	homes->fleet_count = count_homes(service, count);
 	/* Our zone's home, and who takes its place; then the homes of the others. */
 	near = find_near(service, picks);
 	if (near != NULL) {
@@ -274,7 +274,7 @@
 
 size_t home_count(service_t *service)
 {
-	return homes_of(service)->count;
+	return homes_of(service)->fleet_count;
 }
 
 /* --- who serves --- */
@@ -316,7 +316,7 @@
 {
 	const roster_node_t *home;
 
-	if (service->served_others != 0 && now < service->served_others + SERVES_FOR)
+	if (service->last_forward_at != 0 && now < service->last_forward_at + SERVES_FOR)
 		return true;
 	home = home_find(service, now);
 	return home != NULL && strcmp(home->name, service->pooler->config.name) == 0;
--- a/pooler/job.c
+++ b/pooler/job.c
@@ -111,7 +111,8 @@
 	const route_t *route = routes_find(caller->pooler->routes, caller->database);
 
 	if (route != NULL)
-		service_get(caller->pooler, route->service)->served_others = now_of(caller->pooler);
+		service_get(caller->pooler, route->service)->last_forward_at =
+			now_of(caller->pooler);
 }
 
 static void run(caller_t *caller, const forward_request_t *request)
--- a/pooler/member.c
+++ b/pooler/member.c
@@ -66,17 +66,17 @@
 static void start_again(member_t *member)
 {
 	LOG_EVENT(LOG_WARN, "member started again", LOG_STR("service", member->service->name),
-		  LOG_STR("member", member->id), LOG_INT("born", member->born));
+		  LOG_STR("member", member->id), LOG_INT("born", member->started_at));
 	while (!list_empty(&member->conns))
 		conn_close(list_entry(member->conns.next, conn_t, node), "member started again");
 	member->applied = (position_t){0};
 	member->applied_at = 0;
 	member->lagged_at = 0;
-	member->full_until = 0;
-	member->open_after = 0;
-	member->response = FIRST_RESPONSE;
+	member->no_borrow_until = 0;
+	member->connect_not_before = 0;
+	member->response_time = FIRST_RESPONSE;
 	member->outlier = (outlier_t){0};
-	member->survey_done = false;
+	member->survey_answered = false;
 	member->status = (member_status_t){0};
 	if (service_roster_primary(member->service) == member)
 		freshness_reset(member->service->freshness);
@@ -85,11 +85,11 @@
 /* False if the entry is of an earlier life. */
 static bool take_born(member_t *member, int64_t born)
 {
-	bool again = born > member->born && member->born != 0;
+	bool again = born > member->started_at && member->started_at != 0;
 
-	if (born < member->born)
+	if (born < member->started_at)
 		return false;
-	member->born = born;
+	member->started_at = born;
 	if (again)
 		start_again(member);
 	return true;
@@ -103,34 +103,34 @@
 		talloc_free(member->address);
 		member->address = talloc_strdup(member, entry->address);
 	}
-	if (member->slots == 0 || member->leaving != entry->leaving || member->gone ||
-	    member->says_primary != entry->primary)
+	if (member->slots == 0 || member->leaving != entry->leaving || member->unlisted ||
+	    member->claims_primary != entry->primary)
 		LOG_EVENT(LOG_INFO, "member listed", LOG_STR("service", member->service->name),
 			  LOG_STR("member", member->id), LOG_INT("leaving", entry->leaving),
 			  LOG_INT("primary", entry->primary));
 	/* Whoever holds the duty looks at its service now, not when the next round comes to it. */
 	if (member->slots != 0 &&
-	    (member->leaving != entry->leaving || member->says_primary != entry->primary))
+	    (member->leaving != entry->leaving || member->claims_primary != entry->primary))
 		active_add_service(member->service);
 	if (!entry->leaving)
 		member->leaving_since = NOT_LEAVING;
 	else if (!member->leaving)
 		member->leaving_since = now_of(member->pooler);
-	if (member->says_primary != entry->primary)
-		member->says_since = now_of(member->pooler);
+	if (member->claims_primary != entry->primary)
+		member->claim_changed_at = now_of(member->pooler);
 	member->leaving = entry->leaving;
-	member->says_primary = entry->primary;
+	member->claims_primary = entry->primary;
 	member->slots = entry->slots;
-	member->gone = false;
+	member->unlisted = false;
 	if (member->leaving)
 		close_unused(member);
 }
 
 void member_set_unlisted(member_t *member)
 {
-	member->gone = true;
+	member->unlisted = true;
 	active_add_member(member);
-	member->gone_since = now_of(member->pooler);
+	member->unlisted_since = now_of(member->pooler);
 	LOG_EVENT(LOG_INFO, "member no longer listed", LOG_STR("service", member->service->name),
 		  LOG_STR("member", member->id));
 	close_unused(member);
@@ -145,8 +145,8 @@
 	member->id = talloc_strdup(member, entry->id);
 	member->address = talloc_strdup(member, entry->address);
 	member->zone = talloc_strdup(member, entry->zone);
-	member->response = FIRST_RESPONSE;
-	member->silent_since = USEC_NEVER;
+	member->response_time = FIRST_RESPONSE;
+	member->suspect_since = USEC_NEVER;
 	member->leaving_since = NOT_LEAVING;
 	list_init(&member->conns);
 	list_init(&member->active);
@@ -167,8 +167,8 @@
 
 void member_on_reply(member_t *member)
 {
-	member->last_reply = now_of(member->pooler);
-	member->silent_since = USEC_NEVER;
+	member->last_reply_at = now_of(member->pooler);
+	member->suspect_since = USEC_NEVER;
 	if (!member->down)
 		return;
 	member->down = false;
@@ -203,13 +203,14 @@
 {
 	usec_t now = now_of(member->pooler);
 
-	if (member->silent_since != USEC_NEVER)
+	if (member->suspect_since != USEC_NEVER)
 		return;
-	member->silent_since = now;
-	LOG_EVENT(LOG_INFO, "member is asked whether it lives",
-		  LOG_STR("service", member->service->name), LOG_STR("member", member->id),
-		  LOG_STR("reason", reason),
-		  LOG_INT("last_reply_ms", (int64_t)((now - member->last_reply) / USEC_PER_MSEC)));
+	member->suspect_since = now;
+	LOG_EVENT(
+		LOG_INFO, "member is asked whether it lives",
+		LOG_STR("service", member->service->name), LOG_STR("member", member->id),
+		LOG_STR("reason", reason),
+		LOG_INT("last_reply_ms", (int64_t)((now - member->last_reply_at) / USEC_PER_MSEC)));
 	member_probe(member);
 }
 
@@ -270,7 +271,7 @@
 {
 	list_for_each_safe (it, &member->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
-		usec_t usual = member->response * OVERDUE_FACTOR + OVERDUE_FLOOR;
+		usec_t usual = member->response_time * OVERDUE_FACTOR + OVERDUE_FLOOR;
 
 		if (conn->state == CONN_ORPHANED && now >= conn->since + ORPHAN_TIME) {
 			if (now >= conn->sent_at + usual + ORPHAN_TIME)
@@ -290,7 +291,8 @@
 
 	if (oldest == NULL)
 		return;
-	if (now >= oldest->sent_at + MEMBER_SILENCE && now >= member->last_reply + MEMBER_SILENCE)
+	if (now >= oldest->sent_at + MEMBER_SILENCE &&
+	    now >= member->last_reply_at + MEMBER_SILENCE)
 		member_suspect(member, "silent");
 	if (now >= oldest->sent_at + CONN_SILENCE) {
 		member_record_outcome(member, STATEMENT_FAILED);
@@ -304,7 +306,7 @@
 
 	if (probe != NULL && now >= probe->since + PROBE_TIMEOUT)
 		conn_close(probe, "probe timed out");
-	else if (probe == NULL && member->down && now >= member->open_after)
+	else if (probe == NULL && member->down && now >= member->connect_not_before)
 		member_probe(member);
 }
 
@@ -341,20 +343,21 @@
 {
 	size_t most = member_share(member);
 
-	if (now < member->open_after)
+	if (now < member->connect_not_before)
 		return false;
 	/* One is enough for a proxy that no home answers: many may be in that state. */
 	if (most == 0)
 		return borrow && member->conn_count == 0;
 	/* Demand differs between proxies, and transactions hold connections while they think. */
-	if (borrow && now >= member->full_until)
+	if (borrow && now >= member->no_borrow_until)
 		most += (size_t)member->service->max_connections / BORROWED_PART;
 	return member->conn_count < most;
 }
 
 void member_record_response_time(member_t *member, usec_t took)
 {
-	member->response = (member->response * (RESPONSE_WEIGHT - 1) + took) / RESPONSE_WEIGHT;
+	member->response_time =
+		(member->response_time * (RESPONSE_WEIGHT - 1) + took) / RESPONSE_WEIGHT;
 }
 
 /* True if one member more may be without reads: half of them carry what is left. */
@@ -367,7 +370,7 @@
 		const member_t *member = list_entry(it, member_t, in_service);
 
 		usable += member_is_usable(member);
-		out += member_is_usable(member) && member->outlier.out;
+		out += member_is_usable(member) && member->outlier.ejected;
 	}
 	return out * 2 <= usable;
 }
@@ -387,7 +390,7 @@
 {
 	tally_t tally = {0};
 
-	if (member->outlier.out || !can_do_without(member->service))
+	if (member->outlier.ejected || !can_do_without(member->service))
 		return;
 	outlier_count_recent(&member->outlier, now, &tally);
 	outlier_eject(&member->outlier, now);
@@ -395,7 +398,7 @@
 		  LOG_STR("member", member->id), LOG_INT("failed", (int64_t)tally.failed),
 		  LOG_INT("refused", (int64_t)tally.refused),
 		  LOG_INT("statements", (int64_t)tally.total),
-		  LOG_INT("for_ms", (int64_t)(member->outlier.out_for / USEC_PER_MSEC)));
+		  LOG_INT("for_ms", (int64_t)(member->outlier.ejection_time / USEC_PER_MSEC)));
 }
 
 void member_mark_down(member_t *member, const char *reason)
@@ -409,21 +412,21 @@
 	outlier_on_down(&member->outlier, now_of(member->pooler));
 }
 
-void member_record_outcome(member_t *member, statement_outcome_t evidence)
+void member_record_outcome(member_t *member, statement_outcome_t outcome)
 {
 	usec_t now = now_of(member->pooler);
-	bool was_out = member->outlier.out;
+	bool was_out = member->outlier.ejected;
 	tally_t others = {0};
 
-	outlier_record(&member->outlier, evidence, now);
+	outlier_record(&member->outlier, outcome, now);
 	if (was_out) {
-		if (!member->outlier.out)
+		if (!member->outlier.ejected)
 			LOG_EVENT(LOG_INFO, "member gets reads again",
 				  LOG_STR("service", member->service->name),
 				  LOG_STR("member", member->id));
 		return;
 	}
-	if (evidence == STATEMENT_GOOD)
+	if (outcome == STATEMENT_GOOD)
 		return;
 	count_others(member, now, &others);
 	if (outlier_is_worse(&member->outlier, &others, now))
@@ -459,5 +462,5 @@
 
 bool member_is_usable(const member_t *member)
 {
-	return !member->gone && !member->leaving && !member->down;
+	return !member->unlisted && !member->leaving && !member->down;
 }
--- a/pooler/member.h
+++ b/pooler/member.h
@@ -68,7 +68,7 @@
 size_t member_load(const member_t *member);
 
 /* A statement sent to the member has ended so; may take it out of use for reads. */
-void member_record_outcome(member_t *member, statement_outcome_t evidence);
+void member_record_outcome(member_t *member, statement_outcome_t outcome);
 
 /* Usable for new work. */
 bool member_is_usable(const member_t *member);
--- a/pooler/metrics.c
+++ b/pooler/metrics.c
@@ -71,7 +71,7 @@
 
 static double response(const member_t *member)
 {
-	return seconds(member->response);
+	return seconds(member->response_time);
 }
 
 static double down(const member_t *member)
--- a/pooler/outlier.c
+++ b/pooler/outlier.c
@@ -56,11 +56,11 @@
 void outlier_count_recent(const outlier_t *outlier, usec_t now, tally_t *tally)
 {
 	for (size_t i = 0; i < OUTLIER_WINDOW; i++) {
-		if (outlier->last[i].at == 0 || outlier->last[i].at + EVIDENCE_AGE < now)
+		if (outlier->recent[i].at == 0 || outlier->recent[i].at + EVIDENCE_AGE < now)
 			continue;
 		tally->total++;
-		tally->refused += outlier->last[i].evidence == STATEMENT_REFUSED;
-		tally->failed += outlier->last[i].evidence == STATEMENT_FAILED;
+		tally->refused += outlier->recent[i].outcome == STATEMENT_REFUSED;
+		tally->failed += outlier->recent[i].outcome == STATEMENT_FAILED;
 	}
 }
 
@@ -69,53 +69,54 @@
 	outlier->failing_until = now + FAILING_HELD;
 }
 
-static void sum_up(outlier_t *outlier, statement_outcome_t evidence, usec_t now)
+static void sum_up(outlier_t *outlier, statement_outcome_t outcome, usec_t now)
 {
-	if (evidence == STATEMENT_GOOD) {
-		outlier->sum -= outlier->sum < FAILING_DOWN ? outlier->sum : FAILING_DOWN;
+	if (outcome == STATEMENT_GOOD) {
+		outlier->failure_sum -=
+			outlier->failure_sum < FAILING_DOWN ? outlier->failure_sum : FAILING_DOWN;
 		return;
 	}
-	if (outlier->sum == 0 || now >= outlier->bad_at + FAILING_FORGET) {
-		outlier->sum = 0;
-		outlier->bad_since = now;
+	if (outlier->failure_sum == 0 || now >= outlier->last_failure_at + FAILING_FORGET) {
+		outlier->failure_sum = 0;
+		outlier->failures_since = now;
 	}
-	outlier->bad_at = now;
-	outlier->sum += FAILING_UP;
-	if (outlier->sum > 2 * FAILING_SUM)
-		outlier->sum = 2 * FAILING_SUM;
-	if (outlier->sum >= FAILING_SUM && now >= outlier->bad_since + FAILING_LASTS)
+	outlier->last_failure_at = now;
+	outlier->failure_sum += FAILING_UP;
+	if (outlier->failure_sum > 2 * FAILING_SUM)
+		outlier->failure_sum = 2 * FAILING_SUM;
+	if (outlier->failure_sum >= FAILING_SUM && now >= outlier->failures_since + FAILING_LASTS)
 		outlier_mark_failing(outlier, now);
 }
 
 static void forget(outlier_t *outlier)
 {
 	for (size_t i = 0; i < OUTLIER_WINDOW; i++)
-		outlier->last[i].at = 0;
+		outlier->recent[i].at = 0;
 }
 
 /* A statement while it is out and its time is over: a trial. */
-static void on_trial(outlier_t *outlier, statement_outcome_t evidence, usec_t now)
+static void on_trial(outlier_t *outlier, statement_outcome_t outcome, usec_t now)
 {
-	if (evidence != STATEMENT_GOOD) {
+	if (outcome != STATEMENT_GOOD) {
 		outlier_eject(outlier, now);
 		return;
 	}
-	outlier->trials--;
-	if (outlier->trials != 0)
+	outlier->trials_left--;
+	if (outlier->trials_left != 0)
 		return;
-	outlier->out = false;
+	outlier->ejected = false;
 	forget(outlier);
 }
 
-void outlier_record(outlier_t *outlier, statement_outcome_t evidence, usec_t now)
+void outlier_record(outlier_t *outlier, statement_outcome_t outcome, usec_t now)
 {
-	outlier->last[outlier->next].at = now;
-	outlier->last[outlier->next].evidence = evidence;
+	outlier->recent[outlier->next].at = now;
+	outlier->recent[outlier->next].outcome = outcome;
 	outlier->next = (outlier->next + 1) % OUTLIER_WINDOW;
-	sum_up(outlier, evidence, now);
+	sum_up(outlier, outcome, now);
 	/* What was sent before it was taken out is no trial. */
-	if (outlier->out && now >= outlier->out_until)
-		on_trial(outlier, evidence, now);
+	if (outlier->ejected && now >= outlier->ejected_until)
+		on_trial(outlier, outcome, now);
 }
 
 void outlier_on_down(outlier_t *outlier, usec_t now)
@@ -141,19 +142,20 @@
 
 void outlier_eject(outlier_t *outlier, usec_t now)
 {
-	if (outlier->out_for == 0 || (!outlier->out && now >= outlier->out_until + OUT_FORGET))
-		outlier->out_for = OUT_FIRST;
-	else if (outlier->out_for < OUT_MOST)
-		outlier->out_for *= 2;
-	outlier->out = true;
-	outlier->out_until = now + outlier->out_for;
-	outlier->trials = TRIALS;
+	if (outlier->ejection_time == 0 ||
+	    (!outlier->ejected && now >= outlier->ejected_until + OUT_FORGET))
+		outlier->ejection_time = OUT_FIRST;
+	else if (outlier->ejection_time < OUT_MOST)
+		outlier->ejection_time *= 2;
+	outlier->ejected = true;
+	outlier->ejected_until = now + outlier->ejection_time;
+	outlier->trials_left = TRIALS;
 	counter_add(&out_total, 1);
 }
 
 bool outlier_accepts_read(const outlier_t *outlier, size_t load, usec_t now)
 {
-	return !outlier->out || (now >= outlier->out_until && load == 0);
+	return !outlier->ejected || (now >= outlier->ejected_until && load == 0);
 }
 
 bool outlier_is_failing(const outlier_t *outlier, usec_t now)
--- a/pooler/outlier.h
+++ b/pooler/outlier.h
@@ -31,18 +31,18 @@
 typedef struct outlier {
 	struct {
 		usec_t at; /* 0: none */
-		statement_outcome_t evidence;
-	} last[OUTLIER_WINDOW];
+		statement_outcome_t outcome;
+	} recent[OUTLIER_WINDOW];
 	size_t next;
-	bool out;	      /* it gets no reads, or only trials */
-	usec_t out_until;     /* then it is tried */
-	usec_t out_for;	      /* how long it is out this time */
-	unsigned trials;      /* that must still go well */
-	unsigned sum;	      /* of what went wrong; see FAILING_SUM */
-	usec_t bad_since;     /* when the sum last left zero */
-	usec_t bad_at;	      /* when something last went wrong */
-	usec_t failing_until; /* it is believed to fail until then */
-	usec_t down_at;	      /* when it was last found down; 0: never */
+	bool ejected;		/* it gets no reads, or only trials */
+	usec_t ejected_until;	/* then it is tried */
+	usec_t ejection_time;	/* how long it is out this time */
+	unsigned trials_left;	/* that must still go well */
+	unsigned failure_sum;	/* of what went wrong; see FAILING_SUM */
+	usec_t failures_since;	/* when the sum last left zero */
+	usec_t last_failure_at; /* when something last went wrong */
+	usec_t failing_until;	/* it is believed to fail until then */
+	usec_t down_at;		/* when it was last found down; 0: never */
 } outlier_t;
 
 /* Outcomes of late, by kind. */
@@ -53,7 +53,7 @@
 } tally_t;
 
 /* A statement at the member has ended so. */
-void outlier_record(outlier_t *outlier, statement_outcome_t evidence, usec_t now);
+void outlier_record(outlier_t *outlier, statement_outcome_t outcome, usec_t now);
 
 /* For FAILING_HELD from now on outlier_is_failing() is true. */
 void outlier_mark_failing(outlier_t *outlier, usec_t now);
--- a/pooler/pooler.c
+++ b/pooler/pooler.c
@@ -114,12 +114,12 @@
 {
 	line_t *line;
 
-	HASH_FIND_STR(service->lines, customer, line);
+	HASH_FIND_STR(service->customer_pools, customer, line);
 	if (line != NULL)
 		return line;
 	line = talloc_zero(service, line_t);
 	line->customer = talloc_strdup(line, customer);
-	HASH_ADD_KEYPTR(hh, service->lines, line->customer, strlen(customer), line);
+	HASH_ADD_KEYPTR(hh, service->customer_pools, line->customer, strlen(customer), line);
 	return line;
 }
 
@@ -177,8 +177,8 @@
 		member_t *member = list_entry(it, member_t, active);
 
 		member_tick(member, now);
-		if (member->gone && list_empty(&member->conns) &&
-		    now >= member->gone_since + FORGET_MEMBER)
+		if (member->unlisted && list_empty(&member->conns) &&
+		    now >= member->unlisted_since + FORGET_MEMBER)
 			forget_member(pooler, member);
 	}
 }
@@ -332,8 +332,8 @@
 	list_for_each (it, &pooler->services) {
 		service_t *service = list_entry(it, service_t, node);
 
-		timers_cancel(pooler->timers, &service->retry);
-		HASH_CLEAR(hh, service->lines);
+		timers_cancel(pooler->timers, &service->retry_timer);
+		HASH_CLEAR(hh, service->customer_pools);
 	}
 	quota_destroy(pooler->quota);
 	list_for_each (it, &pooler->callers)
@@ -504,7 +504,7 @@
 {
 	member_t *member = member_find(pooler, id);
 
-	if (member == NULL || member->gone)
+	if (member == NULL || member->unlisted)
 		return;
 	pooler->members_digest ^= refresh_member_digest(member);
 	member_set_unlisted(member);
@@ -526,11 +526,11 @@
 {
 	return json_pack("{s:s, s:s, s:s, s:b, s:b, s:b, s:b, s:i, s:i, s:I, s:I}", "id",
 			 member->id, "address", member->address, "zone", member->zone, "leaving",
-			 member->leaving, "gone", member->gone, "down", member->down,
-			 "says_primary", member->says_primary, "connections",
+			 member->leaving, "gone", member->unlisted, "down", member->down,
+			 "says_primary", member->claims_primary, "connections",
 			 (int)member->conn_count, "load", (int)member_load(member), "response_usec",
-			 (json_int_t)member->response, "last_reply_ms",
-			 (json_int_t)((now - member->last_reply) / USEC_PER_MSEC));
+			 (json_int_t)member->response_time, "last_reply_ms",
+			 (json_int_t)((now - member->last_reply_at) / USEC_PER_MSEC));
 }
 
 static json_t *dump_service(const service_t *service, usec_t now)
--- a/pooler/refresh.c
+++ b/pooler/refresh.c
@@ -58,7 +58,7 @@
 
 uint64_t refresh_member_digest(const member_t *member)
 {
-	return member->gone ? 0 : XXH64(member->id, strlen(member->id), member->leaving);
+	return member->unlisted ? 0 : XXH64(member->id, strlen(member->id), member->leaving);
 }
 
 uint64_t refresh_members_digest(const pooler_t *pooler)
--- a/pooler/report.c
+++ b/pooler/report.c
@@ -85,20 +85,21 @@
 	if (took <= caller->objective)
 		return;
 	counter_add(&late_total, 1);
-	LOG_EVENT(LOG_INFO, "statement served late",
-		  LOG_SLICE("request", caller->statement.id.at, caller->statement.id.len),
-		  LOG_STR("database", caller->database), LOG_STR("service", caller->service->name),
-		  LOG_STR("customer", caller->customer != NULL ? caller->customer : ""),
-		  LOG_INT("took_ms", took / USEC_PER_MSEC),
-		  LOG_INT("waited_ms", msec_since(caller->placed_at, caller->received_at)),
-		  LOG_INT("ran_ms",
-			  msec_since(now, conn != NULL ? conn->sent_at : caller->forwarded_at)),
-		  LOG_INT("attempts", caller->attempts),
-		  LOG_STR("member", conn != NULL ? conn->member->id : ""),
-		  LOG_INT("member_usual_ms",
-			  conn != NULL ? (int64_t)(conn->member->response / USEC_PER_MSEC) : -1),
-		  LOG_STR("helper", caller->helper != NULL ? caller->helper : ""),
-		  LOG_INT("waiting", list_length(&caller->service->waiting)));
+	LOG_EVENT(
+		LOG_INFO, "statement served late",
+		LOG_SLICE("request", caller->statement.id.at, caller->statement.id.len),
+		LOG_STR("database", caller->database), LOG_STR("service", caller->service->name),
+		LOG_STR("customer", caller->customer != NULL ? caller->customer : ""),
+		LOG_INT("took_ms", took / USEC_PER_MSEC),
+		LOG_INT("waited_ms", msec_since(caller->placed_at, caller->received_at)),
+		LOG_INT("ran_ms",
+			msec_since(now, conn != NULL ? conn->sent_at : caller->forwarded_at)),
+		LOG_INT("attempts", caller->attempts),
+		LOG_STR("member", conn != NULL ? conn->member->id : ""),
+		LOG_INT("member_usual_ms",
+			conn != NULL ? (int64_t)(conn->member->response_time / USEC_PER_MSEC) : -1),
+		LOG_STR("helper", caller->helper != NULL ? caller->helper : ""),
+		LOG_INT("waiting", list_length(&caller->service->waiting)));
 }
 
 static counter_t *counter_of(code_t code)
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -24,7 +24,7 @@
  * line each and never serve another's statements.
  */
 typedef struct line {
-	UT_hash_handle hh; /* in service_t.lines */
+	UT_hash_handle hh; /* in service_t.customer_pools */
 	char *customer;
 	size_t waiting; /* callers in service_t.waiting */
 } line_t;
@@ -84,30 +84,31 @@
 	int64_t slots;
 	bool leaving;
 	usec_t leaving_since; /* USEC_NEVER less a margin while it is not leaving */
-	bool gone;	      /* not listed any more */
-	usec_t gone_since;
-	int64_t born; /* of its process, as it says; 0: not told */
-	bool says_primary;
-	usec_t says_since; /* when says_primary was last heard to change */
+	bool unlisted;	      /* not listed any more */
+	usec_t unlisted_since;
+	int64_t started_at; /* of its process, as it says; 0: not told */
+	bool claims_primary;
+	usec_t claim_changed_at; /* when says_primary was last heard to change */
 	list_t conns;
-	size_t conn_count; /* without probes */
-	usec_t full_until; /* the member refused a connection; no more than our share until then */
-	usec_t open_after; /* back-off after a failed connection */
+	size_t conn_count;	   /* without probes */
+	usec_t no_borrow_until;	   /* the member refused a connection; no more than our share until
+				      then */
+	usec_t connect_not_before; /* back-off after a failed connection */
 	/* Health by what we see ourselves. */
-	usec_t last_reply;
-	usec_t silent_since; /* oldest sign of failure without a reply since; USEC_NEVER: none */
-	bool down;	     /* it was asked again and did not answer */
+	usec_t last_reply_at;
+	usec_t suspect_since; /* oldest sign of failure without a reply since; USEC_NEVER: none */
+	bool down;	      /* it was asked again and did not answer */
 	conn_t *probe_conn;
 	/* Placement of reads. */
-	usec_t response;    /* smoothed time from sending a statement to its reply */
-	position_t applied; /* of its log, by its last reply */
-	usec_t applied_at;  /* when that came */
-	usec_t lagged_at;   /* when it last lacked a position */
+	usec_t response_time; /* smoothed time from sending a statement to its reply */
+	position_t applied;   /* of its log, by its last reply */
+	usec_t applied_at;    /* when that came */
+	usec_t lagged_at;     /* when it last lacked a position */
 	outlier_t outlier;
-	usec_t lost_at; /* when a connection last broke under a statement */
+	usec_t conn_lost_at; /* when a connection last broke under a statement */
 	/* Survey by the holder of the duty. */
-	bool survey_done;
-	usec_t checked_at; /* though nobody used it */
+	bool survey_answered;
+	usec_t unused_probed_at; /* though nobody used it */
 	member_status_t status;
 } member_t;
 
@@ -204,23 +205,24 @@
 	change_step_t step;
 	usec_t started;
 	usec_t step_since;
-	bool busy;    /* a call to the store is under way */
-	bool planned; /* the old primary still answers */
+	bool write_pending; /* a call to the store is under way */
+	bool planned;	    /* the old primary still answers */
 	int64_t marked_revision;
 	usec_t marked_at;
-	usec_t few_since; /* when too few were left to prolong their permission together */
+	usec_t minority_since; /* when too few were left to prolong their permission together */
 	char *target;
-	uint64_t new_term; /* that the target leads */
-	usec_t settled_at; /* before that an earlier holder's call may arrive; 0: there is none */
-	bool may_have_called; /* a call to promote may have taken effect, now or later */
-	bool target_led;      /* before the call the target called itself primary already */
-	uint64_t target_term; /* its term then */
+	uint64_t new_term;	   /* that the target leads */
+	usec_t promote_not_before; /* before that an earlier holder's call may arrive; 0: there is
+				      none */
+	bool may_have_promoted;	   /* a call to promote may have taken effect, now or later */
+	bool target_was_primary;   /* before the call the target called itself primary already */
+	uint64_t target_old_term;  /* its term then */
 	usec_t next_probe;
-	usec_t called_at;
-	unsigned calls;
-	usec_t quiet_until; /* after a change that came to nothing */
-	bool kept;	    /* the primary was kept */
-	bool failing;	    /* it began since the primary fails statements */
+	usec_t promote_called_at;
+	unsigned promote_calls;
+	usec_t cooldown_until; /* after a change that came to nothing */
+	bool primary_kept;     /* the primary was kept */
+	bool due_to_failures;  /* it began since the primary fails statements */
 } change_t;
 
 /* Candidates kept for each service: two in our zone, and the homes of two others. */
@@ -231,8 +233,8 @@
 	void *parent;		/* of the names; NULL: not worked out yet */
 	int64_t nodes_revision; /* of the roster's proxies that it follows from */
 	const char *names[HOME_CANDIDATES];
-	size_t len;   /* of names */
-	size_t count; /* homes in the fleet */
+	size_t len;	    /* of names */
+	size_t fleet_count; /* homes in the fleet */
 } homes_t;
 
 /* What the proxies see of a primary; see verdict_count_votes(). */
@@ -240,7 +242,7 @@
 	size_t down;
 	size_t alive;
 	size_t failing; /* it answers, and fails a good part of the statements */
-	size_t well;	/* alive, and does not */
+	size_t healthy; /* alive, and does not */
 } votes_t;
 
 typedef struct service {
@@ -253,34 +255,34 @@
 	int64_t max_connections;
 	list_t members;
 	/* What the roster in use says, kept since every tick and message looks at all services. */
-	roster_group_t *group;	/* NULL: nothing */
-	struct member *primary; /* that it names; NULL: none, or it is not listed */
-	line_t *lines;		/* by customer */
-	list_t waiting;		/* caller_t.waiting, by priority, then by arrival */
-	run_timer_t retry;	/* first attempt that is put off */
+	roster_group_t *group;	 /* NULL: nothing */
+	struct member *primary;	 /* that it names; NULL: none, or it is not listed */
+	line_t *customer_pools;	 /* by customer */
+	list_t waiting;		 /* caller_t.waiting, by priority, then by arrival */
+	run_timer_t retry_timer; /* first attempt that is put off */
 	bool dispatching;
 	bool dispatch_again;
-	freshness_t *freshness;	  /* NULL: no sample was taken yet */
-	char *fresh_primary;	  /* the samples were taken there */
-	usec_t changing_since;	  /* as the roster told; USEC_NEVER: not changing */
-	usec_t change_end;	  /* when the change is expected to be over */
-	usec_t settled_at;	  /* when the roster last named another primary */
-	int64_t settled_revision; /* of that roster */
+	freshness_t *freshness;	    /* NULL: no sample was taken yet */
+	char *freshness_primary;    /* the samples were taken there */
+	usec_t changing_since;	    /* as the roster told; USEC_NEVER: not changing */
+	usec_t change_expected_end; /* when the change is expected to be over */
+	usec_t primary_since;	    /* when the roster last named another primary */
+	int64_t primary_revision;   /* of that roster */
 	change_t change;
 	homes_t homes;
 	struct {
 		char *primary; /* NULL: nothing */
 		bool changing;
 		uint64_t term;
-	} wanted;	  /* to be written to the roster */
-	bool storing;	  /* a write with it is under way */
-	votes_t reported; /* by other proxies, in the count of that number */
-	uint64_t reported_in;
-	usec_t doubted_at;    /* when the holder last said that its primary does not answer */
-	usec_t served_others; /* when a statement of another proxy last came; 0: never */
-	bool taken_up;	      /* the change under way was begun by another proxy */
-	usec_t last_call;     /* to promote, by this process; 0: none */
-	usec_t failing_until; /* a primary that fails statements is kept until then */
+	} pending_write;	/* to be written to the roster */
+	bool write_in_flight;	/* a write with it is under way */
+	votes_t reported_votes; /* by other proxies, in the count of that number */
+	uint64_t reported_votes_round;
+	usec_t suspected_at;	/* when the holder last said that its primary does not answer */
+	usec_t last_forward_at; /* when a statement of another proxy last came; 0: never */
+	bool change_taken_over; /* the change under way was begun by another proxy */
+	usec_t last_promote_call_at;   /* to promote, by this process; 0: none */
+	usec_t failing_cooldown_until; /* a primary that fails statements is kept until then */
 } service_t;
 
 /* --- the fleet --- */
--- a/pooler/survey.c
+++ b/pooler/survey.c
@@ -21,7 +21,7 @@
 void survey_begin(service_t *service)
 {
 	list_for_each (it, &service->members)
-		list_entry(it, member_t, in_service)->survey_done = false;
+		list_entry(it, member_t, in_service)->survey_answered = false;
 }
 
 bool survey_is_ahead(position_t a, position_t b)
@@ -38,12 +38,12 @@
 {
 	uint64_t term = service_roster_group(service)->term;
 
-	if (old != NULL && old->survey_done && old->status.term > term)
+	if (old != NULL && old->survey_answered && old->status.term > term)
 		term = old->status.term;
 	list_for_each (it, &service->members) {
 		member_t *member = list_entry(it, member_t, in_service);
 
-		if (member->survey_done && member->status.primary && term != 0 &&
+		if (member->survey_answered && member->status.primary && term != 0 &&
 		    member->status.term > term)
 			return member;
 	}
@@ -55,7 +55,7 @@
 	list_for_each (it, &service->members) {
 		const member_t *member = list_entry(it, member_t, in_service);
 
-		if (!member->gone && !member->down && !member->survey_done)
+		if (!member->unlisted && !member->down && !member->survey_answered)
 			return false;
 	}
 	return true;
@@ -67,7 +67,8 @@
 	list_for_each (it, &member->service->members) {
 		const member_t *other = list_entry(it, member_t, in_service);
 
-		if (other != member && !other->gone && strcmp(other->address, member->address) == 0)
+		if (other != member && !other->unlisted &&
+		    strcmp(other->address, member->address) == 0)
 			return true;
 	}
 	return false;
@@ -76,7 +77,7 @@
 /* True if nobody else has the log of a member that is not listed any more. */
 static bool log_is_missing(const member_t *member)
 {
-	return member->gone && !member->leaving && !is_back(member);
+	return member->unlisted && !member->leaving && !is_back(member);
 }
 
 static bool is_sync(const service_t *service)
@@ -97,7 +98,7 @@
 		member_t *member = list_entry(it, member_t, in_service);
 
 		/* The store alone may have lost it. */
-		if (!member->gone || (is_sync(service) && log_is_missing(member)))
+		if (!member->unlisted || (is_sync(service) && log_is_missing(member)))
 			member_query_status(member);
 	}
 }
@@ -105,7 +106,7 @@
 /* True if the member is to stay. */
 static bool stays(const member_t *member)
 {
-	return !member->gone && !member->leaving;
+	return !member->unlisted && !member->leaving;
 }
 
 /*
@@ -114,9 +115,9 @@
  */
 static bool is_healthier(const member_t *a, const member_t *b)
 {
-	if (a->outlier.out != b->outlier.out)
-		return b->outlier.out;
-	return a->response * FAR_QUICKER <= b->response;
+	if (a->outlier.ejected != b->outlier.ejected)
+		return b->outlier.ejected;
+	return a->response_time * FAR_QUICKER <= b->response_time;
 }
 
 /* Furthest in the newest term; a member that missed a change has an older term. */
@@ -140,7 +141,7 @@
 	list_for_each (it, &service->members) {
 		member_t *member = list_entry(it, member_t, in_service);
 
-		if (member == old || !member->survey_done || (!sync && !stays(member)))
+		if (member == old || !member->survey_answered || (!sync && !stays(member)))
 			continue;
 		if (best == NULL || is_better(member, best))
 			best = member;
@@ -158,7 +159,7 @@
 /* True if the member has not answered, and may have what nobody else has. */
 static bool is_missing(const member_t *member)
 {
-	return !member->survey_done && (!member->gone || log_is_missing(member));
+	return !member->survey_answered && (!member->unlisted || log_is_missing(member));
 }
 
 /* Members, the old primary included. */
@@ -181,7 +182,7 @@
 
 	if (!is_sync(service) || now >= service->change.started + SYNC_PATIENCE)
 		return true;
-	if (old != NULL && old->survey_done &&
+	if (old != NULL && old->survey_answered &&
 	    !survey_is_ahead(old->status.received, best->status.received))
 		return true;
 	/* What the old primary has acknowledged, a replica has too. */
--- a/pooler/verdict.c
+++ b/pooler/verdict.c
@@ -65,20 +65,20 @@
 {
 	(void)report;
 	active_add_service(service);
-	service->reported.down++;
+	service->reported_votes.down++;
 }
 
 static void add_alive(service_t *service, const peer_report_t *report)
 {
-	service->reported.alive++;
-	service->reported.well += !exchange_lists(report->failing, service->name);
+	service->reported_votes.alive++;
+	service->reported_votes.healthy += !exchange_lists(report->failing, service->name);
 }
 
 static void add_failing(service_t *service, const peer_report_t *report)
 {
 	(void)report;
 	active_add_service(service);
-	service->reported.failing++;
+	service->reported_votes.failing++;
 }
 
 /* Adds a vote to each service that the list names, if the report is not of an earlier primary. */
@@ -93,11 +93,11 @@
 
 		HASH_FIND(hh, pooler->services_by_name, word, len, service);
 		/* A proxy that did not know this primary yet spoke of the one before. */
-		if (service == NULL || report->revision < service->settled_revision)
+		if (service == NULL || report->revision < service->primary_revision)
 			continue;
-		if (service->reported_in != pooler->sync.votes_count) {
-			service->reported_in = pooler->sync.votes_count;
-			service->reported = (votes_t){0};
+		if (service->reported_votes_round != pooler->sync.votes_count) {
+			service->reported_votes_round = pooler->sync.votes_count;
+			service->reported_votes = (votes_t){0};
 		}
 		add(service, report);
 	}
@@ -136,14 +136,14 @@
 {
 	votes_t votes = {0};
 	bool failing = outlier_is_failing(&primary->outlier, now);
-	bool alive = !primary->down && primary->last_reply + ALIVE_WITHIN > now;
+	bool alive = !primary->down && primary->last_reply_at + ALIVE_WITHIN > now;
 
-	if (service->reported_in == service->pooler->sync.votes_count)
-		votes = service->reported;
+	if (service->reported_votes_round == service->pooler->sync.votes_count)
+		votes = service->reported_votes;
 	votes.down += primary->down;
 	votes.alive += alive;
 	votes.failing += failing;
-	votes.well += alive && !failing;
+	votes.healthy += alive && !failing;
 	return votes;
 }
 
@@ -156,8 +156,8 @@
 	list_for_each (it, &service->members) {
 		const member_t *member = list_entry(it, member_t, in_service);
 
-		if (member != primary && member->says_primary && !member->gone &&
-		    member->says_since > service->settled_at + LIST_LAG)
+		if (member != primary && member->claims_primary && !member->unlisted &&
+		    member->claim_changed_at > service->primary_since + LIST_LAG)
 			return true;
 	}
 	return false;
@@ -196,14 +196,14 @@
  */
 static bool is_failing(const service_t *service, votes_t votes, usec_t now)
 {
-	if (service->change.step == CHANGE_NONE && now < service->failing_until)
+	if (service->change.step == CHANGE_NONE && now < service->failing_cooldown_until)
 		return false;
 	/* Once its change has begun it gets no statements, so fewer and fewer see it fail. */
-	if (service->change.step != CHANGE_NONE && service->change.failing)
+	if (service->change.step != CHANGE_NONE && service->change.due_to_failures)
 		return votes.failing != 0;
 	if (votes.failing < WITNESSES_LEAST && others_live(service->pooler))
 		return false;
-	return votes.failing > votes.well;
+	return votes.failing > votes.healthy;
 }
 
 /*
@@ -212,9 +212,9 @@
  */
 static void check_unused(member_t *primary, usec_t now, usec_t interval)
 {
-	if (now < primary->checked_at + interval)
+	if (now < primary->unused_probed_at + interval)
 		return;
-	primary->checked_at = now;
+	primary->unused_probed_at = now;
 	member_probe(primary);
 }
 
@@ -244,7 +244,7 @@
 {
 	usec_t interval = unused_interval(pooler);
 
-	if (now >= primary->checked_at + interval && take_turn(&pooler->sync, now))
+	if (now >= primary->unused_probed_at + interval && take_turn(&pooler->sync, now))
 		check_unused(primary, now, interval);
 }
 
@@ -255,7 +255,7 @@
 
 	if (primary != NULL)
 		return primary->down;
-	return service->doubted_at != 0 && now < service->doubted_at + DOUBT_VALID;
+	return service->suspected_at != 0 && now < service->suspected_at + DOUBT_VALID;
 }
 
 char *verdict_suspects(const pooler_t *pooler, usec_t now, void *parent)
@@ -293,11 +293,11 @@
 		HASH_FIND(hh, pooler->services_by_name, word, len, service);
 		if (service == NULL)
 			continue;
-		service->doubted_at = now;
+		service->suspected_at = now;
 		active_add_service(service);
 		primary = service_roster_primary(service);
 		if (primary != NULL && !primary->down && is_witness(service, now) &&
-		    now >= primary->last_reply + ALIVE_WITHIN)
+		    now >= primary->last_reply_at + ALIVE_WITHIN)
 			check_unused(primary, now, DOUBTED_CHECK);
 	}
 }
@@ -311,11 +311,11 @@
 		return now >= service->pooler->sync.held_since + UNLISTED_TIME
 			       ? "primary is not listed"
 			       : NULL;
-	if (primary->gone)
+	if (primary->unlisted)
 		return "primary is no longer listed";
 	if (primary->leaving)
 		return "primary is leaving";
-	if (!primary->says_primary && other_says_primary(service, primary))
+	if (!primary->claims_primary && other_says_primary(service, primary))
 		return "another member leads";
 	votes = all_votes(service, primary, now);
 	if (is_lost(service, primary, votes))
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -208,7 +208,7 @@
 	message.address = other->address;
 	message.incarnation = other->incarnation;
 	pooler_on_message(pooler, &message);
-	g_assert_cmpuint(service->change_end, ==, now + 100 * MSEC);
+	g_assert_cmpuint(service->change_expected_end, ==, now + 100 * MSEC);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_outlier.c
+++ b/tests/test_pooler_outlier.c
@@ -95,15 +95,15 @@
 
 	outlier_eject(&outlier, now);
 	g_assert_false(outlier_accepts_read(&outlier, 0, now));
-	now = outlier.out_until;
+	now = outlier.ejected_until;
 	g_assert_true(outlier_accepts_read(&outlier, 0, now));
 	g_assert_false(outlier_accepts_read(&outlier, 1, now));
 	note_all(&outlier, "+-", &now);
-	g_assert_true(outlier.out);
-	g_assert_cmpuint(outlier.out_until, ==, now + 2 * SEC);
-	now = outlier.out_until;
+	g_assert_true(outlier.ejected);
+	g_assert_cmpuint(outlier.ejected_until, ==, now + 2 * SEC);
+	now = outlier.ejected_until;
 	note_all(&outlier, "+++", &now);
-	g_assert_false(outlier.out);
+	g_assert_false(outlier.ejected);
 	g_assert_true(outlier_accepts_read(&outlier, 5, now));
 }
 
@@ -220,7 +220,7 @@
 
 	for (size_t i = 0; i < world->node_count; i++) {
 		list_for_each (it, &world->nodes[i].pooler->members)
-			out += list_entry(it, member_t, node)->outlier.out;
+			out += list_entry(it, member_t, node)->outlier.ejected;
 	}
 	return out;
 }
@@ -519,7 +519,7 @@
 			pooler_t *pooler = world->nodes[i].pooler;
 
 			find_failing(pooler, now_in(world));
-			member_find(pooler, id)->response = 100 * MSEC;
+			member_find(pooler, id)->response_time = 100 * MSEC;
 		}
 		world_run(world, 3 * SEC);
 		g_assert_cmpuint(world->promote_count, ==, 1);
--- a/tests/test_pooler_scale.c
+++ b/tests/test_pooler_scale.c
@@ -118,7 +118,7 @@
 	size_t checked = 0;
 
 	list_for_each (it, &pooler->members)
-		checked += list_entry(it, member_t, node)->checked_at != 0;
+		checked += list_entry(it, member_t, node)->unused_probed_at != 0;
 	return checked;
 }
 
