--- a/pooler/failover.c
+++ b/pooler/failover.c
@@ -21,30 +21,38 @@
 #include "counter.h"
 #include "log.h"
 
-/* After the duty was taken over: an earlier holder's call may still be on its way. */
-#define SETTLE_TIME (2 * USEC_PER_SEC)
-/* How long a planned change waits for a replica to receive all that the primary has. */
+/* How long after a change of leader a promote call by the earlier leader may still be in flight. */
+#define EARLIER_CALLS_TIME (2 * USEC_PER_SEC)
+/* How long a planned change waits until a replica has received all that the old primary has. */
 #define CATCH_UP_TIME (800 * USEC_PER_MSEC)
-/* A promoted member leads after about 1 s on the users' sites. */
-#define LEAD_TIME (2500 * USEC_PER_MSEC)
-/* A call that has not changed anything by then won't. */
-#define EFFECT_TIME (1800 * USEC_PER_MSEC)
-/* Calls for one member before another one is tried. */
-#define CALLS_MAX 2
-/* The first primary is installed without its term if it does not tell it by then. */
-#define FIRST_TERM_TIME (500 * USEC_PER_MSEC)
 /*
- * After a primary was replaced since it failed statements, until another is for that reason. If the
- * statements are at fault, callers are without writes for a second in thirty.
+ * Time for the promoted member to report that it is the primary; the promotion itself takes about 1
+ * s.
  */
-#define FAILING_PAUSE (30 * USEC_PER_SEC)
+#define VERIFY_TIMEOUT (2500 * USEC_PER_MSEC)
+/* A promote call that has had no effect by then will have none. */
+#define CALL_EFFECT_TIME (1800 * USEC_PER_MSEC)
+/* Promote calls for one member before another one is tried. */
+#define PROMOTE_CALLS_MAX 2
 /*
- * Services without anything under way that the holder looks at with a tick: all of a small
- * deployment. What makes a change necessary comes as an event, and is looked at with the next tick.
+ * How long a service's first primary may take to report its term; after that it is written to the
+ * roster without one.
  */
-#define WATCHED_AT_ONCE 64
-/* After a false alarm. */
-#define QUIET_AFTER_CANCEL (1 * USEC_PER_SEC)
+#define FIRST_TERM_TIMEOUT (500 * USEC_PER_MSEC)
+/*
+ * After a primary was replaced because it failed statements, no other one is replaced for that
+ * reason within this time. If the statements themselves are at fault, callers are without writes
+ * for one second in thirty.
+ */
+#define FAILING_COOLDOWN (30 * USEC_PER_SEC)
+/*
+ * Inactive services that the leader checks per tick; enough for every service of a small
+ * deployment. Whatever makes a change necessary arrives as an event, makes its service active, and
+ * is checked at the next tick.
+ */
+#define INACTIVE_PER_TICK 64
+/* How long after a cancelled change no new one begins. */
+#define CANCEL_COOLDOWN (1 * USEC_PER_SEC)
 
 COUNTER_DEFINE(changes_total, "primary_changes_total", COUNTER_SUM,
 	       "Changes of primary that this proxy carried out.");
@@ -82,7 +90,7 @@
 	set_step(service, CHANGE_SURVEYING, now);
 }
 
-static void clear(service_t *service)
+static void reset_change(service_t *service)
 {
 	talloc_free(service->change.target);
 	service->change = (change_t){.step = CHANGE_NONE};
@@ -93,16 +101,16 @@
 void failover_abandon(pooler_t *pooler)
 {
 	list_for_each (it, &pooler->services)
-		clear(list_entry(it, service_t, node));
+		reset_change(list_entry(it, service_t, node));
 }
 
-/* --- marking --- */
+/* --- marking the change in the roster --- */
 
-static void on_stored(void *data, const kv_result_t *result)
+static void on_groups_written(void *data, const kv_result_t *result)
 {
 	pooler_t *pooler = data;
 
-	(void)result; /* the roster, read again, shows what holds */
+	(void)result; /* the roster, read again, shows which groups are in force */
 	pooler->sync.storing = false;
 	list_for_each (it, &pooler->active_services) {
 		service_t *service = list_entry(it, service_t, active);
@@ -116,12 +124,12 @@
 }
 
 /*
- * One write at a time, with all groups that are to change. When each service wrote for itself, of N
- * that start together, or lose their primaries together, one write succeeded and N - 1 met it: 30
- * first primaries took 465 writes of the whole roster, and a fleet before 100 databases never came
- * to serve.
+ * Writes all queued groups to the roster, one write at a time. When each service wrote on its own,
+ * of N services that started or lost their primaries together, one write succeeded and N - 1
+ * conflicted: 30 first primaries took 465 writes of the whole roster, and a fleet with 100
+ * databases never became ready.
  */
-static void flush(pooler_t *pooler, usec_t now)
+static void write_groups(pooler_t *pooler, usec_t now)
 {
 	roster_t *roster = NULL;
 
@@ -144,13 +152,13 @@
 	if (roster == NULL)
 		return;
 	pooler->sync.storing = true;
-	/* Each is told to the whole fleet. */
+	/* Every write is sent to the whole fleet. */
 	pooler->sync.store_next = now + push_spacing(pooler);
-	sync_commit(pooler, roster, on_stored, pooler);
+	sync_commit(pooler, roster, on_groups_written, pooler);
 	talloc_free(roster);
 }
 
-static void store_group(service_t *service, const char *primary, bool changing, uint64_t term)
+static void queue_group_write(service_t *service, const char *primary, bool changing, uint64_t term)
 {
 	service->change.write_pending = true;
 	active_add_service(service);
@@ -160,7 +168,7 @@
 	service->pending_write.term = term;
 }
 
-/* Write down who is the primary from now on. */
+/* Ends the change with this primary: queues it for the roster. */
 static void commit_primary(service_t *service, const member_t *primary, uint64_t term, usec_t now)
 {
 	char *copy = talloc_strdup(service, primary->id);
@@ -169,7 +177,7 @@
 	service->change.target = copy;
 	service->change.new_term = term;
 	set_step(service, CHANGE_COMMITTING, now);
-	store_group(service, copy, false, term);
+	queue_group_write(service, copy, false, term);
 }
 
 static void start_change(service_t *service, const char *reason, usec_t now)
@@ -184,15 +192,15 @@
 		  LOG_STR("member", service_roster_group(service)->primary));
 	change->due_to_failures = reason == verdict_reason_failing;
 	set_step(service, CHANGE_MARKING, now);
-	store_group(service, service_roster_group(service)->primary, true,
-		    service_roster_group(service)->term);
+	queue_group_write(service, service_roster_group(service)->primary, true,
+			  service_roster_group(service)->term);
 }
 
 /*
- * The first primary of a service is the one that says so itself. Its term is written down with it:
- * a later one is known by a higher term.
+ * Writes the first primary of a service to the roster: the member that claims to be the primary.
+ * Its term is stored with it, since later primaries are recognized by a higher term.
  */
-static void install(service_t *service, usec_t now)
+static void install_first_primary(service_t *service, usec_t now)
 {
 	change_t *change = &service->change;
 
@@ -205,8 +213,8 @@
 			continue;
 		if (change->started == 0)
 			change->started = now;
-		if (member->survey_answered || now >= change->started + FIRST_TERM_TIME) {
-			store_group(service, member->id, false, member->status.term);
+		if (member->survey_answered || now >= change->started + FIRST_TERM_TIMEOUT) {
+			queue_group_write(service, member->id, false, member->status.term);
 		} else if (now >= change->next_probe) {
 			change->next_probe = now + SURVEY_INTERVAL;
 			member_query_status(member);
@@ -215,20 +223,26 @@
 	}
 }
 
-/* From when no call to promote that was made before our hold can arrive any more. */
-static usec_t settled_at(const service_t *service, bool is_own)
+/*
+ * When no promote call from before this leadership can take effect any more; is_own: this proxy
+ * began the change, so that only its own last call counts. 0: there was no such call.
+ */
+static usec_t earlier_calls_end(const service_t *service, bool is_own)
 {
 	if (!is_own)
-		return service->pooler->sync.held_since + SETTLE_TIME;
-	return service->last_promote_call_at != 0 ? service->last_promote_call_at + SETTLE_TIME : 0;
+		return service->pooler->sync.held_since + EARLIER_CALLS_TIME;
+	return service->last_promote_call_at != 0
+		       ? service->last_promote_call_at + EARLIER_CALLS_TIME
+		       : 0;
 }
 
 /*
- * A change that an earlier holder began. Its write of the end may be on its way to the store
- * still, and could land while another member is being promoted: callers would write to the one
- * and lose it to the other. A write of ours makes that one fail.
+ * Takes over a change that an earlier leader began. That leader's write that ends the change may
+ * still be in flight to the store. If it arrived while another member is being promoted, callers
+ * would write to the member that it names and lose those writes. Rewriting the group makes the late
+ * write conflict.
  */
-static void take_up(service_t *service, usec_t now)
+static void take_over_change(service_t *service, usec_t now)
 {
 	const roster_group_t *group = service_roster_group(service);
 	change_t *change = &service->change;
@@ -239,18 +253,22 @@
 	if (change->step == CHANGE_NONE)
 		change->started = now;
 	/*
-	 * Nobody has called since our own mark: who calls has written to the roster before. But a
-	 * mark of ours on a change that we took up is no proof that its beginner had not called.
+	 * A leader writes to the roster before it calls the platform, so no other leader can have
+	 * called since this proxy marked the change. But if this proxy had taken the change over,
+	 * its mark does not show that the leader which began the change made no call.
 	 */
 	is_own = group->fence == service->pooler->sync.past_fence && !service->change_taken_over;
 	service->change_taken_over = !is_own;
-	change->promote_not_before = settled_at(service, is_own);
+	change->promote_not_before = earlier_calls_end(service, is_own);
 	change->may_have_promoted = !is_own || service->last_promote_call_at != 0;
 	set_step(service, CHANGE_MARKING, now);
-	store_group(service, group->primary, true, group->term);
+	queue_group_write(service, group->primary, true, group->term);
 }
 
-/* An entry in the store may name a service that the operators know nothing of. */
+/*
+ * True if the configuration has the service. A member's entry in the store may name one that it
+ * does not have.
+ */
 static bool is_configured(const service_t *service)
 {
 	const routes_t *routes = service->pooler->routes;
@@ -258,7 +276,7 @@
 	return routes != NULL && routes_service(routes, service->name) != NULL;
 }
 
-static void watch(service_t *service, usec_t now)
+static void check_primary(service_t *service, usec_t now)
 {
 	const roster_group_t *group = service_roster_group(service);
 	change_t *change = &service->change;
@@ -266,11 +284,11 @@
 
 	if (group == NULL) {
 		if (is_configured(service))
-			install(service, now);
+			install_first_primary(service, now);
 		return;
 	}
 	if (group->changing && group->fence != service->pooler->sync.own_fence) {
-		take_up(service, now);
+		take_over_change(service, now);
 		return;
 	}
 	if (group->changing) {
@@ -293,22 +311,22 @@
 		start_change(service, reason, now);
 }
 
-/* --- nothing was wrong, or is not any more --- */
+/* --- cancelling a change --- */
 
-/* End the change with the primary that it began with. */
+/* Ends the change with the primary that it began with. */
 static void keep_primary(service_t *service, const member_t *primary, uint64_t term, usec_t now)
 {
-	service->change.cooldown_until = now + QUIET_AFTER_CANCEL;
+	service->change.cooldown_until = now + CANCEL_COOLDOWN;
 	service->change.primary_kept = true;
 	commit_primary(service, primary, term, now);
 }
 
 /*
- * True if the primary answers again, and nothing but its silence was a reason to replace it.
- * Nobody has been asked to promote another one, so that others still use it does no harm: there
- * is no need to wait until they have let go.
+ * True if the primary answers again, and its silence was the only reason to replace it. No member
+ * was promoted, so it does no harm that other proxies still use the primary, and there is no need
+ * to wait until they have released it.
  */
-static bool is_back(service_t *service, member_t *primary, usec_t now)
+static bool has_recovered(service_t *service, member_t *primary, usec_t now)
 {
 	change_t *change = &service->change;
 
@@ -324,7 +342,7 @@
 	return false;
 }
 
-/* --- releasing --- */
+/* --- waiting until all proxies have released the old primary --- */
 
 static bool has_released(const service_t *service, const roster_node_t *node)
 {
@@ -337,7 +355,7 @@
 	       !exchange_lists(report->in_use, service->name);
 }
 
-/* Proxies that have not let go yet. */
+/* Number of proxies that have not released the old primary yet. */
 static size_t count_unreleased(const service_t *service)
 {
 	const pooler_t *pooler = service->pooler;
@@ -352,14 +370,14 @@
 	return unreleased;
 }
 
-static void release(service_t *service, usec_t now)
+static void await_release(service_t *service, usec_t now)
 {
 	change_t *change = &service->change;
 	size_t total = permit_fleet_size(service->pooler, change->marked_revision);
 	size_t unreleased = count_unreleased(service);
 	member_t *primary = service_roster_primary(service);
 
-	if (is_back(service, primary, now)) {
+	if (has_recovered(service, primary, now)) {
 		keep_primary(service, primary, service_roster_group(service)->term, now);
 		return;
 	}
@@ -371,15 +389,15 @@
 	    (change->minority_since == USEC_NEVER ||
 	     now < change->minority_since + PERMIT_LEASE_TIME))
 		return;
-	LOG_EVENT(LOG_INFO, "old primary is released", LOG_STR("service", service->name),
+	LOG_EVENT(LOG_INFO, "old primary released", LOG_STR("service", service->name),
 		  LOG_INT("unreleased", (int64_t)unreleased), LOG_INT("proxies", (int64_t)total),
 		  LOG_INT("waited_ms", (int64_t)((now - change->marked_at) / USEC_PER_MSEC)));
 	begin_survey(service, now);
 }
 
-/* --- survey --- */
+/* --- choosing the member to promote --- */
 
-static void promote(service_t *service, const member_t *target, usec_t now)
+static void promote_member(service_t *service, const member_t *target, usec_t now)
 {
 	pooler_t *pooler = service->pooler;
 	change_t *change = &service->change;
@@ -401,25 +419,25 @@
 				  pooler->sync.own_fence);
 }
 
-/* The old primary leads and has no reason to go. */
-static bool can_stay(const service_t *service, const member_t *old, usec_t now)
+/* True if the old primary still is the primary, and there is no reason left to replace it. */
+static bool can_keep_old(const service_t *service, const member_t *old, usec_t now)
 {
 	return old != NULL && old->survey_answered && old->status.primary && !old->leaving &&
 	       verdict_replace_reason(service, now) == NULL;
 }
 
 /*
- * Each holder writes a change to the roster before it calls, so one that had written none lately
- * has called nothing.
+ * When no other leader's promote call can take effect any more. Each leader writes a change to the
+ * roster before it calls the platform, so a leader without a recent write has made no call.
  */
-static usec_t foreign_settled_at(const service_t *service)
+static usec_t foreign_calls_end(const service_t *service)
 {
 	const sync_t *sync = &service->pooler->sync;
 
-	return sync->foreign_change != 0 ? sync->foreign_change + SETTLE_TIME : 0;
+	return sync->foreign_change != 0 ? sync->foreign_change + EARLIER_CALLS_TIME : 0;
 }
 
-static void survey(service_t *service, usec_t now)
+static void run_survey(service_t *service, usec_t now)
 {
 	change_t *change = &service->change;
 	member_t *old = service_roster_primary(service);
@@ -435,29 +453,33 @@
 		commit_primary(service, leader, leader->status.term, now);
 		return;
 	}
-	stays = can_stay(service, old, now);
+	stays = can_keep_old(service, old, now);
 	if (stays && !change->may_have_promoted) {
 		keep_primary(service, old, old->status.term, now);
 		return;
 	}
 	/*
-	 * A member that was promoted unseen leads a newer term when it comes back. So the old
-	 * primary is promoted like any other; if it still leads, the call changes nothing.
+	 * If an earlier promote call took effect unnoticed, the promoted member comes back with a
+	 * newer term than the old primary. So the old primary is promoted like any other member; if
+	 * it still is the primary, the call has no effect.
 	 */
 	best = stays ? old : survey_best_candidate(service, old);
 	if (best == NULL)
 		return;
-	/* With the writers stopped, a replica soon has all that an old primary still has. */
+	/*
+	 * Since proxies no longer send writes, a replica soon has received all that a live old
+	 * primary has.
+	 */
 	if (old != NULL && old->survey_answered && now < change->step_since + CATCH_UP_TIME &&
 	    survey_is_ahead(old->status.received, best->status.received))
 		return;
-	if (now < change->promote_not_before || now < foreign_settled_at(service) ||
+	if (now < change->promote_not_before || now < foreign_calls_end(service) ||
 	    !survey_has_acknowledged_commits(service, best, old, now))
 		return;
-	promote(service, best, now);
+	promote_member(service, best, now);
 }
 
-/* --- promoting --- */
+/* --- promoting that member --- */
 
 void failover_on_promoted(service_t *service, promote_status_t status)
 {
@@ -468,7 +490,7 @@
 
 	if (service->change.step != CHANGE_PROMOTING)
 		return;
-	LOG_EVENT(LOG_INFO, "answer to promote", LOG_STR("service", service->name),
+	LOG_EVENT(LOG_INFO, "promote call answered", LOG_STR("service", service->name),
 		  LOG_STR("member", service->change.target), LOG_STR("outcome", names[status]));
 	if (status == PROMOTE_REFUSED) {
 		begin_survey(service, now);
@@ -481,21 +503,22 @@
 }
 
 /*
- * A target that called itself primary before the call proves nothing by saying so again,
- * unless its term rose. The call changes nothing only for the member that leads anyway; that
- * is known when nothing has changed for long enough.
+ * True if the target is the primary as a result of the call. If it reported itself as primary
+ * before the call already, another such report proves nothing unless its term rose. A call has no
+ * effect only on a member that is the primary anyway; that is certain when nothing has changed for
+ * CALL_EFFECT_TIME.
  */
-static bool leads_now(const service_t *service, const member_t *target, usec_t now)
+static bool is_leading(const service_t *service, const member_t *target, usec_t now)
 {
 	const change_t *change = &service->change;
 
 	if (!target->survey_answered || !target->status.primary)
 		return false;
 	return !change->target_was_primary || target->status.term > change->target_old_term ||
-	       now >= change->step_since + EFFECT_TIME;
+	       now >= change->step_since + CALL_EFFECT_TIME;
 }
 
-static void verify(service_t *service, usec_t now)
+static void verify_target(service_t *service, usec_t now)
 {
 	change_t *change = &service->change;
 	member_t *target = member_find(service->pooler, change->target);
@@ -504,7 +527,7 @@
 		begin_survey(service, now);
 		return;
 	}
-	if (leads_now(service, target, now)) {
+	if (is_leading(service, target, now)) {
 		commit_primary(service, target, target->status.term, now);
 		return;
 	}
@@ -512,24 +535,24 @@
 		change->next_probe = now + SURVEY_INTERVAL;
 		member_query_status(target);
 	}
-	if (now < change->step_since + LEAD_TIME)
+	if (now < change->step_since + VERIFY_TIMEOUT)
 		return;
-	if (change->promote_calls < CALLS_MAX && !target->down)
-		promote(service, target, now);
+	if (change->promote_calls < PROMOTE_CALLS_MAX && !target->down)
+		promote_member(service, target, now);
 	else
 		begin_survey(service, now);
 }
 
-static void commit(service_t *service, usec_t now)
+static void finish_commit(service_t *service, usec_t now)
 {
 	const roster_group_t *group = service_roster_group(service);
 	change_t *change = &service->change;
-	usec_t quiet = change->cooldown_until;
+	usec_t cooldown = change->cooldown_until;
 
 	if (change->write_pending)
 		return;
 	if (group->changing) {
-		store_group(service, change->target, false, change->new_term);
+		queue_group_write(service, change->target, false, change->new_term);
 		return;
 	}
 	if (!change->primary_kept)
@@ -539,9 +562,9 @@
 		  LOG_INT("took_ms", (int64_t)((now - change->started) / USEC_PER_MSEC)),
 		  LOG_INT("roster", service->pooler->sync.roster->revision));
 	if (change->due_to_failures && !change->primary_kept)
-		service->failing_cooldown_until = now + FAILING_PAUSE;
-	clear(service);
-	change->cooldown_until = quiet;
+		service->failing_cooldown_until = now + FAILING_COOLDOWN;
+	reset_change(service);
+	change->cooldown_until = cooldown;
 }
 
 static void step(service_t *service, usec_t now)
@@ -551,34 +574,34 @@
 	switch (service->change.step) {
 	case CHANGE_NONE:
 	case CHANGE_MARKING:
-		watch(service, now);
+		check_primary(service, now);
 		break;
 	case CHANGE_RELEASING:
-		release(service, now);
+		await_release(service, now);
 		break;
 	case CHANGE_SURVEYING:
-		survey(service, now);
+		run_survey(service, now);
 		break;
 	case CHANGE_PROMOTING:
 		break;
 	case CHANGE_VERIFYING:
-		verify(service, now);
+		verify_target(service, now);
 		break;
 	case CHANGE_COMMITTING:
-		commit(service, now);
+		finish_commit(service, now);
 		break;
 	}
 }
 
-/* The next of those that are not active, in turn. */
-static void watch_others(pooler_t *pooler, usec_t now)
+/* Checks the next INACTIVE_PER_TICK services in turn, leaving out the active ones. */
+static void check_inactive_services(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 	size_t count = HASH_COUNT(pooler->services_by_name);
 
 	if (sync->watched_last == NULL)
 		sync->watched_last = &pooler->services;
-	for (size_t i = 0; i < count && i < WATCHED_AT_ONCE; i++) {
+	for (size_t i = 0; i < count && i < INACTIVE_PER_TICK; i++) {
 		service_t *service;
 
 		sync->watched_last = sync->watched_last->next;
@@ -598,8 +621,8 @@
 	verdict_count_votes(pooler, now);
 	list_for_each (it, &pooler->active_services)
 		step(list_entry(it, service_t, active), now);
-	watch_others(pooler, now);
-	flush(pooler, now);
+	check_inactive_services(pooler, now);
+	write_groups(pooler, now);
 }
 
 usec_t failover_remaining(const service_t *service, usec_t now)
--- a/pooler/failover.h
+++ b/pooler/failover.h
@@ -1,22 +1,29 @@
 /*
- * The duty to replace primaries, held by one proxy at a time: notice that a
- * primary failed or is leaving, have every proxy let go of it, find the member
- * that received most, have it promoted, and write it down.
+ * Failover: replaces the primaries of services. Only the leader does this (see leader.h). It
+ * notices that a primary failed or is leaving, waits until every proxy has stopped using it
+ * (released it), finds the member that has received the most, has the platform promote that one,
+ * and writes the new primary to the roster.
  */
 #pragma once
 
 #include "state.h"
 
-/* From the call to promote until the member is seen to lead: 1 s on the users' sites. */
+/*
+ * Usual time from the call to promote until the member reports that it is the primary: a promotion
+ * takes the platform 1 s.
+ */
 #define PROMOTE_USUAL_TIME (1150 * USEC_PER_MSEC)
-/* All of a change if every proxy lets go at once. */
+/* Usual time of a whole change of primary if every proxy releases the old one at once. */
 #define CHANGE_USUAL_TIME (PROMOTE_USUAL_TIME + 100 * USEC_PER_MSEC)
 
 void failover_tick(pooler_t *pooler, usec_t now);
 void failover_on_promoted(service_t *service, promote_status_t status);
 
-/* How long the change of primary under way will still take, as the holder knows it. */
+/* Remaining time of the current change of primary as the leader estimates it. */
 usec_t failover_remaining(const service_t *service, usec_t now);
 
-/* The duty was lost: whoever has it now finds the rest in the roster. */
+/*
+ * Drops all changes of primary when the leadership is lost; the next leader continues them from the
+ * roster.
+ */
 void failover_abandon(pooler_t *pooler);
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -83,32 +83,33 @@
 	char *zone;
 	int64_t slots;
 	bool leaving;
-	usec_t leaving_since; /* USEC_NEVER less a margin while it is not leaving */
-	bool unlisted;	      /* not listed any more */
+	usec_t leaving_since; /* USEC_NEVER / 2 while the member is not leaving */
+	bool unlisted;	      /* the platform's list no longer has the member */
 	usec_t unlisted_since;
-	int64_t started_at; /* of its process, as it says; 0: not told */
+	int64_t started_at; /* start time of its process from the member's entry; 0: unknown */
 	bool claims_primary;
-	usec_t claim_changed_at; /* when says_primary was last heard to change */
+	usec_t claim_changed_at; /* when the member's entry last changed claims_primary */
 	list_t conns;
-	size_t conn_count;	   /* without probes */
-	usec_t no_borrow_until;	   /* the member refused a connection; no more than our share until
-				      then */
-	usec_t connect_not_before; /* back-off after a failed connection */
-	/* Health by what we see ourselves. */
+	size_t conn_count;	   /* without probe connections */
+	usec_t no_borrow_until;	   /* after the member refused a connection, this proxy opens none
+				      beyond its share until then */
+	usec_t connect_not_before; /* back-off after a failed connection attempt */
+	/* Health as this proxy observes it. */
 	usec_t last_reply_at;
-	usec_t suspect_since; /* oldest sign of failure without a reply since; USEC_NEVER: none */
-	bool down;	      /* it was asked again and did not answer */
+	usec_t suspect_since; /* first sign of failure since the last reply; USEC_NEVER: none */
+	bool down;	      /* a probe found that the member does not answer */
 	conn_t *probe_conn;
-	/* Placement of reads. */
-	usec_t response_time; /* smoothed time from sending a statement to its reply */
-	position_t applied;   /* of its log, by its last reply */
-	usec_t applied_at;    /* when that came */
-	usec_t lagged_at;     /* when it last lacked a position */
+	/* For the placement of reads. */
+	usec_t response_time; /* smoothed time from sending a statement until its reply */
+	position_t applied;   /* log position that the member has applied, from its last reply */
+	usec_t applied_at;    /* when that reply arrived */
+	usec_t lagged_at; /* when the member last had not applied the position that a read needed */
 	outlier_t outlier;
-	usec_t conn_lost_at; /* when a connection last broke under a statement */
-	/* Survey by the holder of the duty. */
+	usec_t conn_lost_at; /* when a connection last broke while a statement ran on it */
+	/* For changes of primary. */
 	bool survey_answered;
-	usec_t unused_probed_at; /* though nobody used it */
+	usec_t unused_probed_at; /* when verdict.c last had it probed for want of traffic, or since
+				    others suspect it */
 	member_status_t status;
 } member_t;
 
@@ -190,99 +191,110 @@
 
 /* --- services --- */
 
-/* The steps of a change of primary, at the holder of the duty. */
+/* The steps of a change of primary; only the leader carries them out. */
 typedef enum {
 	CHANGE_NONE,
-	CHANGE_MARKING,	   /* writing down that the primary is about to change */
-	CHANGE_RELEASING,  /* all proxies stop to use it */
-	CHANGE_SURVEYING,  /* which member has received most */
-	CHANGE_PROMOTING,  /* the platform was asked */
-	CHANGE_VERIFYING,  /* the member does not lead yet */
-	CHANGE_COMMITTING, /* writing down the new primary */
+	CHANGE_MARKING,	   /* writing to the roster that the primary is about to change */
+	CHANGE_RELEASING,  /* waiting until every proxy has stopped using the old primary */
+	CHANGE_SURVEYING,  /* querying the members for their log positions */
+	CHANGE_PROMOTING,  /* a call to the platform to promote the target is in flight */
+	CHANGE_VERIFYING,  /* waiting until the target reports that it is the primary */
+	CHANGE_COMMITTING, /* writing the new primary to the roster */
 } change_step_t;
 
 typedef struct change {
 	change_step_t step;
 	usec_t started;
 	usec_t step_since;
-	bool write_pending; /* a call to the store is under way */
-	bool planned;	    /* the old primary still answers */
+	bool write_pending; /* the roster group is not written yet */
+	bool planned;	    /* the old primary still answered when the change began */
 	int64_t marked_revision;
 	usec_t marked_at;
-	usec_t minority_since; /* when too few were left to prolong their permission together */
+	usec_t minority_since; /* when the proxies that had not released the primary became too few
+				  to extend their permission by quorum */
 	char *target;
-	uint64_t new_term;	   /* that the target leads */
-	usec_t promote_not_before; /* before that an earlier holder's call may arrive; 0: there is
-				      none */
-	bool may_have_promoted;	   /* a call to promote may have taken effect, now or later */
-	bool target_was_primary;   /* before the call the target called itself primary already */
-	uint64_t target_old_term;  /* its term then */
+	uint64_t new_term;	   /* of the target as primary */
+	usec_t promote_not_before; /* until then a call by an earlier leader may still take effect;
+				      0: no such call */
+	bool may_have_promoted;	   /* a call to promote may have taken effect, or still may */
+	bool target_was_primary; /* the target reported itself as primary before the call already */
+	uint64_t target_old_term; /* the target's term before the call */
 	usec_t next_probe;
 	usec_t promote_called_at;
 	unsigned promote_calls;
-	usec_t cooldown_until; /* after a change that came to nothing */
-	bool primary_kept;     /* the primary was kept */
-	bool due_to_failures;  /* it began since the primary fails statements */
+	usec_t cooldown_until; /* after a cancelled change */
+	bool primary_kept;     /* the change was cancelled: the old primary stays */
+	bool due_to_failures;  /* the change began because the primary failed statements */
 } change_t;
 
-/* Candidates kept for each service: two in our zone, and the homes of two others. */
+/* Home candidates of each service: two in this proxy's zone, and the homes of two other zones. */
 #define HOME_CANDIDATES 4
 
-/* Who holds a service's connections, in the order in which we ask; see home.h. */
+/*
+ * The proxies that may hold the connections to a service's members, in the order in which this
+ * proxy tries them; see home.h.
+ */
 typedef struct homes {
-	void *parent;		/* of the names; NULL: not worked out yet */
-	int64_t nodes_revision; /* of the roster's proxies that it follows from */
+	void *parent;		/* talloc context of the names; NULL: not computed yet */
+	int64_t nodes_revision; /* roster_t.nodes_revision from which the candidates were computed
+				 */
 	const char *names[HOME_CANDIDATES];
-	size_t len;	    /* of names */
-	size_t fleet_count; /* homes in the fleet */
+	size_t len;	    /* number of names */
+	size_t fleet_count; /* homes of the service in the whole fleet */
 } homes_t;
 
-/* What the proxies see of a primary; see verdict_count_votes(). */
+/* How many proxies report each state of a primary; see verdict_count_votes(). */
 typedef struct votes {
 	size_t down;
 	size_t alive;
-	size_t failing; /* it answers, and fails a good part of the statements */
-	size_t healthy; /* alive, and does not */
+	size_t failing; /* the primary answers, but fails a substantial part of the statements */
+	size_t healthy; /* alive and not failing */
 } votes_t;
 
 typedef struct service {
 	list_t node;	     /* in pooler_t.services */
 	list_t active;	     /* in pooler_t.active_services; see active.h */
-	usec_t active_until; /* at least */
+	usec_t active_until; /* active until then at least */
 	UT_hash_handle hh;   /* in pooler_t.services_by_name */
 	struct pooler *pooler;
 	char *name;
 	int64_t max_connections;
 	list_t members;
-	/* What the roster in use says, kept since every tick and message looks at all services. */
-	roster_group_t *group;	 /* NULL: nothing */
-	struct member *primary;	 /* that it names; NULL: none, or it is not listed */
+	/*
+	 * The service's group in the current roster; cached, since every tick and message goes
+	 * through all services.
+	 */
+	roster_group_t *group;	 /* NULL: none */
+	struct member *primary;	 /* the primary of that group; NULL: none, or the platform's list
+				    does not have it */
 	line_t *customer_pools;	 /* by customer */
 	list_t waiting;		 /* caller_t.waiting, by priority, then by arrival */
-	run_timer_t retry_timer; /* first attempt that is put off */
+	run_timer_t retry_timer; /* first delayed attempt of a waiting statement */
 	bool dispatching;
 	bool dispatch_again;
-	freshness_t *freshness;	    /* NULL: no sample was taken yet */
-	char *freshness_primary;    /* the samples were taken there */
-	usec_t changing_since;	    /* as the roster told; USEC_NEVER: not changing */
-	usec_t change_expected_end; /* when the change is expected to be over */
-	usec_t primary_since;	    /* when the roster last named another primary */
-	int64_t primary_revision;   /* of that roster */
+	freshness_t *freshness;	 /* NULL: no samples yet */
+	char *freshness_primary; /* id of the member that the samples are from */
+	usec_t changing_since;	 /* when the roster marked the primary as changing; USEC_NEVER: not
+				    changing */
+	usec_t change_expected_end; /* when the current change is expected to end */
+	usec_t primary_since;	    /* when the roster last named a new primary */
+	int64_t primary_revision;   /* revision of that roster */
 	change_t change;
 	homes_t homes;
 	struct {
-		char *primary; /* NULL: nothing */
+		char *primary; /* NULL: none */
 		bool changing;
 		uint64_t term;
-	} pending_write;	/* to be written to the roster */
-	bool write_in_flight;	/* a write with it is under way */
-	votes_t reported_votes; /* by other proxies, in the count of that number */
+	} pending_write;	/* the group to be written to the roster */
+	bool write_in_flight;	/* a store write that contains this group is in flight */
+	votes_t reported_votes; /* reported by other proxies, in the counting round below */
 	uint64_t reported_votes_round;
-	usec_t suspected_at;	/* when the holder last said that its primary does not answer */
-	usec_t last_forward_at; /* when a statement of another proxy last came; 0: never */
-	bool change_taken_over; /* the change under way was begun by another proxy */
-	usec_t last_promote_call_at;   /* to promote, by this process; 0: none */
-	usec_t failing_cooldown_until; /* a primary that fails statements is kept until then */
+	usec_t suspected_at; /* when the leader last reported that the primary does not answer it */
+	usec_t last_forward_at;	       /* when another proxy last forwarded a statement; 0: never */
+	bool change_taken_over;	       /* another leader began the current change */
+	usec_t last_promote_call_at;   /* last promote call by this process; 0: none */
+	usec_t failing_cooldown_until; /* until then a primary is not replaced for failing
+					  statements */
 } service_t;
 
 /* --- the fleet --- */
