--- a/pooler/leader.c
+++ b/pooler/leader.c
@@ -16,31 +16,41 @@
 #include "counter.h"
 #include "log.h"
 
-/* The lease of the duty, if the store grants one so short: how long a holder that died keeps it. */
-#define DUTY_TTL (2000 * USEC_PER_MSEC)
-/* Taken off at our side, for the store's timers. */
-#define DUTY_MARGIN (300 * USEC_PER_MSEC)
 /*
- * With a store that loses half of its answers (each is waited for 250 ms) the duty was lost in the
- * middle of a change in 5 of 12 runs at 600 ms; this leaves room for five renewals.
+ * Time to live of the leader lease unless the store's shortest is longer; so long a leader that
+ * died blocks the next one.
+ */
+#define LEASE_TTL (2000 * USEC_PER_MSEC)
+/*
+ * This proxy's leadership ends this much before the lease, to allow for inaccuracy of the store's
+ * timers.
+ */
+#define LEASE_MARGIN (300 * USEC_PER_MSEC)
+/*
+ * Between two renewals; leaves room for five attempts within a lease. With a store that loses half
+ * of its answers (each call has a 250 ms time-out), an interval of 600 ms lost the leadership in
+ * the middle of a change in 5 of 12 runs.
  */
 #define RENEW_INTERVAL (400 * USEC_PER_MSEC)
-/* A renewal that was turned away is repeated after this; one without an answer at once. */
+/* Delay before a rejected renewal is repeated; one that timed out is repeated at once. */
 #define RENEW_RETRY (200 * USEC_PER_MSEC)
-/* Wait before taking the duty; jittered, so that one of many gets it. */
+/*
+ * Upper bound of the random delay before a proxy requests a vacant leadership, so that one of many
+ * gets it.
+ */
 #define ACQUIRE_JITTER (200 * USEC_PER_MSEC)
 /*
- * And so much more if the roster has a proxy that can do more: in a large fleet the holder answers
- * all hubs. If none of those takes it, any other does.
+ * Additional delay if the roster has a proxy with more capacity: in a large fleet the leader
+ * answers all hubs. If no stronger proxy becomes the leader in this time, any other may.
  */
-#define WEAKER_WAITS (300 * USEC_PER_MSEC)
-/* After a failed attempt. */
+#define WEAKER_ACQUIRE_DELAY (300 * USEC_PER_MSEC)
+/* Delay after a failed attempt to become the leader. */
 #define ACQUIRE_BACKOFF (400 * USEC_PER_MSEC)
-/* A read that showed no holder is believed for so long. */
-#define VACANT_BELIEVED (1 * USEC_PER_SEC)
+/* How long a read of the store that found no leader counts. */
+#define VACANCY_VALID (1 * USEC_PER_SEC)
 
 COUNTER_DEFINE(duty_held, "duty_held", COUNTER_GAUGE,
-	       "1 while this proxy holds the duty to promote.");
+	       "1 while this proxy is the leader, which may change primaries.");
 
 void leader_step_down(pooler_t *pooler, const char *reason)
 {
@@ -51,7 +61,7 @@
 	sync->holding = false;
 	sync->acquire_after = now_of(pooler) + ACQUIRE_BACKOFF;
 	counter_set(&duty_held, 0);
-	LOG_EVENT(LOG_WARN, "duty lost", LOG_STR("reason", reason),
+	LOG_EVENT(LOG_WARN, "leadership lost", LOG_STR("reason", reason),
 		  LOG_INT("fence", (int64_t)sync->own_fence));
 	failover_abandon(pooler);
 }
@@ -66,19 +76,19 @@
 {
 	kv_t *kv = pooler_store(pooler);
 
-	/* If this is lost the lease ends by itself. */
+	/* If this call is lost the lease expires by itself. */
 	if (pooler->sync.lease != 0)
 		kv->ops->lease_end(kv, pooler->sync.lease, ignore_result, NULL);
 	pooler->sync.lease = 0;
 }
 
-static void on_former_ended(void *data, const kv_result_t *result)
+static void on_former_lease_ended(void *data, const kv_result_t *result)
 {
 	pooler_t *pooler = data;
 
 	if (result->status != KV_OK)
 		pooler->sync.former_lease = 0;
-	/* The next reading shows that the duty is vacant. */
+	/* The next read of the store shows that there is no leader. */
 	pooler->sync.behind = true;
 }
 
@@ -89,11 +99,12 @@
 	if (lease == 0 || lease == pooler->sync.former_lease)
 		return;
 	pooler->sync.former_lease = lease;
-	LOG_EVENT(LOG_INFO, "lease of an earlier life is ended", LOG_INT("lease", (int64_t)lease));
-	kv->ops->lease_end(kv, lease, on_former_ended, pooler);
+	LOG_EVENT(LOG_INFO, "ending the leader lease of an earlier process of this proxy",
+		  LOG_INT("lease", (int64_t)lease));
+	kv->ops->lease_end(kv, lease, on_former_lease_ended, pooler);
 }
 
-static void take_up(pooler_t *pooler, uint64_t fence)
+static void assume_leadership(pooler_t *pooler, uint64_t fence)
 {
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
@@ -115,14 +126,20 @@
 	usec_t now = now_of(pooler);
 
 	sync->acquiring = false;
-	/* The answer may come after the hold has ended and gone to another. */
+	/*
+	 * The answer may arrive after this lease has expired and another proxy has become the
+	 * leader.
+	 */
 	if (result->status == KV_OK && now < sync->hold_until &&
 	    (uint64_t)result->as_of >= sync->fence) {
-		take_up(pooler, (uint64_t)result->as_of);
+		assume_leadership(pooler, (uint64_t)result->as_of);
 		return;
 	}
 	sync->acquire_after = now + ACQUIRE_BACKOFF;
-	/* Unanswered, it may have been won: the next read shows whose key is there. */
+	/*
+	 * If the call timed out, the key may have been written: the next read of the store shows
+	 * whose it is.
+	 */
 	if (result->status != KV_LOST)
 		end_lease(pooler);
 }
@@ -134,11 +151,12 @@
 	if (sync->holding || sync->lease == 0 || incarnation != pooler->config.incarnation ||
 	    now_of(pooler) >= sync->hold_until || fence < sync->fence)
 		return;
-	LOG_EVENT(LOG_INFO, "duty won, though no answer came", LOG_INT("fence", (int64_t)fence));
-	take_up(pooler, fence);
+	LOG_EVENT(LOG_INFO, "leadership acquired: the unanswered write succeeded",
+		  LOG_INT("fence", (int64_t)fence));
+	assume_leadership(pooler, fence);
 }
 
-static void on_lease(void *data, const kv_result_t *result)
+static void on_lease_created(void *data, const kv_result_t *result)
 {
 	pooler_t *pooler = data;
 	sync_t *sync = &pooler->sync;
@@ -163,25 +181,26 @@
 	talloc_free(key);
 }
 
-static usec_t duty_ttl(const pooler_t *pooler)
+static usec_t lease_ttl(const pooler_t *pooler)
 {
 	usec_t least = pooler->config.lease_least;
 
-	return least > DUTY_TTL ? least : DUTY_TTL;
+	return least > LEASE_TTL ? least : LEASE_TTL;
 }
 
-static void acquire(pooler_t *pooler, usec_t now)
+static void request_lease(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 	kv_t *kv = pooler_store(pooler);
 
 	sync->acquiring = true;
-	/* The lease runs from the call's arrival, which is no earlier than its sending. */
-	sync->hold_until = now + duty_ttl(pooler) - DUTY_MARGIN;
-	kv->ops->lease_create(kv, (int64_t)(duty_ttl(pooler) / USEC_PER_MSEC), on_lease, pooler);
+	/* The lease begins when the call arrives at the store, which is no earlier than now. */
+	sync->hold_until = now + lease_ttl(pooler) - LEASE_MARGIN;
+	kv->ops->lease_create(kv, (int64_t)(lease_ttl(pooler) / USEC_PER_MSEC), on_lease_created,
+			      pooler);
 }
 
-static bool is_stronger_listed(const pooler_t *pooler)
+static bool has_stronger_proxy(const pooler_t *pooler)
 {
 	const roster_node_t *self = roster_node(pooler->sync.roster, pooler->config.name);
 
@@ -194,24 +213,24 @@
 	return false;
 }
 
-/* A vacant duty is taken after a short random wait. */
-static void consider_acquiring(pooler_t *pooler, usec_t now)
+/* Requests a vacant leadership after a short random delay. */
+static void acquire_if_vacant(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 	bool vacant = sync->last_read_ok != 0 && sync->holder == NULL &&
-		      now < sync->last_read_ok + VACANT_BELIEVED;
+		      now < sync->last_read_ok + VACANCY_VALID;
 
 	if (!vacant || sync->acquiring || sync->holding || pooler->draining ||
 	    (!permit_is_registered(pooler) && !restore_is_due(pooler)))
 		return;
 	if (sync->acquire_after < sync->last_read_ok) {
 		sync->acquire_after = now + pooler_random(pooler, ACQUIRE_JITTER);
-		if (is_stronger_listed(pooler) || restore_yields(pooler))
-			sync->acquire_after += WEAKER_WAITS;
+		if (has_stronger_proxy(pooler) || restore_yields(pooler))
+			sync->acquire_after += WEAKER_ACQUIRE_DELAY;
 		return;
 	}
 	if (now >= sync->acquire_after)
-		acquire(pooler, now);
+		request_lease(pooler, now);
 }
 
 typedef struct renewal {
@@ -230,9 +249,12 @@
 	sync->renewing = false;
 	if (sync->holding && sync->lease == renewal->lease) {
 		if (result->status == KV_OK) {
-			/* While it is held nobody else changes a group; see sync_commit(). */
+			/*
+			 * Only the leader changes groups, so a renewed lease confirms this proxy's
+			 * roster; see sync_commit().
+			 */
 			sync_confirm(pooler, renewal->sent_at);
-			sync->hold_until = renewal->sent_at + duty_ttl(pooler) - DUTY_MARGIN;
+			sync->hold_until = renewal->sent_at + lease_ttl(pooler) - LEASE_MARGIN;
 			sync->renew_next = now + RENEW_INTERVAL;
 		} else if (result->status == KV_NOT_FOUND) {
 			if (result->era > sync->lease_era)
@@ -259,7 +281,7 @@
 	kv->ops->lease_keep(kv, sync->lease, on_renewed, renewal);
 }
 
-static void keep(pooler_t *pooler, usec_t now)
+static void renew_if_due(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 
@@ -284,6 +306,6 @@
 
 void leader_tick(pooler_t *pooler, usec_t now)
 {
-	keep(pooler, now);
-	consider_acquiring(pooler, now);
+	renew_if_due(pooler, now);
+	acquire_if_vacant(pooler, now);
 }
