--- a/pooler/verdict.h
+++ b/pooler/verdict.h
@@ -1,37 +1,45 @@
 /*
- * Whether the primary of a service must be replaced, judged by the holder of
- * the duty from the list of members and from what the proxies see.
+ * Decides whether the primary of a service must be replaced. The leader decides this from the
+ * platform's list of members and from what all proxies report of the primary.
  */
 #pragma once
 
 #include "state.h"
 
-/* What the roster says of the service, or NULL. */
+/* The service's group in the current roster, or NULL. */
 roster_group_t *service_roster_group(const service_t *service);
 
-/* The primary that the roster names, permitted or not; NULL if it is unknown. */
+/*
+ * The primary that the roster names, whether or not this proxy may use it now; NULL if the
+ * platform's list does not have it.
+ */
 member_t *service_roster_primary(const service_t *service);
 
 /*
- * What verdict_replace_reason() returns, this pointer itself, for a primary that answers and fails
- * a good part of the statements.
+ * The reason, compared by address, that verdict_replace_reason() returns for a primary that answers
+ * but fails a substantial part of the statements.
  */
 extern const char *const verdict_reason_failing;
 
 /*
- * Counts what other proxies have reported, for verdict_replace_reason() of all services: one pass
- * over the reports, since 100 proxies before 334 services would be searched 33,400 times.
+ * Counts the states of primaries that other proxies have reported, for all services in one pass
+ * over the reports: searching the reports for each service would take 33,400 steps with 100 proxies
+ * and 334 services.
  */
 void verdict_count_votes(pooler_t *pooler, usec_t now);
 
-/* Why the primary must be replaced, or NULL. */
+/* Why the primary must be replaced, or NULL. May have the primary probed. */
 const char *verdict_replace_reason(const service_t *service, usec_t now);
 
-/* Services whose primary does not answer the holder, joined by blanks, as a child of parent. */
+/*
+ * Suspected services: those whose primary does not answer the leader. Names joined by blanks, a
+ * talloc child of parent.
+ */
 char *verdict_suspects(const pooler_t *pooler, usec_t now, void *parent);
 
 /*
- * The holder has doubts: whoever has to do with these services asks their primaries, if it has not
- * heard them of late, and reports what it sees with its next question.
+ * The leader suspects the primaries of these services. A proxy that normally has connections to one
+ * of them probes it, unless it replied recently, and includes the result in its next query to the
+ * leader.
  */
 void verdict_on_suspects(pooler_t *pooler, const char *doubts, usec_t now);
