--- a/pooler/permit.c
+++ b/pooler/permit.c
@@ -15,7 +15,7 @@
 	return self != NULL && !self->gone && self->incarnation == pooler->config.incarnation;
 }
 
-static int latest_first(const void *a, const void *b)
+static int compare_latest_first(const void *a, const void *b)
 {
 	usec_t x = *(const usec_t *)a;
 	usec_t y = *(const usec_t *)b;
@@ -37,8 +37,8 @@
 		if (report != NULL && report->agreed_at != 0)
 			times[count++] = report->agreed_at;
 	}
-	qsort(times, count, sizeof(*times), latest_first);
-	/* This proxy itself always agrees. */
+	qsort(times, count, sizeof(*times), compare_latest_first);
+	/* This proxy counts itself, so one confirmation fewer is needed. */
 	sync->agreed_at = needed >= 2 && count >= needed - 1 ? times[needed - 2] : 0;
 	talloc_free(times);
 }
@@ -55,18 +55,18 @@
 usec_t permit_expires_at(const pooler_t *pooler)
 {
 	const sync_t *sync = &pooler->sync;
-	usec_t alone;
-	usec_t together;
+	usec_t lease_end;
+	usec_t quorum_end;
 
 	if (sync->confirmed_at == USEC_NEVER)
 		return 0;
-	alone = sync->confirmed_at + PERMIT_LEASE_TIME;
-	if (now_of(pooler) < alone)
-		return alone;
-	together = permit_quorum_confirmed_at(pooler) + PERMIT_LEASE_TIME;
-	if (together > sync->confirmed_at + PERMIT_LEASE_MAX)
-		together = sync->confirmed_at + PERMIT_LEASE_MAX;
-	return together > alone ? together : alone;
+	lease_end = sync->confirmed_at + PERMIT_LEASE_TIME;
+	if (now_of(pooler) < lease_end)
+		return lease_end;
+	quorum_end = permit_quorum_confirmed_at(pooler) + PERMIT_LEASE_TIME;
+	if (quorum_end > sync->confirmed_at + PERMIT_LEASE_MAX)
+		quorum_end = sync->confirmed_at + PERMIT_LEASE_MAX;
+	return quorum_end > lease_end ? quorum_end : lease_end;
 }
 
 member_t *permit_primary(const service_t *service, usec_t now)
@@ -98,7 +98,7 @@
 	return listed;
 }
 
-static bool holds(const roster_node_t *node, const peer_report_t *report, int64_t revision)
+static bool has_revision(const roster_node_t *node, const peer_report_t *report, int64_t revision)
 {
 	return report != NULL && report->incarnation == node->incarnation &&
 	       report->revision >= revision;
@@ -112,7 +112,7 @@
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
 		const peer_report_t *report = exchange_report(pooler, node->name);
 
-		if (holds(node, report, revision) && report->fleet > (int64_t)fleet)
+		if (has_revision(node, report, revision) && report->fleet > (int64_t)fleet)
 			fleet = (size_t)report->fleet;
 	}
 	return fleet;
@@ -128,7 +128,7 @@
 
 		if (strcmp(node->name, pooler->config.name) == 0)
 			continue;
-		behind += !holds(node, report, revision);
+		behind += !has_revision(node, report, revision);
 	}
 	return behind < permit_quorum(permit_fleet_size(pooler, revision));
 }
--- a/pooler/survey.c
+++ b/pooler/survey.c
@@ -5,18 +5,21 @@
 #include "member.h"
 #include "verdict.h"
 
-/* Members that have not told their position by then are left out. */
-#define SURVEY_TIME (350 * USEC_PER_MSEC)
+/* Members that have not reported their position by then are left out. */
+#define SURVEY_TIMEOUT (350 * USEC_PER_MSEC)
 /*
- * What a service with synchronous replicas waits for a member that may alone have the last
- * commits. As long as a member without an entry is remembered: one that has been away for longer
- * can't have acknowledged what came after.
+ * How long a service with synchronous replicas waits for a member that may be the only one with the
+ * last commits. This is how long a member without an entry is kept: one that was away for longer
+ * can't have acknowledged what was committed since.
  */
-#define SYNC_PATIENCE (30 * USEC_PER_SEC)
-/* With synchronous replicas any one of them may be the only one with the last commit. */
-#define SURVEY_TIME_SYNC (3 * USEC_PER_SEC)
-/* A member so many times as quick as another is not so by chance: they share the reads. */
-#define FAR_QUICKER 4
+#define SYNC_WAIT_MAX (30 * USEC_PER_SEC)
+/*
+ * With synchronous replicas any one of the members may be the only one with the last commit, so
+ * they get more time to answer.
+ */
+#define SURVEY_TIMEOUT_SYNC (3 * USEC_PER_SEC)
+/* A member this many times faster than another is not so by chance, as they share the reads. */
+#define MUCH_FASTER_FACTOR 4
 
 void survey_begin(service_t *service)
 {
@@ -30,9 +33,9 @@
 }
 
 /*
- * A member that leads already, in a newer term than the primary that is written down. A
- * superseded primary that is cut off calls itself primary too: taking it back would bring
- * writes back that were rolled back, and lose those since.
+ * Finds a member that is the primary already in a newer term than the roster's. A superseded
+ * primary that is cut off also reports itself as primary: accepting it would restore rolled-back
+ * writes and lose all writes since then.
  */
 member_t *survey_newer_primary(const service_t *service, const member_t *old)
 {
@@ -50,7 +53,7 @@
 	return NULL;
 }
 
-static bool all_answered(const service_t *service)
+static bool have_all_answered(const service_t *service)
 {
 	list_for_each (it, &service->members) {
 		const member_t *member = list_entry(it, member_t, in_service);
@@ -61,8 +64,10 @@
 	return true;
 }
 
-/* A member that starts again has another id, the same address and its log. */
-static bool is_back(const member_t *member)
+/*
+ * True if the member has restarted: it then has another id, but the same address and the same log.
+ */
+static bool is_listed_again(const member_t *member)
 {
 	list_for_each (it, &member->service->members) {
 		const member_t *other = list_entry(it, member_t, in_service);
@@ -74,13 +79,13 @@
 	return false;
 }
 
-/* True if nobody else has the log of a member that is not listed any more. */
-static bool log_is_missing(const member_t *member)
+/* True if no other entry stands for the log of a member that is no longer listed. */
+static bool is_log_missing(const member_t *member)
 {
-	return member->unlisted && !member->leaving && !is_back(member);
+	return member->unlisted && !member->leaving && !is_listed_again(member);
 }
 
-static bool is_sync(const service_t *service)
+static bool has_sync_replicas(const service_t *service)
 {
 	const routes_t *routes = service->pooler->routes;
 	const service_limits_t *limits =
@@ -97,31 +102,37 @@
 	list_for_each (it, &service->members) {
 		member_t *member = list_entry(it, member_t, in_service);
 
-		/* The store alone may have lost it. */
-		if (!member->unlisted || (is_sync(service) && log_is_missing(member)))
+		/*
+		 * An unlisted member may still be running; its entry may have been lost at the
+		 * store only.
+		 */
+		if (!member->unlisted || (has_sync_replicas(service) && is_log_missing(member)))
 			member_query_status(member);
 	}
 }
 
-/* True if the member is to stay. */
-static bool stays(const member_t *member)
+/* True if the member is listed and is not about to leave. */
+static bool is_staying(const member_t *member)
 {
 	return !member->unlisted && !member->leaving;
 }
 
 /*
- * True if a serves callers far better than b, as seen from here. One that fails or is slow as well
- * would be replaced in turn, and callers would wait twice.
+ * True if member a serves callers far better than b, as this proxy observes it. A primary that
+ * fails statements or is slow would be replaced in turn, and callers would wait twice.
  */
 static bool is_healthier(const member_t *a, const member_t *b)
 {
 	if (a->outlier.ejected != b->outlier.ejected)
 		return b->outlier.ejected;
-	return a->response_time * FAR_QUICKER <= b->response_time;
+	return a->response_time * MUCH_FASTER_FACTOR <= b->response_time;
 }
 
-/* Furthest in the newest term; a member that missed a change has an older term. */
-static bool is_better(const member_t *a, const member_t *b)
+/*
+ * The better candidate is further ahead in the newest term; a member that missed a change of
+ * primary has an older term.
+ */
+static bool is_better_candidate(const member_t *a, const member_t *b)
 {
 	if (a->status.term != b->status.term)
 		return a->status.term > b->status.term;
@@ -129,21 +140,24 @@
 		return true;
 	if (survey_is_ahead(b->status.received, a->status.received))
 		return false;
-	return stays(a) != stays(b) ? stays(a) : is_healthier(a, b);
+	return is_staying(a) != is_staying(b) ? is_staying(a) : is_healthier(a, b);
 }
 
-/* A member that leaves may be the only one that has the last commits of a synchronous service. */
+/*
+ * With synchronous replicas members that are leaving are eligible too, since one of them may be the
+ * only one with the last commits.
+ */
 member_t *survey_best_candidate(const service_t *service, const member_t *old)
 {
-	bool sync = is_sync(service);
+	bool sync = has_sync_replicas(service);
 	member_t *best = NULL;
 
 	list_for_each (it, &service->members) {
 		member_t *member = list_entry(it, member_t, in_service);
 
-		if (member == old || !member->survey_answered || (!sync && !stays(member)))
+		if (member == old || !member->survey_answered || (!sync && !is_staying(member)))
 			continue;
-		if (best == NULL || is_better(member, best))
+		if (best == NULL || is_better_candidate(member, best))
 			best = member;
 	}
 	return best;
@@ -151,43 +165,43 @@
 
 bool survey_is_complete(const service_t *service, usec_t now)
 {
-	usec_t limit = is_sync(service) ? SURVEY_TIME_SYNC : SURVEY_TIME;
+	usec_t timeout = has_sync_replicas(service) ? SURVEY_TIMEOUT_SYNC : SURVEY_TIMEOUT;
 
-	return all_answered(service) || now >= service->change.step_since + limit;
+	return have_all_answered(service) || now >= service->change.step_since + timeout;
 }
 
-/* True if the member has not answered, and may have what nobody else has. */
-static bool is_missing(const member_t *member)
+/* True if the member has not answered, and may have commits that no other member has. */
+static bool may_have_unseen_commits(const member_t *member)
 {
-	return !member->survey_answered && (!member->unlisted || log_is_missing(member));
+	return !member->survey_answered && (!member->unlisted || is_log_missing(member));
 }
 
-/* Members, the old primary included. */
-static size_t count_missing(const service_t *service)
+/* Number of such members, including the old primary. */
+static size_t count_unseen(const service_t *service)
 {
-	size_t missing = 0;
+	size_t unseen = 0;
 
 	list_for_each (it, &service->members) {
 		const member_t *member = list_entry(it, member_t, in_service);
 
-		missing += is_missing(member);
+		unseen += may_have_unseen_commits(member);
 	}
-	return missing;
+	return unseen;
 }
 
 bool survey_has_acknowledged_commits(const service_t *service, const member_t *best,
 				     const member_t *old, usec_t now)
 {
-	size_t missing;
+	size_t unseen;
 
-	if (!is_sync(service) || now >= service->change.started + SYNC_PATIENCE)
+	if (!has_sync_replicas(service) || now >= service->change.started + SYNC_WAIT_MAX)
 		return true;
 	if (old != NULL && old->survey_answered &&
 	    !survey_is_ahead(old->status.received, best->status.received))
 		return true;
-	/* What the old primary has acknowledged, a replica has too. */
-	missing = count_missing(service);
-	if (old != NULL && is_missing(old))
-		missing--;
-	return missing == 0;
+	/* Every commit that the old primary acknowledged is on a replica too. */
+	unseen = count_unseen(service);
+	if (old != NULL && may_have_unseen_commits(old))
+		unseen--;
+	return unseen == 0;
 }
--- a/pooler/survey.h
+++ b/pooler/survey.h
@@ -1,34 +1,35 @@
 /*
- * Asking the members of a service how far they are, and choosing who is to lead.
+ * Survey: queries the members of a service for their log positions, and chooses the one to promote.
  */
 #pragma once
 
 #include "state.h"
 
-/* Between two questions to a member. */
+/* Between two queries to a member. */
 #define SURVEY_INTERVAL (60 * USEC_PER_MSEC)
 
-/* Forget earlier answers. */
+/* Discards earlier answers. */
 void survey_begin(service_t *service);
 
-/* Ask all members again if it is time. */
+/* Queries all members again when the interval has passed. */
 void survey_query_members(service_t *service, usec_t now);
 
-/* True once all that may answer have, or enough time has passed. */
+/* True once all members that may answer have done so, or the time limit has passed. */
 bool survey_is_complete(const service_t *service, usec_t now);
 
-/* True if position a is ahead of b. */
+/* True if position a is ahead of position b. */
 bool survey_is_ahead(position_t a, position_t b);
 
-/* The member that received most, among those that may lead; NULL if none answered. */
+/* The eligible member, other than old, that has received the most; NULL if none answered. */
 member_t *survey_best_candidate(const service_t *service, const member_t *old);
 
-/* A member that leads already, in a newer term than the primary that is written down. */
+/* A member that reports itself as primary with a newer term than the roster's primary, or NULL. */
 member_t *survey_newer_primary(const service_t *service, const member_t *old);
 
 /*
- * False if the service waits for a replica to receive each commit and best may lack one that was
- * acknowledged, since a member that may have it has not answered. old: the primary, or NULL.
+ * True if best has every commit that was acknowledged to a caller. False for a service with
+ * synchronous replicas if best may lack an acknowledged commit, because a member that may have it
+ * has not answered. old: the primary so far, or NULL.
  */
 bool survey_has_acknowledged_commits(const service_t *service, const member_t *best,
 				     const member_t *old, usec_t now);
