--- a/pooler/freshness.c
+++ b/pooler/freshness.c
@@ -8,15 +8,18 @@
 	freshness->len = 0;
 }
 
-static const sample_t *newest(const freshness_t *freshness)
+static const sample_t *newest_sample(const freshness_t *freshness)
 {
 	return &freshness->ring[(freshness->next + FRESHNESS_SAMPLES - 1) % FRESHNESS_SAMPLES];
 }
 
 void freshness_add(freshness_t *freshness, usec_t sent_at, position_t position)
 {
-	/* Replies come back out of order over several connections; old ones add nothing. */
-	if (freshness->len != 0 && sent_at < newest(freshness)->sent_at + FRESHNESS_SPACING)
+	/*
+	 * Replies arrive out of order over several connections; a sample older than the newest adds
+	 * nothing.
+	 */
+	if (freshness->len != 0 && sent_at < newest_sample(freshness)->sent_at + FRESHNESS_SPACING)
 		return;
 	freshness->ring[freshness->next] = (sample_t){.sent_at = sent_at, .position = position};
 	freshness->next = (freshness->next + 1) % FRESHNESS_SAMPLES;
@@ -24,7 +27,7 @@
 		freshness->len++;
 }
 
-/* The sample that is so many places before the end of the ring. */
+/* The sample that is before_end places before the end of the ring. */
 static const sample_t *sample_at(const freshness_t *freshness, size_t before_end)
 {
 	return &freshness->ring[(freshness->next + FRESHNESS_SAMPLES - before_end) %
--- a/pooler/freshness.h
+++ b/pooler/freshness.h
@@ -1,9 +1,8 @@
 /*
- * How fresh a replica must be. A statement that was sent to the primary at our
- * time t and came back with log position p proves that p covers every commit
- * acknowledged before t. A replica whose log holds p is then at most now - t
- * behind. Only our own clock is used, and only while the primary was permitted
- * when the statement was sent.
+ * Freshness of replicas. If a statement was sent to the primary at time t of this process's clock,
+ * and the reply carried log position p, then p covers every commit that was acknowledged before t.
+ * So a replica whose log contains p is at most now - t behind. Only this process's own clock is
+ * used, and a sample counts only if the primary was permitted when the statement was sent.
  */
 #pragma once
 
@@ -12,9 +11,11 @@
 #include "clock.h"
 #include "position.h"
 
-/* Between two kept samples. */
+/* Between two stored samples. */
 #define FRESHNESS_SPACING (40 * USEC_PER_MSEC)
-/* Samples kept: 5 s of them at that spacing, longer than the usual bound of a route. */
+/*
+ * Samples stored: 5 s of them at that spacing, which is longer than the usual max_age of a route.
+ */
 #define FRESHNESS_SAMPLES 128
 
 typedef struct sample {
@@ -28,19 +29,21 @@
 	size_t len;
 } freshness_t;
 
-/* NULL stands for no samples wherever they are read or forgotten. */
+/* NULL is accepted as an empty set by all functions except freshness_add(). */
 
-/* Forget everything: the samples' primary is no longer the primary. */
+/* Drops all samples, since their primary is no longer the primary. */
 void freshness_reset(freshness_t *freshness);
 
 void freshness_add(freshness_t *freshness, usec_t sent_at, position_t position);
 
-/* When the primary was last known to have no more than position; 0 if that is not known. */
+/*
+ * The latest time at which the primary is known to have had no commit beyond position; 0: unknown.
+ */
 usec_t freshness_position_time(const freshness_t *freshness, position_t position);
 
 /*
- * The oldest position that makes a read at most max_age old at now; replicas
- * are most likely to hold that one. Returns false if no sample is young enough.
+ * The oldest position that makes a read at most max_age old at the time now; a replica is most
+ * likely to have that one. False if no sample is recent enough.
  */
 bool freshness_min_position(const freshness_t *freshness, usec_t now, usec_t max_age,
 			    sample_t *sample);
--- a/pooler/outlier.c
+++ b/pooler/outlier.c
@@ -2,61 +2,72 @@
 
 #include "counter.h"
 
-/* What is older says nothing of now: members recover within seconds. */
-#define EVIDENCE_AGE (2 * USEC_PER_SEC)
-/* A single lost answer, or two, happen to every member. */
-#define BAD_LEAST 3
-/* In percent. Under a quarter a caller's second attempt nearly always goes well. */
-#define BAD_PERCENT 25
-/* Statements at the others that show how well those do: eight that go well are no chance. */
-#define OTHERS_LEAST 8
+/* Older outcomes are ignored, since members recover within seconds. */
+#define OUTCOME_MAX_AGE (2 * USEC_PER_SEC)
+/* Failures needed for an ejection: one or two lost answers happen to every member. */
+#define MIN_FAILURES 3
 /*
- * For a primary a cumulative sum of what went wrong: up by five with each bad statement, down by
- * two with each good one, so that it grows from three bad ones in ten on. A change of primary costs
- * a second to one and a half without writes, and troubles last some five: a primary that fails four
- * in ten for that long costs more than its change, one that fails a fifth costs less. From
- * FAILING_SUM on, which three bad ones in a row reach, it counts as failing: in a fleet that is
- * large for its load a proxy sends a primary only one a second. But not within FAILING_LASTS of the
- * first: a proxy that sends thirty a second sees three in a row where a fifth fails, too.
+ * Share of failures needed for an ejection: below a quarter a caller's second attempt nearly always
+ * succeeds.
  */
-#define FAILING_UP    5
-#define FAILING_DOWN  2
-#define FAILING_SUM   15
-#define FAILING_LASTS (500 * USEC_PER_MSEC)
-/* Nothing went wrong for so long: the sum starts anew. */
-#define FAILING_FORGET (3 * USEC_PER_SEC)
-/* As bad as the others together so many times: less is the statements' own doing, or the load's. */
-#define WORSE_THAN_OTHERS 2
+#define FAILURE_PERCENT 25
+/* Outcomes needed from the other members to judge them: eight that succeed are not by chance. */
+#define MIN_OTHER_OUTCOMES 8
 /*
- * Out for so long at first, and at most. A member that is well again is missed no longer than its
- * trouble lasted; one that fails for minutes costs a retried read in eight seconds.
+ * A primary's failures are counted in a cumulative sum: each failed statement adds five and each
+ * successful one subtracts two, so that the sum rises from three failures in ten on. A change of
+ * primary costs one to one and a half seconds without writes, and disturbances last about five: a
+ * primary that fails four in ten statements for that long costs more than its replacement, one that
+ * fails a fifth costs less. From FAILING_SUM on, which three failures in a row reach, the primary
+ * counts as failing: in a fleet that is large for its load a proxy sends a primary only one
+ * statement a second. But FAILING_MIN_TIME must have passed since the first failure, since a proxy
+ * that sends thirty a second sees three failures in a row at a fifth of failures, too.
  */
-#define OUT_FIRST (1 * USEC_PER_SEC)
-#define OUT_MOST  (8 * USEC_PER_SEC)
-/* In use for so long, it starts with the shortest time again. */
-#define OUT_FORGET (10 * USEC_PER_SEC)
-/* Good reads in a row before it is in use again: one that fails half of them passes once in eight.
+#define FAILING_UP	 5
+#define FAILING_DOWN	 2
+#define FAILING_SUM	 15
+#define FAILING_MIN_TIME (500 * USEC_PER_MSEC)
+/* The sum restarts at zero after this time without a failure. */
+#define FAILURES_RESET_AFTER (3 * USEC_PER_SEC)
+/*
+ * A member is ejected only if its share of failures is this many times that of the others together;
+ * a smaller difference is due to the statements or the load.
+ */
+#define WORSE_FACTOR 2
+/*
+ * Length of the first ejection and of the longest. A member that has recovered is missed no longer
+ * than its disturbance lasted; one that fails for minutes costs one retried read every eight
+ * seconds.
+ */
+#define EJECTION_TIME_FIRST (1 * USEC_PER_SEC)
+#define EJECTION_TIME_MAX   (8 * USEC_PER_SEC)
+/* After this time in use the next ejection is of the shortest length again. */
+#define EJECTION_RESET_AFTER (10 * USEC_PER_SEC)
+/*
+ * Successful trial reads in a row that end an ejection: a member that fails half of its reads
+ * passes once in eight.
  */
-#define TRIALS 3
+#define TRIAL_READS 3
 /*
- * A primary that fails is believed to for so long: without statements, while it is being replaced,
- * nothing new is seen of it, and it would be kept halfway through. A change takes up to 2 s.
+ * How long a primary counts as failing. While it is being replaced it gets no statements, so there
+ * are no new outcomes, and the change would be cancelled halfway. A change takes up to 2 s.
  */
-#define FAILING_HELD (3 * USEC_PER_SEC)
+#define FAILING_HOLD_TIME (3 * USEC_PER_SEC)
 
 /*
- * Found down twice within this time, whatever it answers in between: the change that follows the
- * first time ends with an answer to one probe, after a second, and begins anew a second later.
+ * A primary that is found down twice within this time counts as failing, whatever it answers in
+ * between: otherwise the change of primary that follows the first time is cancelled after a second,
+ * when one probe is answered, and begins again a second later.
  */
-#define DOWN_AGAIN (5 * USEC_PER_SEC)
+#define REPEATED_DOWN_TIME (5 * USEC_PER_SEC)
 
 COUNTER_DEFINE(out_total, "members_taken_out_total", COUNTER_SUM,
-	       "Times that a member got no reads for a while since it failed statements.");
+	       "Times that a member was ejected from reads for failing statements.");
 
 void outlier_count_recent(const outlier_t *outlier, usec_t now, tally_t *tally)
 {
 	for (size_t i = 0; i < OUTLIER_WINDOW; i++) {
-		if (outlier->recent[i].at == 0 || outlier->recent[i].at + EVIDENCE_AGE < now)
+		if (outlier->recent[i].at == 0 || outlier->recent[i].at + OUTCOME_MAX_AGE < now)
 			continue;
 		tally->total++;
 		tally->refused += outlier->recent[i].outcome == STATEMENT_REFUSED;
@@ -66,17 +77,17 @@
 
 void outlier_mark_failing(outlier_t *outlier, usec_t now)
 {
-	outlier->failing_until = now + FAILING_HELD;
+	outlier->failing_until = now + FAILING_HOLD_TIME;
 }
 
-static void sum_up(outlier_t *outlier, statement_outcome_t outcome, usec_t now)
+static void update_failure_sum(outlier_t *outlier, statement_outcome_t outcome, usec_t now)
 {
 	if (outcome == STATEMENT_GOOD) {
 		outlier->failure_sum -=
 			outlier->failure_sum < FAILING_DOWN ? outlier->failure_sum : FAILING_DOWN;
 		return;
 	}
-	if (outlier->failure_sum == 0 || now >= outlier->last_failure_at + FAILING_FORGET) {
+	if (outlier->failure_sum == 0 || now >= outlier->last_failure_at + FAILURES_RESET_AFTER) {
 		outlier->failure_sum = 0;
 		outlier->failures_since = now;
 	}
@@ -84,18 +95,19 @@
 	outlier->failure_sum += FAILING_UP;
 	if (outlier->failure_sum > 2 * FAILING_SUM)
 		outlier->failure_sum = 2 * FAILING_SUM;
-	if (outlier->failure_sum >= FAILING_SUM && now >= outlier->failures_since + FAILING_LASTS)
+	if (outlier->failure_sum >= FAILING_SUM &&
+	    now >= outlier->failures_since + FAILING_MIN_TIME)
 		outlier_mark_failing(outlier, now);
 }
 
-static void forget(outlier_t *outlier)
+static void clear_window(outlier_t *outlier)
 {
 	for (size_t i = 0; i < OUTLIER_WINDOW; i++)
 		outlier->recent[i].at = 0;
 }
 
-/* A statement while it is out and its time is over: a trial. */
-static void on_trial(outlier_t *outlier, statement_outcome_t outcome, usec_t now)
+/* Handles the outcome of a trial read. */
+static void on_trial_outcome(outlier_t *outlier, statement_outcome_t outcome, usec_t now)
 {
 	if (outcome != STATEMENT_GOOD) {
 		outlier_eject(outlier, now);
@@ -105,7 +117,7 @@
 	if (outlier->trials_left != 0)
 		return;
 	outlier->ejected = false;
-	forget(outlier);
+	clear_window(outlier);
 }
 
 void outlier_record(outlier_t *outlier, statement_outcome_t outcome, usec_t now)
@@ -113,15 +125,15 @@
 	outlier->recent[outlier->next].at = now;
 	outlier->recent[outlier->next].outcome = outcome;
 	outlier->next = (outlier->next + 1) % OUTLIER_WINDOW;
-	sum_up(outlier, outcome, now);
-	/* What was sent before it was taken out is no trial. */
+	update_failure_sum(outlier, outcome, now);
+	/* Statements that were sent before the ejection are no trial reads. */
 	if (outlier->ejected && now >= outlier->ejected_until)
-		on_trial(outlier, outcome, now);
+		on_trial_outcome(outlier, outcome, now);
 }
 
 void outlier_on_down(outlier_t *outlier, usec_t now)
 {
-	if (outlier->down_at != 0 && now < outlier->down_at + DOWN_AGAIN)
+	if (outlier->down_at != 0 && now < outlier->down_at + REPEATED_DOWN_TIME)
 		outlier_mark_failing(outlier, now);
 	outlier->down_at = now;
 }
@@ -129,27 +141,27 @@
 bool outlier_is_worse(const outlier_t *outlier, const tally_t *others, usec_t now)
 {
 	tally_t own = {0};
-	size_t bad;
+	size_t failures;
 
 	outlier_count_recent(outlier, now, &own);
-	bad = own.failed + own.refused;
-	/* Without a few at others nothing shows that those would do better. */
-	return others->total >= OTHERS_LEAST && bad >= BAD_LEAST &&
-	       bad * 100 >= own.total * BAD_PERCENT &&
-	       bad * others->total >=
-		       WORSE_THAN_OTHERS * (others->failed + others->refused) * own.total;
+	failures = own.failed + own.refused;
+	/* Without some outcomes at other members nothing shows that those would do better. */
+	return others->total >= MIN_OTHER_OUTCOMES && failures >= MIN_FAILURES &&
+	       failures * 100 >= own.total * FAILURE_PERCENT &&
+	       failures * others->total >=
+		       WORSE_FACTOR * (others->failed + others->refused) * own.total;
 }
 
 void outlier_eject(outlier_t *outlier, usec_t now)
 {
 	if (outlier->ejection_time == 0 ||
-	    (!outlier->ejected && now >= outlier->ejected_until + OUT_FORGET))
-		outlier->ejection_time = OUT_FIRST;
-	else if (outlier->ejection_time < OUT_MOST)
+	    (!outlier->ejected && now >= outlier->ejected_until + EJECTION_RESET_AFTER))
+		outlier->ejection_time = EJECTION_TIME_FIRST;
+	else if (outlier->ejection_time < EJECTION_TIME_MAX)
 		outlier->ejection_time *= 2;
 	outlier->ejected = true;
 	outlier->ejected_until = now + outlier->ejection_time;
-	outlier->trials_left = TRIALS;
+	outlier->trials_left = TRIAL_READS;
 	counter_add(&out_total, 1);
 }
 
--- a/pooler/sweep.c
+++ b/pooler/sweep.c
@@ -12,40 +12,43 @@
 #include "log.h"
 
 /*
- * A proxy not heard of for so long is marked as gone. Proxies ask the holder every 0.25 s, and
- * a process that was killed is back on the users' platform after 1.5 s; one that was marked by
+ * A proxy that has sent nothing for this long is marked as gone. Proxies query the leader every
+ * 0.25 s, and a process that was killed is restarted within 1.5 s; a proxy that was marked by
  * mistake registers itself again.
  */
-#define NODE_SILENT (4 * USEC_PER_SEC)
-/* Marked for so long, it is taken off the roster. */
-#define NODE_REMOVE (2 * PERMIT_LEASE_MAX)
+#define NODE_SILENCE_TIMEOUT (4 * USEC_PER_SEC)
+/* A proxy is removed from the roster this long after it was marked. */
+#define NODE_REMOVE_DELAY (2 * PERMIT_LEASE_MAX)
 
-static void on_swept(void *data, const kv_result_t *result)
+static void on_roster_written(void *data, const kv_result_t *result)
 {
 	pooler_t *pooler = data;
 
-	(void)result; /* looked at again with the next tick */
+	(void)result; /* checked again at the next tick */
 	pooler->sweeping = false;
 }
 
-typedef enum { ENTRY_STAYS, ENTRY_GONE, ENTRY_REMOVED } entry_end_t;
+typedef enum { ENTRY_KEEP, ENTRY_MARK_GONE, ENTRY_REMOVE } entry_action_t;
 
-/* What is to become of a proxy's entry. */
-static entry_end_t judge(pooler_t *pooler, const roster_node_t *node, usec_t now)
+/* Decides whether a proxy's entry in the roster stays, is marked as gone or is removed. */
+static entry_action_t decide_entry(pooler_t *pooler, const roster_node_t *node, usec_t now)
 {
 	peer_report_t *report = exchange_get_report(pooler, node->name);
-	usec_t heard = report->heard_at;
+	usec_t alive_at = report->heard_at;
 
 	if (strcmp(node->name, pooler->config.name) == 0)
-		return ENTRY_STAYS;
+		return ENTRY_KEEP;
 	if (!node->gone) {
 		report->gone_seen = 0;
-		if (heard < pooler->sync.held_since)
-			heard = pooler->sync.held_since;
-		/* A proxy that was cut off may be back in the store before its messages come. */
-		if (heard < report->entered_at)
-			heard = report->entered_at;
-		return now < heard + NODE_SILENT ? ENTRY_STAYS : ENTRY_GONE;
+		if (alive_at < pooler->sync.held_since)
+			alive_at = pooler->sync.held_since;
+		/*
+		 * A proxy that was cut off may write itself to the roster again before its messages
+		 * arrive.
+		 */
+		if (alive_at < report->entered_at)
+			alive_at = report->entered_at;
+		return now < alive_at + NODE_SILENCE_TIMEOUT ? ENTRY_KEEP : ENTRY_MARK_GONE;
 	}
 	if (report->gone_seen == 0) {
 		report->gone_seen = now;
@@ -54,12 +57,12 @@
 	}
 	if (report->gone_known == 0 && permit_quorum_has_revision(pooler, report->gone_revision))
 		report->gone_known = now;
-	return now < report->gone_seen + NODE_REMOVE ? ENTRY_STAYS : ENTRY_REMOVED;
+	return now < report->gone_seen + NODE_REMOVE_DELAY ? ENTRY_KEEP : ENTRY_REMOVE;
 }
 
-static void change_entry(roster_t *roster, const char *name, entry_end_t end)
+static void update_entry(roster_t *roster, const char *name, entry_action_t action)
 {
-	if (end == ENTRY_REMOVED) {
+	if (action == ENTRY_REMOVE) {
 		roster_remove_node(roster, name);
 		return;
 	}
@@ -85,17 +88,17 @@
 		return;
 	list_for_each (it, &pooler->sync.roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
-		entry_end_t end = judge(pooler, node, now);
+		entry_action_t action = decide_entry(pooler, node, now);
 
-		if (end == ENTRY_STAYS)
+		if (action == ENTRY_KEEP)
 			continue;
 		if (changed == NULL)
 			changed = roster_copy(NULL, pooler->sync.roster);
-		change_entry(changed, node->name, end);
+		update_entry(changed, node->name, action);
 	}
 	if (changed == NULL)
 		return;
 	pooler->sweeping = true;
-	sync_commit(pooler, changed, on_swept, pooler);
+	sync_commit(pooler, changed, on_roster_written, pooler);
 	talloc_free(changed);
 }
