--- a/pooler/home.c
+++ b/pooler/home.c
@@ -16,103 +16,115 @@
 #include "log.h"
 
 /*
- * Proxies for each connection of a member above which homes hold them, in percent. Below that every
- * proxy can have one of its own, and a way more for each statement gains nothing: 9 proxies before
- * 16 connections and 7 before 55 serve as many in time either way. Of 75 proxies before 36
- * connections, by turns, half of the statements needed a new one: 54,664 for 137,050, with homes
- * 2,998.
+ * Homes are used when the fleet has more proxies than this percentage of the connections that a
+ * member accepts. Below it every proxy can have a connection of its own, and forwarding gains
+ * nothing: 9 proxies with 16 connections and 7 with 55 serve as many statements in time either way.
+ * Of 75 proxies sharing 36 connections half of the statements needed a new connection: 54,664 for
+ * 137,050 statements, and 2,998 with homes.
+ */
+#define MAX_DIRECT_PERCENT 50
+/*
+ * Connections to a member that each home must be able to have; if they don't suffice there are
+ * fewer homes.
+ */
+#define MIN_CONNS_PER_HOME 2
+/*
+ * A home that has not answered a statement after this time, which is longer than usual work takes,
+ * is pinged.
  */
-#define DIRECT_PERCENT 50
-/* Connections to a member that make a home worth having; with fewer there are fewer homes. */
-#define HOME_LEAST 2
-/* A home with a statement unanswered for so long is asked whether it lives: usual work and more. */
 #define PING_AFTER (100 * USEC_PER_MSEC)
-/* Between two such questions: half of the time for which it is silent, within these. */
-#define PING_INTERVAL	   (100 * USEC_PER_MSEC)
-#define PING_INTERVAL_MOST (400 * USEC_PER_MSEC)
+/* Between two pings: half of the time since the peer last answered, within these bounds. */
+#define PING_INTERVAL	  (100 * USEC_PER_MSEC)
+#define PING_INTERVAL_MAX (400 * USEC_PER_MSEC)
 /*
- * Links that are made with one tick. Each takes some 10 ms on a VM with an eighth of a core: those
- * to all homes of a zone at once would hold up the loop for 100 to 260 ms, just when callers wait
- * after a loss of power.
+ * New links to homes per tick. Each takes some 10 ms on a VM with an eighth of a core: connecting
+ * to all homes of a zone at once would block the event loop for 100 to 260 ms, just when callers
+ * wait after a loss of power.
  */
-#define LINKS_AT_ONCE 4
-/* Between two looks for a home without a link, when all seem to have one. */
-#define WARM_INTERVAL (1 * USEC_PER_SEC)
+#define NEW_LINKS_PER_TICK 4
+/* Between two checks for homes without a link, once all have one. */
+#define PRECONNECT_INTERVAL (1 * USEC_PER_SEC)
 /*
- * Up to so many services have links to their homes before a caller needs them. With more, most
- * would never be used by this proxy's callers, and a link costs memory at both ends.
+ * With up to this many services links to the homes of all services are made ahead of use. With
+ * more, most links would never be used by this proxy's callers, and a link costs memory at both
+ * ends.
+ */
+#define PRECONNECT_SERVICES_MAX 32
+/*
+ * A peer that has sent nothing for this long since a statement was forwarded to it is suspect;
+ * enough for a ping, its answer and a tick.
  */
-#define WARM_SERVICES 32
-/* Nothing heard for so long since it was handed a statement: a question, its answer and a tick. */
 #define SUSPECT_AFTER (250 * USEC_PER_MSEC)
-/* Homes of our own zone among the candidates; see work_out(). */
-#define HOMES_NEAR 2
-/* One that declined, since it shuts down or has another configuration, is left alone for so long.
+/* Home candidates in this proxy's zone; see compute_homes(). */
+#define HOMES_IN_ZONE 2
+/*
+ * How long a peer gets no statements after it declined one, because it shuts down or has another
+ * configuration.
  */
-#define DECLINED_FOR (100 * USEC_PER_MSEC)
-/* Who was handed a statement keeps connections for so long after. */
-#define SERVES_FOR (2 * USEC_PER_SEC)
+#define DECLINED_TIME (100 * USEC_PER_MSEC)
+/* How long a proxy keeps its connections after another proxy forwarded a statement to it. */
+#define KEEP_CONNS_TIME (2 * USEC_PER_SEC)
 
 COUNTER_DEFINE(suspected_total, "homes_suspected_total", COUNTER_SUM,
-	       "Times that a proxy which holds connections for us did not answer.");
+	       "Times that a home of this proxy's services did not answer.");
 
 bool home_is_needed(const service_t *service)
 {
 	return !service->pooler->config.alone &&
 	       service->pooler->sync.proxies * 100 >
-		       (size_t)service->max_connections * DIRECT_PERCENT;
+		       (size_t)service->max_connections * MAX_DIRECT_PERCENT;
 }
 
 /* --- the order of the candidates --- */
 
-/* The two proxies of a zone that come first for a service, by hash. */
-typedef struct zone_pick {
+/* The two proxies of a zone that come first for a service by hash. */
+typedef struct zone_homes {
 	const char *zone;
 	const roster_node_t *first;
-	const roster_node_t *second; /* NULL: there is only one */
+	const roster_node_t *second; /* NULL: the zone has only one proxy */
 	uint64_t first_hash;
 	uint64_t second_hash;
-} zone_pick_t;
+} zone_homes_t;
 
-static int by_hash(const void *a, const void *b)
+static int compare_by_hash(const void *a, const void *b)
 {
-	const zone_pick_t *x = a;
-	const zone_pick_t *y = b;
+	const zone_homes_t *x = a;
+	const zone_homes_t *y = b;
 
 	return (x->first_hash > y->first_hash) - (x->first_hash < y->first_hash);
 }
 
-static zone_pick_t *pick_of(zone_pick_t *picks, size_t *count, const char *zone)
+static zone_homes_t *get_zone(zone_homes_t *ranked, size_t *count, const char *zone)
 {
 	for (size_t i = 0; i < *count; i++) {
-		if (strcmp(picks[i].zone, zone) == 0)
-			return &picks[i];
+		if (strcmp(ranked[i].zone, zone) == 0)
+			return &ranked[i];
 	}
-	picks[*count] = (zone_pick_t){.zone = zone, .first_hash = UINT64_MAX};
-	return &picks[(*count)++];
+	ranked[*count] = (zone_homes_t){.zone = zone, .first_hash = UINT64_MAX};
+	return &ranked[(*count)++];
 }
 
-static void offer(zone_pick_t *pick, const roster_node_t *node, uint64_t hash)
+static void rank_proxy(zone_homes_t *pair, const roster_node_t *node, uint64_t hash)
 {
-	if (pick->first == NULL || hash < pick->first_hash) {
-		pick->second = pick->first;
-		pick->second_hash = pick->first_hash;
-		pick->first = node;
-		pick->first_hash = hash;
-	} else if (pick->second == NULL || hash < pick->second_hash) {
-		pick->second = node;
-		pick->second_hash = hash;
+	if (pair->first == NULL || hash < pair->first_hash) {
+		pair->second = pair->first;
+		pair->second_hash = pair->first_hash;
+		pair->first = node;
+		pair->first_hash = hash;
+	} else if (pair->second == NULL || hash < pair->second_hash) {
+		pair->second = node;
+		pair->second_hash = hash;
 	}
 }
 
 /*
- * The zones of the roster and who comes first there, sorted by hash, as a child of parent. One
- * look at each proxy, for a service in use after each change of the fleet.
+ * The zones of the roster with their first two proxies, sorted by hash; a talloc child of parent.
+ * One pass over the proxies, for each service in use after each change of the fleet.
  */
-static zone_pick_t *pick_zones(const service_t *service, void *parent, size_t *count)
+static zone_homes_t *rank_zones(const service_t *service, void *parent, size_t *count)
 {
 	const pooler_t *pooler = service->pooler;
-	zone_pick_t *picks = talloc_array(parent, zone_pick_t, pooler->sync.proxies);
+	zone_homes_t *ranked = talloc_array(parent, zone_homes_t, pooler->sync.proxies);
 	uint64_t hash = XXH64(service->name, strlen(service->name), 0);
 
 	*count = 0;
@@ -120,64 +132,65 @@
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
 
 		if (!node->gone)
-			offer(pick_of(picks, count, node->zone), node, upstream_hash(node, hash));
+			rank_proxy(get_zone(ranked, count, node->zone), node,
+				   upstream_hash(node, hash));
 	}
-	qsort(picks, *count, sizeof(*picks), by_hash);
-	return picks;
+	qsort(ranked, *count, sizeof(*ranked), compare_by_hash);
+	return ranked;
 }
 
-/* As many as there are zones, or fewer if each would have too few connections. */
-static size_t count_homes(const service_t *service, size_t zones)
+/* Number of homes: one per zone, or fewer if each would have too few connections. */
+static size_t limit_homes(const service_t *service, size_t zone_count)
 {
-	size_t most = (size_t)service->max_connections / MEMBER_SHARED_PART / HOME_LEAST;
+	size_t most = (size_t)service->max_connections / MEMBER_SHARED_PART / MIN_CONNS_PER_HOME;
 
 	if (most == 0)
 		most = 1;
-	return zones < most ? zones : most;
+	return zone_count < most ? zone_count : most;
 }
 
-static void keep(homes_t *homes, const roster_node_t *node)
+static void add_candidate(homes_t *homes, const roster_node_t *node)
 {
 	if (node != NULL && homes->len < HOME_CANDIDATES)
 		homes->names[homes->len++] = talloc_strdup(homes->parent, node->name);
 }
 
-/* Our zone's pick if it has a home of the service, else NULL. */
-static const zone_pick_t *find_near(const service_t *service, const zone_pick_t *picks)
+/* This proxy's zone if the service has a home there, else NULL. */
+static const zone_homes_t *find_own_zone(const service_t *service, const zone_homes_t *ranked)
 {
 	for (size_t i = 0; i < service->homes.fleet_count; i++) {
-		if (strcmp(picks[i].zone, service->pooler->config.zone) == 0)
-			return &picks[i];
+		if (strcmp(ranked[i].zone, service->pooler->config.zone) == 0)
+			return &ranked[i];
 	}
 	return NULL;
 }
 
-static void work_out(service_t *service)
+static void compute_homes(service_t *service)
 {
 	homes_t *homes = &service->homes;
 	size_t count;
-	zone_pick_t *picks = pick_zones(service, NULL, &count);
-	const zone_pick_t *near;
+	zone_homes_t *ranked = rank_zones(service, NULL, &count);
+	const zone_homes_t *own_zone;
 
 	talloc_free(homes->parent);
 	homes->parent = talloc_new(service);
 	homes->nodes_revision = service->pooler->sync.roster->nodes_revision;
 	homes->len = 0;
-	homes->fleet_count = count_homes(service, count);
-	/* Our zone's home, and who takes its place; then the homes of the others. */
-	near = find_near(service, picks);
-	if (near != NULL) {
-		keep(homes, near->first);
-		keep(homes, near->second);
+	homes->fleet_count = limit_homes(service, count);
+	/* This zone's home and its substitute, then the homes of the other zones. */
+	own_zone = find_own_zone(service, ranked);
+	if (own_zone != NULL) {
+		add_candidate(homes, own_zone->first);
+		add_candidate(homes, own_zone->second);
 	}
 	for (size_t i = 0; i < count; i++) {
-		if (&picks[i] != near)
-			keep(homes, picks[i].first);
+		if (&ranked[i] != own_zone)
+			add_candidate(homes, ranked[i].first);
 	}
-	talloc_free(picks);
+	talloc_free(ranked);
 }
 
-/* Ask a peer whether it lives, if it was not just asked; without an answer it is suspect. */
+/* Pings a peer unless it was pinged within the interval; without an answer it becomes suspect. */
 static void ping(pooler_t *pooler, const char *name, usec_t now, usec_t interval)
 {
 	const roster_node_t *node = roster_node(pooler->sync.roster, name);
@@ -193,21 +206,21 @@
 	exchange_ping(pooler, node);
 }
 
-static const homes_t *homes_of(service_t *service)
+static const homes_t *get_homes(service_t *service)
 {
 	if (service->homes.parent == NULL ||
 	    service->homes.nodes_revision != service->pooler->sync.roster->nodes_revision)
-		work_out(service);
+		compute_homes(service);
 	return &service->homes;
 }
 
 /*
- * A link takes some ms to be made: so it is made before the first caller needs it, and the one back
- * too, which is why the home has to answer. Without this a tenth of the statements in the first two
- * seconds of a large fleet would be late. True if it has answered. *links: how many may still be
- * made with this tick.
+ * Connects to a service's home ahead of use. Making a link takes some milliseconds, so it is made
+ * before the first caller needs it; the home has to answer, so that the link back is made too.
+ * Without this a tenth of the statements in the first two seconds of a large fleet would be late.
+ * True if the home has answered. *links_left: links that may still be made in this tick.
  */
-static bool warm_up(service_t *service, usec_t now, int *links)
+static bool preconnect(service_t *service, usec_t now, int *links_left)
 {
 	pooler_t *pooler = service->pooler;
 	const homes_t *homes;
@@ -217,48 +230,51 @@
 
 	if (!home_is_needed(service))
 		return true;
-	homes = homes_of(service);
+	homes = get_homes(service);
 	name = homes->len != 0 ? homes->names[0] : NULL;
 	node = name != NULL ? roster_node(pooler->sync.roster, name) : NULL;
 	if (node == NULL || strcmp(name, pooler->config.name) == 0)
 		return true;
 	report = exchange_get_report(pooler, name);
-	if (!report->ponged && *links > 0 && now >= report->pinged_at + PING_INTERVAL_MOST) {
-		(*links)--;
-		/* The first only makes our link; the one that gets there makes theirs. */
+	if (!report->ponged && *links_left > 0 && now >= report->pinged_at + PING_INTERVAL_MAX) {
+		(*links_left)--;
+		/*
+		 * The first ping only makes the link from here; the one that arrives makes the
+		 * home's link back.
+		 */
 		if (exchange_ping(pooler, node))
 			report->pinged_at = now;
 		else
-			report->pinged_at = now + PING_INTERVAL - PING_INTERVAL_MOST;
+			report->pinged_at = now + PING_INTERVAL - PING_INTERVAL_MAX;
 	}
 	return report->ponged;
 }
 
 /*
- * Links to the homes of the services, or of those in use. Once all are there they are only looked
- * for when the fleet or the configuration has changed, and each WARM_INTERVAL.
+ * Connects to the homes of all services, or of the active ones. Once all links exist this only runs
+ * when the fleet or the configuration has changed, and every PRECONNECT_INTERVAL.
  */
-static void warm_up_all(pooler_t *pooler, usec_t now)
+static void preconnect_all(pooler_t *pooler, usec_t now)
 {
 	int64_t fleet = pooler->sync.roster->nodes_revision;
-	int links = LINKS_AT_ONCE;
+	int links_left = NEW_LINKS_PER_TICK;
 	bool done = true;
 
 	if (!permit_is_registered(pooler) ||
 	    (fleet == pooler->warm_for && now < pooler->warm_up_next))
 		return;
-	if (HASH_COUNT(pooler->services_by_name) <= WARM_SERVICES) {
+	if (HASH_COUNT(pooler->services_by_name) <= PRECONNECT_SERVICES_MAX) {
 		list_for_each (it, &pooler->services)
-			done &= warm_up(list_entry(it, service_t, node), now, &links);
+			done &= preconnect(list_entry(it, service_t, node), now, &links_left);
 	} else {
 		list_for_each (it, &pooler->active_services)
-			done &= warm_up(list_entry(it, service_t, active), now, &links);
+			done &= preconnect(list_entry(it, service_t, active), now, &links_left);
 	}
 	pooler->warm_for = fleet;
-	pooler->warm_up_next = done ? now + WARM_INTERVAL : now;
+	pooler->warm_up_next = done ? now + PRECONNECT_INTERVAL : now;
 }
 
-static bool names(const homes_t *homes, const char *name)
+static bool has_name(const homes_t *homes, const char *name)
 {
 	for (size_t i = 0; i < homes->len; i++) {
 		if (strcmp(homes->names[i], name) == 0)
@@ -269,19 +285,19 @@
 
 bool home_self_is_candidate(service_t *service)
 {
-	return names(homes_of(service), service->pooler->config.name);
+	return has_name(get_homes(service), service->pooler->config.name);
 }
 
 size_t home_count(service_t *service)
 {
-	return homes_of(service)->fleet_count;
+	return get_homes(service)->fleet_count;
 }
 
-/* --- who serves --- */
+/* --- choice of the home --- */
 
 /*
- * The process that the roster names shuts down, or is gone since: nobody has to find that out by a
- * statement that waits for SUSPECT_AFTER.
+ * True if the process that the roster lists is shutting down, or has left the roster, so that no
+ * statement has to find that out by waiting for SUSPECT_AFTER.
  */
 static bool is_leaving(const pooler_t *pooler, const peer_report_t *report)
 {
@@ -302,7 +318,7 @@
 const roster_node_t *home_find(service_t *service, usec_t now)
 {
 	const pooler_t *pooler = service->pooler;
-	const homes_t *homes = homes_of(service);
+	const homes_t *homes = get_homes(service);
 
 	for (size_t i = 0; i < homes->len; i++) {
 		if (strcmp(homes->names[i], pooler->config.name) == 0 ||
@@ -316,13 +332,13 @@
 {
 	const roster_node_t *home;
 
-	if (service->last_forward_at != 0 && now < service->last_forward_at + SERVES_FOR)
+	if (service->last_forward_at != 0 && now < service->last_forward_at + KEEP_CONNS_TIME)
 		return true;
 	home = home_find(service, now);
 	return home != NULL && strcmp(home->name, service->pooler->config.name) == 0;
 }
 
-/* --- what is known of a peer --- */
+/* --- availability of peers --- */
 
 void home_on_sent(pooler_t *pooler, const char *name, usec_t now)
 {
@@ -347,7 +363,7 @@
 
 void home_on_declined(pooler_t *pooler, const char *name, usec_t now)
 {
-	exchange_get_report(pooler, name)->declined_until = now + DECLINED_FOR;
+	exchange_get_report(pooler, name)->declined_until = now + DECLINED_TIME;
 }
 
 bool home_is_suspect(const pooler_t *pooler, const char *name, usec_t now)
@@ -359,8 +375,8 @@
 	       now >= pooler->awake_since + SUSPECT_AFTER;
 }
 
-/* The first of the homes that is not suspect; their number if all are. */
-static size_t next_in_order(const pooler_t *pooler, const homes_t *homes, usec_t now)
+/* Index of the first home candidate that is not suspect; their number if all are. */
+static size_t first_not_suspect(const pooler_t *pooler, const homes_t *homes, usec_t now)
 {
 	size_t next = 0;
 
@@ -370,34 +386,35 @@
 }
 
 /*
- * Who comes next may be out of reach too, and would be found out by statements that wait for it in
- * vain. With both of our zone silent it may be us who are cut off, so all the others are asked at
- * the same time; before that they are not, since the services of one home have their others all
- * over the fleet.
+ * Pings the next candidate of all active services that have the suspect peer among theirs, since it
+ * may be unreachable too, and statements would find that out by waiting in vain. If both candidates
+ * of this zone are suspect, this proxy itself may be cut off, so all remaining candidates are
+ * pinged at the same time. Before that they are not, since the other candidates of one home's
+ * services are spread over the whole fleet.
  */
-static void ping_next(pooler_t *pooler, const char *suspected, usec_t now)
+static void ping_next_candidates(pooler_t *pooler, const char *suspected, usec_t now)
 {
 	list_for_each (it, &pooler->active_services) {
 		const homes_t *homes = &list_entry(it, service_t, active)->homes;
 		size_t next;
 		size_t end;
 
-		if (!names(homes, suspected))
+		if (!has_name(homes, suspected))
 			continue;
-		next = next_in_order(pooler, homes, now);
-		end = next < HOMES_NEAR ? next + 1 : homes->len;
+		next = first_not_suspect(pooler, homes, now);
+		end = next < HOMES_IN_ZONE ? next + 1 : homes->len;
 		for (size_t i = next; i < end && i < homes->len; i++)
 			ping(pooler, homes->names[i], now, PING_INTERVAL);
 	}
 }
 
-/* The longer it is silent the less often it is asked. */
+/* The longer a peer is silent, the less often it is pinged. */
 static usec_t ping_interval(const peer_report_t *report, usec_t now)
 {
-	return usec_clamp((now - report->unanswered_since) / 2, PING_INTERVAL, PING_INTERVAL_MOST);
+	return usec_clamp((now - report->unanswered_since) / 2, PING_INTERVAL, PING_INTERVAL_MAX);
 }
 
-static void suspect(pooler_t *pooler, peer_report_t *report, usec_t now)
+static void check_suspect(pooler_t *pooler, peer_report_t *report, usec_t now)
 {
 	if (report->suspected || !home_is_suspect(pooler, report->name, now))
 		return;
@@ -406,12 +423,12 @@
 	LOG_EVENT(
 		LOG_WARN, "home does not answer", LOG_STR("proxy", report->name),
 		LOG_INT("silent_ms", (int64_t)((now - report->unanswered_since) / USEC_PER_MSEC)));
-	ping_next(pooler, report->name, now);
+	ping_next_candidates(pooler, report->name, now);
 }
 
 void home_tick(pooler_t *pooler, usec_t now)
 {
-	warm_up_all(pooler, now);
+	preconnect_all(pooler, now);
 	list_for_each_safe (it, &pooler->sync.awaited) {
 		peer_report_t *report = list_entry(it, peer_report_t, awaited);
 		const roster_node_t *node;
@@ -422,7 +439,7 @@
 		}
 		if (now < report->unanswered_since + PING_AFTER)
 			continue;
-		suspect(pooler, report, now);
+		check_suspect(pooler, report, now);
 		node = roster_node(pooler->sync.roster, report->name);
 		if (node == NULL || node->gone)
 			report->unanswered_since = 0;
--- a/pooler/home.h
+++ b/pooler/home.h
@@ -1,47 +1,54 @@
 /*
  * Homes: the proxies that hold the connections to a service's members.
  *
- * A member takes few connections, and each new one costs a slot's time. Where the fleet is larger
- * than that, one proxy in each zone holds them for good, and all others hand their statements to
- * it (forward.h). A zone's home is the first of its proxies by a hash of their names and the
- * service's, so that everybody names the same one without asking, and the services' homes lie
- * on different proxies. In a small fleet every proxy is its own home.
+ * A member accepts few connections, and each new one costs it time. In a fleet with too many
+ * proxies for that, one proxy in each zone, the home, holds the connections permanently, and all
+ * others forward their statements to it (forward.h). The home of a zone is the first of its proxies
+ * by a hash of their names and the service's (rendezvous hashing), so that all proxies choose the
+ * same one without communication, and the homes of different services lie on different proxies. In
+ * a small fleet every proxy is its own home.
  *
- * A home that does not answer is passed over for the next in order: a second one in the zone, then
- * those of other zones. If none answers, a proxy connects by itself.
+ * If a home does not answer, the next candidate is used: a second proxy in the zone, then the homes
+ * of other zones. If none answers, a proxy connects to the members itself.
  */
 #pragma once
 
 #include "state.h"
 
-/* True if the fleet is too large for connections of every proxy to the service's members. */
+/* True if the fleet is too large for every proxy to have connections to the service's members. */
 bool home_is_needed(const service_t *service);
 
-/* True if this proxy is the service's home in its zone, or the next one. */
+/* True if this proxy is among the service's home candidates. */
 bool home_self_is_candidate(service_t *service);
 
-/* The homes of the service in the fleet. */
+/* Number of homes of the service in the fleet. */
 size_t home_count(service_t *service);
 
-/* The home for our callers, which may be this proxy itself; NULL: none answers. */
+/*
+ * The home to which this proxy forwards its callers' statements, which may be this proxy itself;
+ * NULL: no candidate answers.
+ */
 const roster_node_t *home_find(service_t *service, usec_t now);
 
-/* True if this proxy keeps connections to the service's members: for its zone, or for whom asks. */
+/*
+ * True if this proxy holds connections to the service's members: as its zone's home, or because
+ * another proxy recently forwarded a statement to it.
+ */
 bool home_holds_conns(service_t *service, usec_t now);
 
-/* --- what is known of a peer that statements are handed to --- */
+/* --- availability of peers to which statements are forwarded --- */
 
-/* A statement was handed to it. */
+/* A message was sent to the peer that it must answer. */
 void home_on_sent(pooler_t *pooler, const char *name, usec_t now);
 
-/* Any message of it has come; outstanding: statements that it has not answered. */
+/* A message of the peer has arrived; outstanding: statements that it has not answered. */
 void home_on_received(pooler_t *pooler, const char *name, size_t outstanding, usec_t now);
 
-/* It does not take statements now. */
+/* The peer declined a statement. */
 void home_on_declined(pooler_t *pooler, const char *name, usec_t now);
 
-/* True if it has not answered for too long. */
+/* True if the peer has not answered for too long. */
 bool home_is_suspect(const pooler_t *pooler, const char *name, usec_t now);
 
-/* Ask those whose answers are overdue whether they live. */
+/* Connects to homes ahead of use, and pings peers whose answers are overdue. */
 void home_tick(pooler_t *pooler, usec_t now);
