--- a/pooler/home.c
+++ b/pooler/home.c
@@ -142,7 +142,7 @@
 /* Number of homes: one per zone, or fewer if each would have too few connections. */
 static size_t limit_homes(const service_t *service, size_t zone_count)
 {
-	size_t most = (size_t)service->max_connections / MEMBER_SHARED_PART / MIN_CONNS_PER_HOME;
+	size_t most = (size_t)service->max_connections / MEMBER_SHARED_DIVISOR / MIN_CONNS_PER_HOME;
 
 	if (most == 0)
 		most = 1;
--- a/pooler/member.c
+++ b/pooler/member.c
@@ -291,8 +291,8 @@
 
 	if (oldest == NULL)
 		return;
-	if (now >= oldest->sent_at + MEMBER_SILENCE &&
-	    now >= member->last_reply_at + MEMBER_SILENCE)
+	if (now >= oldest->sent_at + MEMBER_SILENCE_TIMEOUT &&
+	    now >= member->last_reply_at + MEMBER_SILENCE_TIMEOUT)
 		member_suspect(member, "silent");
 	if (now >= oldest->sent_at + CONN_SILENCE) {
 		member_record_outcome(member, STATEMENT_FAILED);
@@ -329,7 +329,7 @@
 size_t member_share(const member_t *member)
 {
 	size_t nodes = sharers(member->service);
-	size_t shared = (size_t)member->service->max_connections / MEMBER_SHARED_PART;
+	size_t shared = (size_t)member->service->max_connections / MEMBER_SHARED_DIVISOR;
 
 	/* What is opened all the same, since no home answers, is closed when it is idle. */
 	if (home_is_needed(member->service) &&
--- a/pooler/member.h
+++ b/pooler/member.h
@@ -11,10 +11,10 @@
  * for the fleet after a loss of power: a member keeps the connections of VMs that are
  * gone for 3 s, and with all of them in use nobody can be served until then.
  */
-#define MEMBER_SHARED_PART 2
+#define MEMBER_SHARED_DIVISOR 2
 
 /* A member without any reply for so long while it owes one is asked by a new connection. */
-#define MEMBER_SILENCE (200 * USEC_PER_MSEC)
+#define MEMBER_SILENCE_TIMEOUT (200 * USEC_PER_MSEC)
 /* A probe unanswered for so long means that the member is down: 20 handshakes' time. */
 #define PROBE_TIMEOUT (250 * USEC_PER_MSEC)
 /* Between probes of a member that is down. */
