--- a/pooler/member.c
+++ b/pooler/member.c
@@ -14,40 +14,45 @@
 #define LOG_MODULE "member"
 #include "log.h"
 
-/* Without any, a new member counts as this quick: the mean work on the users' sites. */
-#define FIRST_RESPONSE (10 * USEC_PER_MSEC)
-/* Smoothing of response times: a fifth of each new one. */
-#define RESPONSE_WEIGHT 5
+/* Response time assumed for a new member: the mean duration of a statement. */
+#define INITIAL_RESPONSE_TIME (10 * USEC_PER_MSEC)
+/* Each new response time counts for a fifth of the average. */
+#define RESPONSE_SMOOTHING 5
 /*
- * Statements at a member for each of its slots: one that runs, and one that is there when it ends.
- * While Welsh replicas stand still (./dev/measure pooler) in aim and in doubt: without a
- * limit 64.3% and 6.7%, five 67.0% and 4.5%, three 68.1% and 4.7%, two 70.8% and 1.7%.
+ * Statements sent to a member per slot: one that runs, and one that is there when the first ends.
+ * With replicas of one zone stalled (./dev/measure pooler), statements answered within the
+ * objective and statements with unknown outcome: without a limit 64.3% and 6.7%, with five per slot
+ * 67.0% and 4.5%, with three 68.1% and 4.7%, with two 70.8% and 1.7%.
  */
 #define STATEMENTS_PER_SLOT 2
-/* A connection unused for so long is closed if it is above our share. */
-#define IDLE_EXTRA (500 * USEC_PER_MSEC)
+/* How long a connection beyond this proxy's share may be idle before it is closed. */
+#define IDLE_EXTRA_TIMEOUT (500 * USEC_PER_MSEC)
 /*
- * The same while this proxy shuts down, and for those of our share too. It is handed no more
- * statements, and who takes its place needs the connections before this process ends: so only as
- * long as a client may pause between two statements.
+ * The same for all connections while this proxy shuts down. It gets no more statements, and the
+ * proxies that take over need the connections before this process ends; so only as long as a client
+ * may pause between two statements.
  */
-#define IDLE_DRAINING (100 * USEC_PER_MSEC)
-/* So far ahead that nothing is added to it beyond the clock's range. */
+#define IDLE_DRAIN_TIMEOUT (100 * USEC_PER_MSEC)
+/* Far in the future, yet a duration can be added without overflow of the clock's range. */
 #define NOT_LEAVING (USEC_NEVER / 2)
-/* Our statements unanswered for so long on one connection: it has gone silent. */
-#define CONN_SILENCE (3 * USEC_PER_SEC)
-/* A read is overdue after so many times the usual response and this: 8 x 15 ms + 50 ms. */
+/* A connection on which a reply is overdue for this long is closed. */
+#define CONN_SILENCE_TIMEOUT (3 * USEC_PER_SEC)
+/*
+ * A read is overdue after this factor times the usual response time plus this floor: 8 x 15 ms + 50
+ * ms.
+ */
 #define OVERDUE_FACTOR 8
 #define OVERDUE_FLOOR  (50 * USEC_PER_MSEC)
-/* A connection whose caller gave up is kept for a late answer so long. */
-#define ORPHAN_TIME (150 * USEC_PER_MSEC)
+/* How long a connection whose caller gave up is kept for a late reply. */
+#define ORPHAN_TIMEOUT (150 * USEC_PER_MSEC)
 /*
- * What one proxy may borrow beyond its share. With an eighth a fleet of 12 uses up all connections
- * of a member that takes 16, and after a loss of power none is left for 3 s.
+ * One proxy may have one in this many of a member's connections beyond its share. With an eighth, a
+ * fleet of 12 proxies uses up all connections of a member that accepts 16, and after a loss of
+ * power none is left for 3 s.
  */
-#define BORROWED_PART 16
+#define BORROW_DIVISOR 16
 
-/* Connections that serve nobody now are not wanted at a member that goes. */
+/* Closes the idle connections to a member that is leaving or no longer listed. */
 static void close_unused(member_t *member)
 {
 	list_for_each_safe (it, &member->conns) {
@@ -59,22 +64,23 @@
 }
 
 /*
- * Its process is another one now, under the same id. The connections are the earlier one's, with
- * what it knew of sessions' values and prepared names; how far it was and how quick says nothing
- * of this one. Read with an old position it would pass for a replica that has caught up.
+ * The member restarted: another process now runs under the same id. The connections belong to the
+ * earlier process, with their session variables and prepared names; its log position and response
+ * time say nothing about the new one. Read with the old position the member would count as a
+ * replica that has caught up.
  */
-static void start_again(member_t *member)
+static void reset_after_restart(member_t *member)
 {
-	LOG_EVENT(LOG_WARN, "member started again", LOG_STR("service", member->service->name),
+	LOG_EVENT(LOG_WARN, "member restarted", LOG_STR("service", member->service->name),
 		  LOG_STR("member", member->id), LOG_INT("born", member->started_at));
 	while (!list_empty(&member->conns))
-		conn_close(list_entry(member->conns.next, conn_t, node), "member started again");
+		conn_close(list_entry(member->conns.next, conn_t, node), "member restarted");
 	member->applied = (position_t){0};
 	member->applied_at = 0;
 	member->lagged_at = 0;
 	member->no_borrow_until = 0;
 	member->connect_not_before = 0;
-	member->response_time = FIRST_RESPONSE;
+	member->response_time = INITIAL_RESPONSE_TIME;
 	member->outlier = (outlier_t){0};
 	member->survey_answered = false;
 	member->status = (member_status_t){0};
@@ -82,22 +88,22 @@
 		freshness_reset(member->service->freshness);
 }
 
-/* False if the entry is of an earlier life. */
-static bool take_born(member_t *member, int64_t born)
+/* False if the entry is from an earlier process of the member. */
+static bool update_start_time(member_t *member, int64_t born)
 {
-	bool again = born > member->started_at && member->started_at != 0;
+	bool restarted = born > member->started_at && member->started_at != 0;
 
 	if (born < member->started_at)
 		return false;
 	member->started_at = born;
-	if (again)
-		start_again(member);
+	if (restarted)
+		reset_after_restart(member);
 	return true;
 }
 
 void member_update(member_t *member, const member_entry_t *entry)
 {
-	if (!take_born(member, entry->born))
+	if (!update_start_time(member, entry->born))
 		return;
 	if (strcmp(member->address, entry->address) != 0) {
 		talloc_free(member->address);
@@ -108,7 +114,7 @@
 		LOG_EVENT(LOG_INFO, "member listed", LOG_STR("service", member->service->name),
 			  LOG_STR("member", member->id), LOG_INT("leaving", entry->leaving),
 			  LOG_INT("primary", entry->primary));
-	/* Whoever holds the duty looks at its service now, not when the next round comes to it. */
+	/* The leader checks the service now instead of when its turn comes. */
 	if (member->slots != 0 &&
 	    (member->leaving != entry->leaving || member->claims_primary != entry->primary))
 		active_add_service(member->service);
@@ -145,7 +151,7 @@
 	member->id = talloc_strdup(member, entry->id);
 	member->address = talloc_strdup(member, entry->address);
 	member->zone = talloc_strdup(member, entry->zone);
-	member->response_time = FIRST_RESPONSE;
+	member->response_time = INITIAL_RESPONSE_TIME;
 	member->suspect_since = USEC_NEVER;
 	member->leaving_since = NOT_LEAVING;
 	list_init(&member->conns);
@@ -214,17 +220,20 @@
 	member_probe(member);
 }
 
-/* One a call: closing it may have another one opened, which changes the list. */
+/*
+ * Closes at most one connection per call: closing may have another one opened, which changes the
+ * list.
+ */
 static void close_idle(member_t *member, usec_t now)
 {
 	bool draining = member->pooler->draining;
-	usec_t rest = draining ? IDLE_DRAINING : IDLE_EXTRA;
+	usec_t idle_timeout = draining ? IDLE_DRAIN_TIMEOUT : IDLE_EXTRA_TIMEOUT;
 	size_t kept = draining ? 0 : member_share(member);
 
 	list_for_each_safe (it, &member->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
 
-		if (conn->state == CONN_IDLE && !conn->probe && now >= conn->since + rest &&
+		if (conn->state == CONN_IDLE && !conn->probe && now >= conn->since + idle_timeout &&
 		    member->conn_count > kept) {
 			conn_close(conn, "idle");
 			return;
@@ -232,18 +241,18 @@
 	}
 }
 
-/* The connection that has waited longest for a reply, or NULL. */
-static conn_t *longest_waiting(const member_t *member)
+/* The connection that has waited for a reply for the longest time, or NULL. */
+static conn_t *longest_waiting_conn(const member_t *member)
 {
 	conn_t *oldest = NULL;
 
 	list_for_each (it, &member->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
-		bool waits = conn->state == CONN_PREPARING || conn->state == CONN_RUNNING ||
-			     conn->state == CONN_CLEANING || conn->state == CONN_ORPHANED ||
-			     (conn->state == CONN_PROBING && !conn->probe);
+		bool awaits_reply = conn->state == CONN_PREPARING || conn->state == CONN_RUNNING ||
+				    conn->state == CONN_CLEANING || conn->state == CONN_ORPHANED ||
+				    (conn->state == CONN_PROBING && !conn->probe);
 
-		if (waits && (oldest == NULL || conn->sent_at < oldest->sent_at))
+		if (awaits_reply && (oldest == NULL || conn->sent_at < oldest->sent_at))
 			oldest = conn;
 	}
 	return oldest;
@@ -263,9 +272,10 @@
 }
 
 /*
- * Answers get lost: the member has run the statement, and nothing will come. A read is asked
- * once more elsewhere when it has taken far longer than usual. A connection that nobody waits
- * for is given up sooner, since it takes the place of another.
+ * Handles overdue replies: a reply may be lost, so that the member has run the statement and
+ * nothing will arrive. A read is tried again once at another member when it has taken far longer
+ * than usual. A connection that no caller waits for is closed sooner, since it takes the place of
+ * another one.
  */
 static void check_overdue(member_t *member, usec_t now)
 {
@@ -273,10 +283,10 @@
 		conn_t *conn = list_entry(it, conn_t, node);
 		usec_t usual = member->response_time * OVERDUE_FACTOR + OVERDUE_FLOOR;
 
-		if (conn->state == CONN_ORPHANED && now >= conn->since + ORPHAN_TIME) {
-			if (now >= conn->sent_at + usual + ORPHAN_TIME)
+		if (conn->state == CONN_ORPHANED && now >= conn->since + ORPHAN_TIMEOUT) {
+			if (now >= conn->sent_at + usual + ORPHAN_TIMEOUT)
 				member_record_outcome(member, STATEMENT_FAILED);
-			conn_close(conn, "no answer to what nobody waits for");
+			conn_close(conn, "no reply to an abandoned statement");
 			return;
 		}
 		if (conn->state == CONN_RUNNING && now >= conn->sent_at + usual &&
@@ -287,14 +297,14 @@
 
 static void check_silence(member_t *member, usec_t now)
 {
-	conn_t *oldest = longest_waiting(member);
+	conn_t *oldest = longest_waiting_conn(member);
 
 	if (oldest == NULL)
 		return;
 	if (now >= oldest->sent_at + MEMBER_SILENCE_TIMEOUT &&
 	    now >= member->last_reply_at + MEMBER_SILENCE_TIMEOUT)
 		member_suspect(member, "silent");
-	if (now >= oldest->sent_at + CONN_SILENCE) {
+	if (now >= oldest->sent_at + CONN_SILENCE_TIMEOUT) {
 		member_record_outcome(member, STATEMENT_FAILED);
 		conn_close(oldest, "no reply");
 	}
@@ -320,18 +330,18 @@
 	close_idle(member, now);
 }
 
-/* Proxies that have connections to the service's members in normal times. */
-static size_t sharers(service_t *service)
+/* Number of proxies that have connections to the service's members in normal operation. */
+static size_t count_sharing_proxies(service_t *service)
 {
 	return home_is_needed(service) ? home_count(service) : service->pooler->sync.proxies;
 }
 
 size_t member_share(const member_t *member)
 {
-	size_t nodes = sharers(member->service);
+	size_t nodes = count_sharing_proxies(member->service);
 	size_t shared = (size_t)member->service->max_connections / MEMBER_SHARED_DIVISOR;
 
-	/* What is opened all the same, since no home answers, is closed when it is idle. */
+	/* Connections that a proxy opens because no home answers are closed once idle. */
 	if (home_is_needed(member->service) &&
 	    !home_holds_conns(member->service, now_of(member->pooler)))
 		return 0;
@@ -341,41 +351,47 @@
 
 bool member_can_open(const member_t *member, usec_t now, bool borrow)
 {
-	size_t most = member_share(member);
+	size_t limit = member_share(member);
 
 	if (now < member->connect_not_before)
 		return false;
-	/* One is enough for a proxy that no home answers: many may be in that state. */
-	if (most == 0)
+	/*
+	 * One connection is enough for a proxy that reaches no home, since many proxies may be in
+	 * that state.
+	 */
+	if (limit == 0)
 		return borrow && member->conn_count == 0;
-	/* Demand differs between proxies, and transactions hold connections while they think. */
+	/* Demand differs between proxies, and idle transactions keep their connections. */
 	if (borrow && now >= member->no_borrow_until)
-		most += (size_t)member->service->max_connections / BORROWED_PART;
-	return member->conn_count < most;
+		limit += (size_t)member->service->max_connections / BORROW_DIVISOR;
+	return member->conn_count < limit;
 }
 
 void member_record_response_time(member_t *member, usec_t took)
 {
 	member->response_time =
-		(member->response_time * (RESPONSE_WEIGHT - 1) + took) / RESPONSE_WEIGHT;
+		(member->response_time * (RESPONSE_SMOOTHING - 1) + took) / RESPONSE_SMOOTHING;
 }
 
-/* True if one member more may be without reads: half of them carry what is left. */
-static bool can_do_without(const service_t *service)
+/*
+ * True if one more member may be ejected from reads: at least half of the usable members must still
+ * get reads.
+ */
+static bool can_eject_another(const service_t *service)
 {
 	size_t usable = 0;
-	size_t out = 1;
+	size_t ejected_count = 1;
 
 	list_for_each (it, &service->members) {
 		const member_t *member = list_entry(it, member_t, in_service);
 
 		usable += member_is_usable(member);
-		out += member_is_usable(member) && member->outlier.ejected;
+		ejected_count += member_is_usable(member) && member->outlier.ejected;
 	}
-	return out * 2 <= usable;
+	return ejected_count * 2 <= usable;
 }
 
-static void count_others(const member_t *self, usec_t now, tally_t *others)
+static void count_others_recent(const member_t *self, usec_t now, tally_t *others)
 {
 	list_for_each (it, &self->service->members) {
 		const member_t *member = list_entry(it, member_t, in_service);
@@ -385,16 +401,16 @@
 	}
 }
 
-/* No reads for a while, unless too few members would be left for them. */
-static void take_out(member_t *member, usec_t now)
+/* Ejects the member from reads, unless too few members would be left for them. */
+static void eject(member_t *member, usec_t now)
 {
 	tally_t tally = {0};
 
-	if (member->outlier.ejected || !can_do_without(member->service))
+	if (member->outlier.ejected || !can_eject_another(member->service))
 		return;
 	outlier_count_recent(&member->outlier, now, &tally);
 	outlier_eject(&member->outlier, now);
-	LOG_EVENT(LOG_WARN, "member gets no reads", LOG_STR("service", member->service->name),
+	LOG_EVENT(LOG_WARN, "member ejected from reads", LOG_STR("service", member->service->name),
 		  LOG_STR("member", member->id), LOG_INT("failed", (int64_t)tally.failed),
 		  LOG_INT("refused", (int64_t)tally.refused),
 		  LOG_INT("statements", (int64_t)tally.total),
@@ -415,36 +431,40 @@
 void member_record_outcome(member_t *member, statement_outcome_t outcome)
 {
 	usec_t now = now_of(member->pooler);
-	bool was_out = member->outlier.ejected;
+	bool was_ejected = member->outlier.ejected;
 	tally_t others = {0};
 
 	outlier_record(&member->outlier, outcome, now);
-	if (was_out) {
+	if (was_ejected) {
 		if (!member->outlier.ejected)
-			LOG_EVENT(LOG_INFO, "member gets reads again",
+			LOG_EVENT(LOG_INFO, "member readmitted to reads",
 				  LOG_STR("service", member->service->name),
 				  LOG_STR("member", member->id));
 		return;
 	}
 	if (outcome == STATEMENT_GOOD)
 		return;
-	count_others(member, now, &others);
+	count_others_recent(member, now, &others);
 	if (outlier_is_worse(&member->outlier, &others, now))
-		take_out(member, now);
+		eject(member, now);
 }
 
 /*
- * What waits at a member is served in the order in which it came there, late or not, and is in
- * doubt if its time runs out; what waits here can be put behind others and be refused with a
- * promise. So a member gets no more at a time, over all proxies, than keeps its slots busy.
+ * A member runs its queued statements in order of arrival, whether or not they are late, and the
+ * outcome of one whose time runs out is unknown. A statement that is queued here can be overtaken
+ * by others, or refused with the assurance that it has not run. So a member gets, from all proxies
+ * together, no more statements at a time than keep its slots busy.
  */
 bool member_has_room(const member_t *member)
 {
-	size_t proxies = sharers(member->service);
-	size_t most = (size_t)member->slots * STATEMENTS_PER_SLOT;
-
-	/* Rounded up, so that each proxy may have one; an entry without slots tells nothing. */
-	return most == 0 || member_load(member) * proxies < most;
+	size_t proxies = count_sharing_proxies(member->service);
+	size_t limit = (size_t)member->slots * STATEMENTS_PER_SLOT;
+
+	/*
+	 * Rounded up, so that each proxy may have one statement there; a member's entry without
+	 * slots sets no limit.
+	 */
+	return limit == 0 || member_load(member) * proxies < limit;
 }
 
 size_t member_load(const member_t *member)
--- a/pooler/member.h
+++ b/pooler/member.h
@@ -1,74 +1,77 @@
-/*
- * Members of a service: their connections, their health as seen from
- * here.
- */
+/* Members of a service: their connections, and their health as this proxy observes it. */
 #pragma once
 
 #include "state.h"
 
 /*
- * The part of a member's connections that is shared out evenly. The rest is for demand, and
- * for the fleet after a loss of power: a member keeps the connections of VMs that are
- * gone for 3 s, and with all of them in use nobody can be served until then.
+ * Half of a member's connections are divided evenly among the proxies. The rest serves demand, and
+ * the restart of the fleet after a loss of power: a member keeps the connections of vanished VMs
+ * for 3 s, and if those were all it has nobody could be served until then.
  */
 #define MEMBER_SHARED_DIVISOR 2
 
-/* A member without any reply for so long while it owes one is asked by a new connection. */
+/* A member that owes a reply and has sent none for this long is probed over a new connection. */
 #define MEMBER_SILENCE_TIMEOUT (200 * USEC_PER_MSEC)
-/* A probe unanswered for so long means that the member is down: 20 handshakes' time. */
+/* A probe that is unanswered for this long means that the member is down; 20 times a handshake. */
 #define PROBE_TIMEOUT (250 * USEC_PER_MSEC)
-/* Between probes of a member that is down. */
+/* Between two probes of a member that is down. */
 #define PROBE_INTERVAL (250 * USEC_PER_MSEC)
 
 member_t *member_create(pooler_t *pooler, const member_entry_t *entry);
 
-/* The platform's newest entry of the member. */
+/* Updates the member from its newest entry in the platform's list. */
 void member_update(member_t *member, const member_entry_t *entry);
 
-/* It is no longer listed. */
+/* The platform's list no longer has the member. */
 void member_set_unlisted(member_t *member);
 
-/* Close all connections; callers learn what became of their statements. */
+/* Closes all connections of the member, whose callers are answered, and frees it. */
 void member_destroy(member_t *member);
 
-/* A reply came: the member lives. */
+/* The member has sent a reply, so it is alive. */
 void member_on_reply(member_t *member);
 
-/* A probe found that it does not answer. */
+/* A probe found that the member does not answer. */
 void member_mark_down(member_t *member, const char *reason);
 
-/* A connection failed or broke: ask again before believing it. */
+/* A connection failed, broke or is silent: probes the member before it counts as down. */
 void member_suspect(member_t *member, const char *reason);
 
-/* Look for silence, repeat probes, close what is idle too long. */
+/*
+ * Checks for overdue replies, repeats probes, and closes connections that have been idle for too
+ * long.
+ */
 void member_tick(member_t *member, usec_t now);
 
-/* True if a connection more may be opened now; borrow: beyond our share. */
+/* True if one more connection may be opened now; borrow: also beyond this proxy's share. */
 bool member_can_open(const member_t *member, usec_t now, bool borrow);
 
-/* Connections that this proxy may hold for sure. */
+/* Connections to the member that this proxy may always have. */
 size_t member_share(const member_t *member);
 
-/* Ask the member for its status over a connection of its own: it may be down. */
+/* Probes the member: queries its status over a new connection, since it may be down. */
 void member_probe(member_t *member);
 
-/* The same over a connection at hand, if there is one: the member may be full. */
+/*
+ * Queries the member's status over an idle connection, since the member may accept no more of them;
+ * if there is none, probes it.
+ */
 void member_query_status(member_t *member);
 
-/* The connection that is in a transaction without a statement for longest, or NULL. */
+/* The connection whose transaction has been idle for the longest time, or NULL. */
 conn_t *member_longest_held_conn(const member_t *member);
 
-/* A statement was answered after so long. */
+/* Adds the response time of a statement to the member's average. */
 void member_record_response_time(member_t *member, usec_t took);
 
-/* True if the member can be given one more statement now. */
+/* True if one more statement may be sent to the member now. */
 bool member_has_room(const member_t *member);
 
-/* Work in progress over all connections. */
+/* Number of statements in progress over all connections. */
 size_t member_load(const member_t *member);
 
-/* A statement sent to the member has ended so; may take it out of use for reads. */
+/* Records the outcome of a statement at the member; may eject the member from reads. */
 void member_record_outcome(member_t *member, statement_outcome_t outcome);
 
-/* Usable for new work. */
+/* True if the member may get new statements. */
 bool member_is_usable(const member_t *member);
