--- a/pooler/limit_shards.c
+++ b/pooler/limit_shards.c
@@ -13,125 +13,134 @@
 #include "log.h"
 
 /*
- * So long after a proxy became the keeper of a seat, and its predecessor did not answer, it gives
- * nothing: the predecessor may not have heard, and goes on until its permission by the older roster
- * has ended. More than half of the fleet have heard by then and prolong it no more.
+ * A new owner of a shard whose predecessor does not answer grants nothing for this long: the
+ * predecessor may not have received the new roster, and keeps granting until its permission by the
+ * older roster has ended. By then more than half of the fleet have the new roster and no longer
+ * extend that permission.
  */
-#define VACANT_FOR (PERMIT_LEASE_TIME + 700 * USEC_PER_MSEC)
-/* Between two questions to a predecessor. */
+#define TAKEOVER_DELAY (PERMIT_LEASE_TIME + 700 * USEC_PER_MSEC)
+/* Between two release requests to a predecessor. */
 #define RELEASE_INTERVAL (100 * USEC_PER_MSEC)
 /*
- * Questions in vain a second that a seat's keeper has to answer for a customer that sends far
- * beyond its limit, whose proxies would else ask for every operation.
+ * Requests without result per second that a shard owner answers for a customer far beyond its
+ * limit; without this bound the customer's proxies would send a request for every operation.
  */
-#define DENIED_PER_S 40
+#define MAX_DENIALS_PER_S 40
 
 COUNTER_DEFINE(granted_total, "limit_tokens_total", COUNTER_SUM,
-	       "Operations of customers let through by this proxy as their keeper.");
+	       "Operations of customers admitted by this proxy as the owner of a limit shard.");
 COUNTER_DEFINE(denied_total, "limit_denied_total", COUNTER_SUM,
-	       "Questions to this proxy as a keeper that found no token.");
+	       "Requests to this proxy as the owner of a limit shard that found no token.");
 
-typedef struct seat {
-	UT_hash_handle hh; /* in limit_shards_t.by_name */
-	char *name;	   /* "NUMBER CUSTOMER" */
-	usec_t since;	   /* keepers_since() when it was last looked at */
+typedef struct limit_shard {
+	UT_hash_handle hh;  /* in limit_shards_t.by_name */
+	char *name;	    /* "NUMBER CUSTOMER" */
+	usec_t owned_since; /* keepers_since() at the last request */
 	bucket_t bucket;
-	usec_t kept_at;	     /* when it was last seen to be ours */
-	bool in_force;	     /* tokens were given, since then */
-	bool released;	     /* to a successor, since then */
-	int64_t released_by; /* revision of the roster that made it the keeper */
-	bool taken_over;     /* the predecessor has released it, since then */
-	uint64_t question;   /* to the predecessor; 0: none */
-	usec_t asked_at;
-	unsigned denied;    /* questions in vain */
-	usec_t denied_from; /* in the second that began then */
-} seat_t;
-
-struct seats {
+	usec_t last_owned_at;	  /* when this proxy was last seen to be the owner */
+	bool granting;		  /* tokens were granted since owned_since */
+	bool released;		  /* released to a successor since owned_since */
+	int64_t release_revision; /* revision of the roster that made the successor the owner */
+	bool taken_over;	  /* the predecessor has released the shard since owned_since */
+	uint64_t release_request; /* number of the current release request; 0: none */
+	usec_t release_sent_at;
+	unsigned denied;	    /* requests that found no token since denied_window_start */
+	usec_t denied_window_start; /* start of the second in which they are counted */
+} limit_shard_t;
+
+struct limit_shards {
 	pooler_t *pooler;
-	seat_t *by_name;
+	limit_shard_t *by_name;
 };
 
-static int seats_destructor(limit_shards_t *seats)
+static int limit_shards_destructor(limit_shards_t *shards)
 {
-	HASH_CLEAR(hh, seats->by_name);
+	HASH_CLEAR(hh, shards->by_name);
 	return 0;
 }
 
 limit_shards_t *limit_shards_create(void *parent, pooler_t *pooler)
 {
-	limit_shards_t *seats = talloc_zero(parent, limit_shards_t);
+	limit_shards_t *shards = talloc_zero(parent, limit_shards_t);
 
-	seats->pooler = pooler;
-	talloc_set_destructor(seats, seats_destructor);
-	return seats;
+	shards->pooler = pooler;
+	talloc_set_destructor(shards, limit_shards_destructor);
+	return shards;
 }
 
-/* The seat was ours all the time, or is from now on, or after others have had it. */
-static void start_counting(seat_t *seat, usec_t since)
+/* Begins a period of ownership: from the start, or after other proxies owned the shard. */
+static void start_ownership(limit_shard_t *shard, usec_t since)
 {
-	seat->since = since;
-	seat->in_force = false;
-	seat->released = false;
-	seat->taken_over = false;
-	seat->question = 0;
+	shard->owned_since = since;
+	shard->granting = false;
+	shard->released = false;
+	shard->taken_over = false;
+	shard->release_request = 0;
 }
 
-static seat_t *get_seat(limit_shards_t *seats, const quota_request_t *request, usec_t since,
-			usec_t now)
+static limit_shard_t *get_shard(limit_shards_t *shards, const quota_request_t *request,
+				usec_t since, usec_t now)
 {
-	char *name = talloc_asprintf(seats, "%u %s", request->seat, request->customer);
-	seat_t *seat;
+	char *name = talloc_asprintf(shards, "%u %s", request->seat, request->customer);
+	limit_shard_t *shard;
 
-	HASH_FIND_STR(seats->by_name, name, seat);
-	if (seat != NULL) {
+	HASH_FIND_STR(shards->by_name, name, shard);
+	if (shard != NULL) {
 		talloc_free(name);
-		/* Old fleets are forgotten: since may grow for a seat that was ours all along. */
-		if (since != USEC_NEVER && since > seat->kept_at)
-			start_counting(seat, since);
+		/*
+		 * Earlier states of the fleet are dropped over time, so since may rise for a shard
+		 * that this proxy owned all along.
+		 */
+		if (since != USEC_NEVER && since > shard->last_owned_at)
+			start_ownership(shard, since);
 		if (since != USEC_NEVER)
-			seat->kept_at = now;
-		return seat;
+			shard->last_owned_at = now;
+		return shard;
 	}
-	seat = talloc_zero(seats, seat_t);
-	seat->name = talloc_steal(seat, name);
-	seat->since = since;
-	seat->kept_at = since != USEC_NEVER ? now : 0;
-	HASH_ADD_KEYPTR(hh, seats->by_name, seat->name, strlen(seat->name), seat);
-	return seat;
+	shard = talloc_zero(shards, limit_shard_t);
+	shard->name = talloc_steal(shard, name);
+	shard->owned_since = since;
+	shard->last_owned_at = since != USEC_NEVER ? now : 0;
+	HASH_ADD_KEYPTR(hh, shards->by_name, shard->name, strlen(shard->name), shard);
+	return shard;
 }
 
 /*
- * True if this proxy may use the seat's share now. By its roster it is the keeper, and the roster
- * is known to be in force; whether this process or an earlier one of the same name is on it makes
- * no difference, since the earlier one is gone.
+ * True if this proxy may grant tokens of the shard now: it is the owner by its roster, and the
+ * roster is confirmed to be in force. Whether the roster lists this process or an earlier one of
+ * the same name makes no difference, since the earlier one has ended.
  */
-static bool is_kept(const pooler_t *pooler, const seat_t *seat, usec_t now)
+static bool may_grant(const pooler_t *pooler, const limit_shard_t *shard, usec_t now)
 {
-	if (now >= permit_expires_at(pooler) || seat->released)
+	if (now >= permit_expires_at(pooler) || shard->released)
 		return false;
-	return seat->since == 0 || seat->taken_over || now >= seat->since + VACANT_FOR;
+	return shard->owned_since == 0 || shard->taken_over ||
+	       now >= shard->owned_since + TAKEOVER_DELAY;
 }
 
-/* Tokens are given from now on: by a share that a process which knows nothing of before may use. */
-static void enter_into_force(const pooler_t *pooler, seat_t *seat, const limit_share_t *share,
-			     usec_t now)
+/*
+ * Tokens are granted from now on, beginning with the initial amount of a bucket whose earlier use
+ * is unknown.
+ */
+static void start_granting(const pooler_t *pooler, limit_shard_t *shard, const limit_share_t *limit,
+			   usec_t now)
 {
-	usec_t from = seat->since == 0 ? pooler->started : seat->since + VACANT_FOR;
+	usec_t from =
+		shard->owned_since == 0 ? pooler->started : shard->owned_since + TAKEOVER_DELAY;
 
-	if (seat->in_force) {
-		bucket_set(&seat->bucket, share->rate, share->burst, now);
+	if (shard->granting) {
+		bucket_set(&shard->bucket, limit->rate, limit->burst, now);
 		return;
 	}
-	seat->in_force = true;
-	bucket_init(&seat->bucket, share->rate, share->burst, share->initial,
+	shard->granting = true;
+	bucket_init(&shard->bucket, limit->rate, limit->burst, limit->initial,
 		    from < now ? from : now);
 }
 
-static void ask_predecessor(limit_shards_t *seats, seat_t *seat, const quota_request_t *from,
-			    usec_t now)
+static void request_release(limit_shards_t *shards, limit_shard_t *shard,
+			    const quota_request_t *from, usec_t now)
 {
-	pooler_t *pooler = seats->pooler;
+	pooler_t *pooler = shards->pooler;
 	const char *name =
 		keepers_before(pooler->keepers, pooler->config.name, from->customer, from->seat);
 	const roster_node_t *node = name != NULL ? roster_node(pooler->sync.roster, name) : NULL;
@@ -142,79 +151,81 @@
 	};
 	peer_message_t message = {.kind = PEER_TAKE, .take = &request};
 
-	if (node == NULL || node->gone || now < seat->asked_at + RELEASE_INTERVAL)
+	if (node == NULL || node->gone || now < shard->release_sent_at + RELEASE_INTERVAL)
 		return;
 	request.number = pooler_next_number(pooler);
 	exchange_fill(pooler, &message);
 	if (!pooler->env->ops->peer_send(pooler->env, node->name, node->address, &message))
 		return;
-	seat->question = request.number;
-	seat->asked_at = now;
+	shard->release_request = request.number;
+	shard->release_sent_at = now;
 }
 
-quota_answer_t limit_shards_release(limit_shards_t *seats, const quota_request_t *request,
+quota_answer_t limit_shards_release(limit_shards_t *shards, const quota_request_t *request,
 				    int64_t revision)
 {
-	seat_t *seat = get_seat(seats, request, USEC_NEVER, 0);
+	limit_shard_t *shard = get_shard(shards, request, USEC_NEVER, 0);
 	quota_answer_t answer = {
 		.number = request->number,
 		.customer = request->customer,
 		.release = true,
 		.vacant = true,
-		/* Only who gave tokens knows that nobody else still does. */
-		.released = seat->in_force,
+		/* Only a proxy that granted tokens is certain that no other proxy still does. */
+		.released = shard->granting,
 	};
 
 	if (answer.released) {
-		seat->released = true;
-		seat->released_by = revision;
+		shard->released = true;
+		shard->release_revision = revision;
 	}
 	return answer;
 }
 
 /*
- * The successor was one for a short time, and this proxy has seen only the rosters before and
- * after: the seat is ours still, and would stay vacant for ever. Somebody else may have given
- * tokens meanwhile, so it is taken over anew.
+ * Reclaims a released shard. The successor owned it for a short time only, and this proxy has
+ * received only the rosters before and after: it is still the owner by both, and would never grant
+ * again. Another proxy may have granted tokens meanwhile, so the shard is taken over like a new
+ * one.
  */
-static void take_back(const pooler_t *pooler, seat_t *seat, usec_t now)
+static void reclaim(const pooler_t *pooler, limit_shard_t *shard, usec_t now)
 {
-	if (seat->released && pooler->sync.roster->revision >= seat->released_by)
-		start_counting(seat, now);
+	if (shard->released && pooler->sync.roster->revision >= shard->release_revision)
+		start_ownership(shard, now);
 }
 
-void limit_shards_on_released(limit_shards_t *seats, const quota_answer_t *answer, usec_t now)
+void limit_shards_on_released(limit_shards_t *shards, const quota_answer_t *answer, usec_t now)
 {
-	for (seat_t *seat = seats->by_name; seat != NULL; seat = seat->hh.next) {
-		if (seat->question == 0 || seat->question != answer->number)
+	for (limit_shard_t *shard = shards->by_name; shard != NULL; shard = shard->hh.next) {
+		if (shard->release_request == 0 || shard->release_request != answer->number)
 			continue;
-		seat->question = 0;
-		seat->taken_over = answer->released;
-		LOG_EVENT(LOG_INFO, "seat taken over", LOG_STR("customer", answer->customer),
-			  LOG_STR("seat", seat->name), LOG_INT("released", answer->released),
-			  LOG_INT("after_ms", (int64_t)((now - seat->since) / USEC_PER_MSEC)));
+		shard->release_request = 0;
+		shard->taken_over = answer->released;
+		LOG_EVENT(
+			LOG_INFO, "limit shard taken over", LOG_STR("customer", answer->customer),
+			LOG_STR("seat", shard->name), LOG_INT("released", answer->released),
+			LOG_INT("after_ms", (int64_t)((now - shard->owned_since) / USEC_PER_MSEC)));
 		return;
 	}
 }
 
-/* When a proxy that found no token is to ask again. */
-static usec_t wait_of(seat_t *seat, usec_t now)
+/* Delay after which a proxy that got no token may send the next request. */
+static usec_t retry_delay(limit_shard_t *shard, usec_t now)
 {
-	usec_t wait = bucket_wait(&seat->bucket, now);
+	usec_t wait = bucket_wait(&shard->bucket, now);
 	usec_t spread;
 
-	if (now >= seat->denied_from + USEC_PER_SEC) {
-		seat->denied_from = now;
-		seat->denied = 0;
+	if (now >= shard->denied_window_start + USEC_PER_SEC) {
+		shard->denied_window_start = now;
+		shard->denied = 0;
 	}
-	seat->denied++;
+	shard->denied++;
 	counter_add(&denied_total, 1);
-	spread = seat->denied * USEC_PER_SEC / DENIED_PER_S;
+	spread = shard->denied * USEC_PER_SEC / MAX_DENIALS_PER_S;
 	return wait > spread ? wait : spread;
 }
 
-/* Since when this proxy keeps the seat that is asked for; USEC_NEVER: it does not. */
-static usec_t kept_since(const pooler_t *pooler, const quota_request_t *request)
+/* Since when this proxy has owned the requested shard; USEC_NEVER: it does not own it. */
+static usec_t owned_since(const pooler_t *pooler, const quota_request_t *request)
 {
 	if (request->seat >= LIMIT_SEATS)
 		return USEC_NEVER;
@@ -222,34 +233,34 @@
 			     request->seat);
 }
 
-quota_answer_t limit_shards_take(limit_shards_t *seats, const quota_request_t *request, usec_t now)
+quota_answer_t limit_shards_take(limit_shards_t *shards, const quota_request_t *request, usec_t now)
 {
-	const pooler_t *pooler = seats->pooler;
+	const pooler_t *pooler = shards->pooler;
 	const customer_t *customer =
 		pooler->routes != NULL
 			? customers_by_name(pooler->routes->customers, request->customer)
 			: NULL;
 	quota_answer_t answer = {.number = request->number, .customer = request->customer};
-	usec_t since = kept_since(pooler, request);
-	limit_share_t share;
-	seat_t *seat;
+	usec_t since = owned_since(pooler, request);
+	limit_share_t limit;
+	limit_shard_t *shard;
 
 	answer.vacant = true;
 	if (customer == NULL || since == USEC_NEVER)
 		return answer;
-	seat = get_seat(seats, request, since, now);
-	take_back(pooler, seat, now);
-	if (!is_kept(pooler, seat, now)) {
-		if (!seat->released && seat->since != 0)
-			ask_predecessor(seats, seat, request, now);
+	shard = get_shard(shards, request, since, now);
+	reclaim(pooler, shard, now);
+	if (!may_grant(pooler, shard, now)) {
+		if (!shard->released && shard->owned_since != 0)
+			request_release(shards, shard, request, now);
 		return answer;
 	}
 	answer.vacant = false;
-	share = limit_share(customer, &pooler->config.slack);
-	enter_into_force(pooler, seat, &share, now);
-	answer.granted = bucket_take(&seat->bucket, request->wanted, now);
+	limit = limit_share(customer, &pooler->config.slack);
+	start_granting(pooler, shard, &limit, now);
+	answer.granted = bucket_take(&shard->bucket, request->wanted, now);
 	counter_add(&granted_total, answer.granted);
 	if (answer.granted < request->wanted)
-		answer.wait = wait_of(seat, now);
+		answer.wait = retry_delay(shard, now);
 	return answer;
 }
--- a/pooler/limit_shards.h
+++ b/pooler/limit_shards.h
@@ -1,25 +1,28 @@
 /*
- * What a keeper has let through of customers' limits: a token bucket for each seat that this proxy
- * keeps; see keepers.h and quota.h.
+ * The limit shards that this proxy owns: a token bucket for each; see keepers.h and quota.h.
  *
- * A proxy that takes a seat over asks its predecessor to give nothing more for it, and begins with
- * the answer. Without one it leaves the seat vacant until the predecessor can't hold the right any
- * more.
+ * A proxy that becomes a shard's owner asks the previous owner to release it, and grants tokens
+ * once that one has answered. Without an answer it grants none until the previous owner can no
+ * longer have the right to.
  */
 #pragma once
 
 #include "state.h"
 
-typedef struct seats limit_shards_t;
+typedef struct limit_shards limit_shards_t;
 
 limit_shards_t *limit_shards_create(void *parent, pooler_t *pooler);
 
-/* Tokens for another proxy, or for this one. */
-quota_answer_t limit_shards_take(limit_shards_t *seats, const quota_request_t *request, usec_t now);
+/* Grants tokens to another proxy, or to this one. */
+quota_answer_t limit_shards_take(limit_shards_t *shards, const quota_request_t *request,
+				 usec_t now);
 
-/* A seat's keeper by the roster of that revision asks this proxy to give nothing more for it. */
-quota_answer_t limit_shards_release(limit_shards_t *seats, const quota_request_t *request,
+/*
+ * Another proxy, the shard's owner by the roster of that revision, asks this one to release it:
+ * this proxy grants no more tokens of the shard.
+ */
+quota_answer_t limit_shards_release(limit_shards_t *shards, const quota_request_t *request,
 				    int64_t revision);
 
-/* The predecessor's answer; of one that is not waited for any more nothing follows. */
-void limit_shards_on_released(limit_shards_t *seats, const quota_answer_t *answer, usec_t now);
+/* The previous owner's answer to a release request; ignored if the request is no longer current. */
+void limit_shards_on_released(limit_shards_t *shards, const quota_answer_t *answer, usec_t now);
