--- a/pooler/quota.c
+++ b/pooler/quota.c
@@ -15,53 +15,65 @@
 #include "counter.h"
 #include "log.h"
 
-/* A keeper that has not answered for so long is passed over: a question's way to a busy VM. */
-#define ANSWER_PATIENCE (60 * USEC_PER_MSEC)
-/* For so long by all; by then it has answered something else, or is taken for silent. */
-#define PASSED_OVER_FOR (300 * USEC_PER_MSEC)
-/* Between two rounds of questions while links are made, and keepers have not started. */
-#define ROUND_RETRY (15 * USEC_PER_MSEC)
-/* Longest that an operation waits for a token: its client would come again after as long. */
-#define TOKEN_PATIENCE (50 * USEC_PER_MSEC)
-/* Longest that an operation waits for a keeper that answers. */
+/*
+ * A shard owner that has not answered after this time is passed over; enough for a request and its
+ * answer on a busy VM.
+ */
+#define ANSWER_TIMEOUT (60 * USEC_PER_MSEC)
+/*
+ * How long an owner that did not answer is passed over for all customers; by then it has answered
+ * another message, or is suspect.
+ */
+#define PASS_OVER_TIME (300 * USEC_PER_MSEC)
+/* Between two rounds of requests while links are being made or shard owners are starting. */
+#define ROUND_INTERVAL (15 * USEC_PER_MSEC)
+/*
+ * How long an operation may wait for the next token when the limit is reached; a refused client
+ * would retry after about as long.
+ */
+#define TOKEN_WAIT_MAX (50 * USEC_PER_MSEC)
+/* How long an operation waits for a shard owner that answers. */
 #define QUOTA_WAIT_MAX (400 * USEC_PER_MSEC)
-/* When to come back if no keeper answers. */
-#define RETRY_UNKNOWN (200 * USEC_PER_MSEC)
-/* At the soonest, if a limit is reached. */
-#define RETRY_LEAST (10 * USEC_PER_MSEC)
+/* Retry delay for clients if no shard owner answers. */
+#define RETRY_NO_OWNER (200 * USEC_PER_MSEC)
+/* Shortest retry delay if a limit is reached. */
+#define RETRY_MIN (10 * USEC_PER_MSEC)
 
 COUNTER_DEFINE(asked_total, "limit_questions_total", COUNTER_SUM,
-	       "Questions for operations of customers, to keepers.");
+	       "Requests to owners of limit shards for tokens.");
 COUNTER_DEFINE(refused_total, "limit_refused_total", COUNTER_SUM,
 	       "Operations refused since the limit of their customer was reached.");
 COUNTER_DEFINE(silent_total, "limit_keepers_silent_total", COUNTER_SUM,
-	       "Questions that a keeper did not answer in time.");
+	       "Requests that the owner of a limit shard did not answer in time.");
 
-/* What this proxy knows of one customer's keepers. */
-typedef struct allowance {
+/*
+ * The callers of one customer that wait for admission, and the state of the customer's limit shards
+ * as received from their owners.
+ */
+typedef struct quota_queue {
 	UT_hash_handle hh; /* in quota_t.by_customer */
 	quota_t *quota;
 	char *customer;
-	list_t waiting;	   /* caller_t.admission, by arrival */
-	uint64_t question; /* under way; 0: none */
-	unsigned seat;	   /* that it went to */
-	unsigned first;	   /* seat to begin with, another one for each proxy */
-	unsigned tried;	   /* seats asked for those that wait now, as bits */
+	list_t waiting;		 /* caller_t.admission, by arrival */
+	uint64_t request_number; /* number of the request in flight; 0: none */
+	unsigned shard;		 /* the shard that the request is for */
+	unsigned first_shard;	 /* shard to begin with; differs between proxies */
+	unsigned tried_shards;	 /* shards already tried in this round, as bits */
 	usec_t empty_until[LIMIT_SEATS];
-	run_timer_t timer; /* of the question, or until the next round */
+	run_timer_t timer; /* time-out of the request, or start of the next round */
 } quota_queue_t;
 
 struct quota {
 	pooler_t *pooler;
 	quota_queue_t *by_customer;
-	limit_shards_t *seats;
+	limit_shards_t *shards;
 };
 
-static void ask_next(quota_queue_t *allowance, usec_t now);
+static void request_next(quota_queue_t *queue, usec_t now);
 
-static int allowance_destructor(quota_queue_t *allowance)
+static int queue_destructor(quota_queue_t *queue)
 {
-	timers_cancel(allowance->quota->pooler->timers, &allowance->timer);
+	timers_cancel(queue->quota->pooler->timers, &queue->timer);
 	return 0;
 }
 
@@ -70,7 +82,7 @@
 	quota_t *quota = talloc_zero(pooler, quota_t);
 
 	quota->pooler = pooler;
-	quota->seats = limit_shards_create(quota, pooler);
+	quota->shards = limit_shards_create(quota, pooler);
 	return quota;
 }
 
@@ -80,44 +92,43 @@
 	talloc_free(quota);
 }
 
-static quota_queue_t *find_allowance(quota_t *quota, const char *customer)
+static quota_queue_t *find_queue(quota_t *quota, const char *customer)
 {
-	quota_queue_t *allowance;
+	quota_queue_t *queue;
 
-	HASH_FIND_STR(quota->by_customer, customer, allowance);
-	return allowance;
+	HASH_FIND_STR(quota->by_customer, customer, queue);
+	return queue;
 }
 
-static uint64_t hash_self(const quota_t *quota, const char *customer)
+static uint64_t hash_own_name(const quota_t *quota, const char *customer)
 {
 	const char *name = quota->pooler->config.name;
 
 	return XXH64(name, strlen(name), XXH64(customer, strlen(customer), 0));
 }
 
-static quota_queue_t *get_allowance(quota_t *quota, const char *customer)
+static quota_queue_t *get_queue(quota_t *quota, const char *customer)
 {
-	quota_queue_t *allowance = find_allowance(quota, customer);
-
-	if (allowance != NULL)
-		return allowance;
-	allowance = talloc_zero(quota, quota_queue_t);
-	allowance->quota = quota;
-	allowance->customer = talloc_strdup(allowance, customer);
-	list_init(&allowance->waiting);
-	allowance->first = (unsigned)(hash_self(quota, customer) % LIMIT_SEATS);
-	talloc_set_destructor(allowance, allowance_destructor);
-	HASH_ADD_KEYPTR(hh, quota->by_customer, allowance->customer, strlen(customer), allowance);
-	return allowance;
+	quota_queue_t *queue = find_queue(quota, customer);
+
+	if (queue != NULL)
+		return queue;
+	queue = talloc_zero(quota, quota_queue_t);
+	queue->quota = quota;
+	queue->customer = talloc_strdup(queue, customer);
+	list_init(&queue->waiting);
+	queue->first_shard = (unsigned)(hash_own_name(quota, customer) % LIMIT_SEATS);
+	talloc_set_destructor(queue, queue_destructor);
+	HASH_ADD_KEYPTR(hh, quota->by_customer, queue->customer, strlen(customer), queue);
+	return queue;
 }
 
-/* --- those that wait --- */
+/* --- waiting callers --- */
 
-static caller_t *first_waiting(const quota_queue_t *allowance)
+static caller_t *first_waiting(const quota_queue_t *queue)
 {
-	return list_empty(&allowance->waiting)
-		       ? NULL
-		       : list_entry(allowance->waiting.next, caller_t, admission);
+	return list_empty(&queue->waiting) ? NULL
+					   : list_entry(queue->waiting.next, caller_t, admission);
 }
 
 void quota_cancel(caller_t *caller)
@@ -125,203 +136,214 @@
 	list_del(&caller->admission);
 }
 
-static void admit(quota_queue_t *allowance, unsigned count)
+static void admit(quota_queue_t *queue, unsigned count)
 {
 	caller_t *caller;
 
-	while (count-- != 0 && (caller = first_waiting(allowance)) != NULL) {
+	while (count-- != 0 && (caller = first_waiting(queue)) != NULL) {
 		quota_cancel(caller);
 		caller_on_admitted(caller);
 	}
 }
 
-/* Until a keeper may have a token again, as far as they have told; RETRY_LEAST at least. */
-static usec_t until_token(const quota_queue_t *allowance, usec_t now)
+/*
+ * Time until a shard owner may have a token again as far as they have reported, but at least
+ * RETRY_MIN.
+ */
+static usec_t time_until_token(const quota_queue_t *queue, usec_t now)
 {
-	usec_t least = USEC_NEVER;
+	usec_t earliest = USEC_NEVER;
 
-	for (unsigned seat = 0; seat < LIMIT_SEATS; seat++) {
-		if (allowance->empty_until[seat] < least)
-			least = allowance->empty_until[seat];
+	for (unsigned shard = 0; shard < LIMIT_SEATS; shard++) {
+		if (queue->empty_until[shard] < earliest)
+			earliest = queue->empty_until[shard];
 	}
-	return least > now + RETRY_LEAST ? least - now : RETRY_LEAST;
+	return earliest > now + RETRY_MIN ? earliest - now : RETRY_MIN;
 }
 
-/* True if no keeper that was heard of has a token now. */
-static bool is_used_up(const quota_queue_t *allowance, usec_t now)
+/* True if a shard owner has reported that it has no token for now. */
+static bool is_limit_reached(const quota_queue_t *queue, usec_t now)
 {
-	for (unsigned seat = 0; seat < LIMIT_SEATS; seat++) {
-		if (now < allowance->empty_until[seat])
+	for (unsigned shard = 0; shard < LIMIT_SEATS; shard++) {
+		if (now < queue->empty_until[shard])
 			return true;
 	}
 	return false;
 }
 
-static void refuse_one(caller_t *caller, const quota_queue_t *allowance, reason_t reason,
-		       usec_t back)
+static void refuse_one(caller_t *caller, const quota_queue_t *queue, reason_t reason,
+		       usec_t retry_after)
 {
 	if (reason == REASON_LIMIT_REACHED)
 		counter_add(&refused_total, 1);
-	LOG_EVENT(LOG_DBG, "operation not admitted", LOG_STR("customer", allowance->customer),
+	LOG_EVENT(LOG_DBG, "operation not admitted", LOG_STR("customer", queue->customer),
 		  LOG_STR("reason", reason_text(reason)),
-		  LOG_INT("back_ms", (int64_t)(back / USEC_PER_MSEC)));
+		  LOG_INT("back_ms", (int64_t)(retry_after / USEC_PER_MSEC)));
 	caller_refuse(caller, reason == REASON_LIMIT_REACHED ? CODE_TOO_MANY : CODE_BUSY, reason,
-		      back);
+		      retry_after);
 }
 
-static void refuse_all(quota_queue_t *allowance, reason_t reason, usec_t back)
+static void refuse_all(quota_queue_t *queue, reason_t reason, usec_t retry_after)
 {
 	caller_t *caller;
 
-	while ((caller = first_waiting(allowance)) != NULL) {
+	while ((caller = first_waiting(queue)) != NULL) {
 		quota_cancel(caller);
-		refuse_one(caller, allowance, reason, back);
+		refuse_one(caller, queue, reason, retry_after);
 	}
 }
 
-/* --- questions --- */
+/* --- requests to shard owners --- */
 
-static const char *keeper_of(const quota_queue_t *allowance, unsigned seat)
+static const char *owner_of(const quota_queue_t *queue, unsigned shard)
 {
-	return keepers_find(allowance->quota->pooler->keepers, allowance->customer, seat);
+	return keepers_find(queue->quota->pooler->keepers, queue->customer, shard);
 }
 
 static void on_timer(run_timer_t *timer, usec_t now)
 {
-	quota_queue_t *allowance = list_entry(timer, quota_queue_t, timer);
-	const char *name = keeper_of(allowance, allowance->seat);
+	quota_queue_t *queue = list_entry(timer, quota_queue_t, timer);
+	const char *name = owner_of(queue, queue->shard);
 
-	if (allowance->question != 0) {
+	if (queue->request_number != 0) {
 		counter_add(&silent_total, 1);
-		LOG_EVENT(LOG_INFO, "keeper does not answer",
-			  LOG_STR("customer", allowance->customer),
+		LOG_EVENT(LOG_INFO, "owner of a limit shard does not answer",
+			  LOG_STR("customer", queue->customer),
 			  LOG_STR("proxy", name != NULL ? name : ""),
-			  LOG_INT("seat", allowance->seat));
+			  LOG_INT("seat", queue->shard));
 		if (name != NULL)
-			exchange_get_report(allowance->quota->pooler, name)->passed_over_until =
-				now + PASSED_OVER_FOR;
-		allowance->question = 0;
+			exchange_get_report(queue->quota->pooler, name)->passed_over_until =
+				now + PASS_OVER_TIME;
+		queue->request_number = 0;
 	}
-	ask_next(allowance, now);
+	request_next(queue, now);
 }
 
-static void wait_for(quota_queue_t *allowance, usec_t until)
+static void set_timer(quota_queue_t *queue, usec_t until)
 {
-	timers_arm(allowance->quota->pooler->timers, &allowance->timer, until, on_timer);
+	timers_arm(queue->quota->pooler->timers, &queue->timer, until, on_timer);
 }
 
 /*
- * Ask the keeper of a seat for all that wait; if it is this proxy it has answered. False if there
- * is none, or no link to it yet.
+ * Requests tokens for all waiting callers from the owner of a shard; if that is this proxy, the
+ * answer is handled at once. False if the shard has no owner, or there is no link to it yet.
  */
-static bool ask(quota_queue_t *allowance, unsigned seat, usec_t now)
+static bool request_tokens(quota_queue_t *queue, unsigned shard, usec_t now)
 {
-	quota_t *quota = allowance->quota;
+	quota_t *quota = queue->quota;
 	pooler_t *pooler = quota->pooler;
-	const char *name = keeper_of(allowance, seat);
-	const roster_node_t *keeper = name != NULL ? roster_node(pooler->sync.roster, name) : NULL;
+	const char *name = owner_of(queue, shard);
+	const roster_node_t *owner = name != NULL ? roster_node(pooler->sync.roster, name) : NULL;
 	quota_request_t request = {
 		.number = pooler_next_number(quota->pooler),
-		.customer = allowance->customer,
-		.seat = seat,
-		.wanted = (unsigned)list_length(&allowance->waiting),
+		.customer = queue->customer,
+		.seat = shard,
+		.wanted = (unsigned)list_length(&queue->waiting),
 	};
 	peer_message_t message = {.kind = PEER_TAKE, .take = &request};
 	quota_answer_t answer;
 
-	if (keeper == NULL)
+	if (owner == NULL)
 		return false;
 	counter_add(&asked_total, 1);
-	allowance->seat = seat;
-	allowance->question = request.number;
+	queue->shard = shard;
+	queue->request_number = request.number;
 	if (strcmp(name, pooler->config.name) == 0) {
-		answer = limit_shards_take(quota->seats, &request, now);
+		answer = limit_shards_take(quota->shards, &request, now);
 		message.kind = PEER_TAKEN;
 		message.taken = &answer;
 		quota_on_answer(pooler, &message);
 		return true;
 	}
 	exchange_fill(pooler, &message);
-	/* Found to be silent by all customers' questions together, and asked whether it lives. */
-	home_on_sent(pooler, keeper->name, now);
-	if (!pooler->env->ops->peer_send(pooler->env, keeper->name, keeper->address, &message)) {
-		allowance->question = 0;
+	/*
+	 * Detects a silent owner from the requests for all customers together; it is then pinged.
+	 */
+	home_on_sent(pooler, owner->name, now);
+	if (!pooler->env->ops->peer_send(pooler->env, owner->name, owner->address, &message)) {
+		queue->request_number = 0;
 		return false;
 	}
-	wait_for(allowance, now + ANSWER_PATIENCE);
+	set_timer(queue, now + ANSWER_TIMEOUT);
 	return true;
 }
 
-static bool is_near(const quota_queue_t *allowance, unsigned seat)
+static bool is_in_own_zone(const quota_queue_t *queue, unsigned shard)
 {
-	const pooler_t *pooler = allowance->quota->pooler;
-	const char *zone = keepers_zone(pooler->keepers, allowance->customer, seat);
+	const pooler_t *pooler = queue->quota->pooler;
+	const char *zone = keepers_zone(pooler->keepers, queue->customer, shard);
 
 	return zone != NULL && strcmp(zone, pooler->config.zone) == 0;
 }
 
-static bool is_passed_over(const quota_queue_t *allowance, unsigned seat, usec_t now)
+static bool is_passed_over(const quota_queue_t *queue, unsigned shard, usec_t now)
 {
-	const pooler_t *pooler = allowance->quota->pooler;
-	const char *name = keeper_of(allowance, seat);
+	const pooler_t *pooler = queue->quota->pooler;
+	const char *name = owner_of(queue, shard);
 	const peer_report_t *report = name != NULL ? exchange_report(pooler, name) : NULL;
 
 	return report != NULL &&
 	       (now < report->passed_over_until || home_is_suspect(pooler, report->name, now));
 }
 
-static bool may_ask(const quota_queue_t *allowance, unsigned seat, usec_t now)
+static bool may_request(const quota_queue_t *queue, unsigned shard, usec_t now)
 {
-	return (allowance->tried & 1u << seat) == 0 && now >= allowance->empty_until[seat] &&
-	       !is_passed_over(allowance, seat, now);
+	return (queue->tried_shards & 1u << shard) == 0 && now >= queue->empty_until[shard] &&
+	       !is_passed_over(queue, shard, now);
 }
 
 /*
- * No keeper has a token. If one has said so the limit is reached, and those that wait are refused
- * unless the next token comes soon: shares are small, and one that has none just now may have one
- * in some ms. Else nobody has answered, as when all proxies have just started, and all are asked
- * again.
+ * Ends a round in which no shard owner had a token. If an owner reported so, the limit is reached,
+ * and the waiting callers are refused unless the next token is due soon: shards are small, and one
+ * without a token now may have one within milliseconds. Otherwise no owner answered, as when all
+ * proxies have just started, and all are tried again.
  */
-static void end_round(quota_queue_t *allowance, const caller_t *oldest, usec_t now)
+static void end_round(quota_queue_t *queue, const caller_t *oldest, usec_t now)
 {
-	usec_t wait = until_token(allowance, now);
+	usec_t wait = time_until_token(queue, now);
 
-	if (is_used_up(allowance, now)) {
-		allowance->tried = 0;
-		if (now + wait <= oldest->received_at + TOKEN_PATIENCE)
-			wait_for(allowance, now + wait);
+	if (is_limit_reached(queue, now)) {
+		queue->tried_shards = 0;
+		if (now + wait <= oldest->received_at + TOKEN_WAIT_MAX)
+			set_timer(queue, now + wait);
 		else
-			refuse_all(allowance, REASON_LIMIT_REACHED, wait);
+			refuse_all(queue, REASON_LIMIT_REACHED, wait);
 	} else if (now >= oldest->received_at + QUOTA_WAIT_MAX) {
-		refuse_all(allowance, REASON_LIMIT_UNKNOWN, RETRY_UNKNOWN);
+		refuse_all(queue, REASON_LIMIT_UNKNOWN, RETRY_NO_OWNER);
 	} else {
-		allowance->tried = 0;
-		wait_for(allowance, now + ROUND_RETRY);
+		queue->tried_shards = 0;
+		set_timer(queue, now + ROUND_INTERVAL);
 	}
 }
 
-/* Ask a keeper of our zone, or of another one; false if there is none to ask. */
-static bool ask_one_of(quota_queue_t *allowance, bool near, usec_t now)
+/*
+ * Sends a request to one owner in this proxy's zone, or in another zone; false if there is none to
+ * send it to.
+ */
+static bool request_from_one(quota_queue_t *queue, bool own_zone, usec_t now)
 {
 	for (unsigned i = 0; i < LIMIT_SEATS; i++) {
-		unsigned seat = (allowance->first + i) % LIMIT_SEATS;
+		unsigned shard = (queue->first_shard + i) % LIMIT_SEATS;
 
-		if (is_near(allowance, seat) == near && may_ask(allowance, seat, now) &&
-		    ask(allowance, seat, now))
+		if (is_in_own_zone(queue, shard) == own_zone && may_request(queue, shard, now) &&
+		    request_tokens(queue, shard, now))
 			return true;
 	}
 	return false;
 }
 
-/* Ask one keeper after the other for those that wait, the nearest first. */
-static void ask_next(quota_queue_t *allowance, usec_t now)
+/*
+ * Sends requests to one shard owner after the other for the waiting callers, owners in this proxy's
+ * zone first.
+ */
+static void request_next(quota_queue_t *queue, usec_t now)
 {
-	const caller_t *oldest = first_waiting(allowance);
+	const caller_t *oldest = first_waiting(queue);
 
-	if (oldest == NULL || allowance->question != 0)
+	if (oldest == NULL || queue->request_number != 0)
 		return;
-	if (!ask_one_of(allowance, true, now) && !ask_one_of(allowance, false, now))
-		end_round(allowance, oldest, now);
+	if (!request_from_one(queue, true, now) && !request_from_one(queue, false, now))
+		end_round(queue, oldest, now);
 }
 
 bool quota_admit(caller_t *caller)
@@ -329,66 +351,72 @@
 	pooler_t *pooler = caller->pooler;
 	const customer_t *customer = customers_by_name(pooler->routes->customers, caller->customer);
 	usec_t now = now_of(pooler);
-	quota_queue_t *allowance;
-	bool alone;
+	quota_queue_t *queue;
+	bool was_empty;
 
 	if (customer == NULL || customer->rate <= 0)
 		return true;
-	allowance = get_allowance(pooler->quota, caller->customer);
-	alone = list_empty(&allowance->waiting);
-	list_add_tail(&allowance->waiting, &caller->admission);
-	if (!alone)
+	queue = get_queue(pooler->quota, caller->customer);
+	was_empty = list_empty(&queue->waiting);
+	list_add_tail(&queue->waiting, &caller->admission);
+	if (!was_empty)
 		return false;
-	allowance->tried = 0;
-	timers_cancel(pooler->timers, &allowance->timer);
-	allowance->question = 0;
-	ask_next(allowance, now);
+	queue->tried_shards = 0;
+	timers_cancel(pooler->timers, &queue->timer);
+	queue->request_number = 0;
+	request_next(queue, now);
 	return false;
 }
 
-static void take_answer(quota_queue_t *allowance, const quota_answer_t *answer, usec_t now)
+static void handle_answer(quota_queue_t *queue, const quota_answer_t *answer, usec_t now)
 {
-	unsigned seat = allowance->seat;
+	unsigned shard = queue->shard;
 
-	allowance->question = 0;
-	timers_cancel(allowance->quota->pooler->timers, &allowance->timer);
+	queue->request_number = 0;
+	timers_cancel(queue->quota->pooler->timers, &queue->timer);
 	if (answer->granted == 0)
-		allowance->tried |= 1u << seat;
+		queue->tried_shards |= 1u << shard;
 	if (!answer->vacant)
-		allowance->empty_until[seat] = answer->wait != 0 ? now + answer->wait : 0;
-	admit(allowance, answer->granted);
-	/* A round is over when somebody was admitted: the next ones may ask every keeper again. */
+		queue->empty_until[shard] = answer->wait != 0 ? now + answer->wait : 0;
+	admit(queue, answer->granted);
+	/*
+	 * A round ends when a caller was admitted: for the remaining callers every shard may be
+	 * tried again.
+	 */
 	if (answer->granted != 0)
-		allowance->tried = 0;
-	ask_next(allowance, now);
+		queue->tried_shards = 0;
+	request_next(queue, now);
 }
 
 void quota_on_answer(pooler_t *pooler, const peer_message_t *message)
 {
 	const quota_answer_t *answer = message->taken;
-	quota_queue_t *allowance = find_allowance(pooler->quota, answer->customer);
+	quota_queue_t *queue = find_queue(pooler->quota, answer->customer);
 
 	if (answer->release) {
-		limit_shards_on_released(pooler->quota->seats, answer, now_of(pooler));
+		limit_shards_on_released(pooler->quota->shards, answer, now_of(pooler));
 		return;
 	}
-	/* A token that comes too late is not used: another keeper was asked for its operation. */
-	if (allowance != NULL && allowance->question == answer->number)
-		take_answer(allowance, answer, now_of(pooler));
+	/*
+	 * A token that arrives too late is not used: another owner was sent a request for the
+	 * operation.
+	 */
+	if (queue != NULL && queue->request_number == answer->number)
+		handle_answer(queue, answer, now_of(pooler));
 }
 
 void quota_on_request(pooler_t *pooler, const peer_message_t *message)
 {
-	limit_shards_t *seats = pooler->quota->seats;
+	limit_shards_t *shards = pooler->quota->shards;
 	quota_answer_t answer =
 		message->take->release
-			? limit_shards_release(seats, message->take, message->revision)
-			: limit_shards_take(seats, message->take, now_of(pooler));
+			? limit_shards_release(shards, message->take, message->revision)
+			: limit_shards_take(shards, message->take, now_of(pooler));
 
 	outbox_answer(&pooler->outbox, message->from, message->address, &answer);
 }
 
-static void fill_fleet(pooler_t *pooler, usec_t now)
+static void update_owners(pooler_t *pooler, usec_t now)
 {
 	const roster_t *roster = pooler->sync.roster;
 	fleet_member_t *members = talloc_array(NULL, fleet_member_t, list_length(&roster->nodes));
@@ -409,5 +437,5 @@
 	if (pooler->keepers_from == pooler->sync.roster->nodes_revision)
 		return;
 	pooler->keepers_from = pooler->sync.roster->nodes_revision;
-	fill_fleet(pooler, now_of(pooler));
+	update_owners(pooler, now_of(pooler));
 }
--- a/pooler/quota.h
+++ b/pooler/quota.h
@@ -1,14 +1,14 @@
 /*
- * Customers' limits over the whole fleet. A proxy lets an operation of a customer with a limit run
- * only by a token from one of the customer's keepers (keepers.h), and a keeper gives no more tokens
- * than its share of the limit. So nobody has to be heard by anybody for the limit to hold: a proxy
- * that reaches no keeper lets nothing run.
+ * Enforces customers' operation limits over the whole fleet. A proxy runs an operation of a
+ * customer with a limit only with a token from one of the customer's shard owners (keepers.h), and
+ * a shard owner grants no more tokens than its share of the limit. So the limit holds without any
+ * message having to arrive: a proxy that reaches no shard owner runs nothing.
  *
- * An operation is asked for after it was sent, and its token is used at once or never: so whatever
- * a member sees of a customer within some time was granted within that time.
+ * A token is requested after the client sent its operation, and is used at once or never: so
+ * whatever a member receives from a customer within some time was granted within that time.
  *
- * Weighed against shares of proxies by need: with 80 proxies most have less than one operation of a
- * customer in a second, and their shares would lie unused at nearly all of them.
+ * The alternative, a share for each proxy by its need, was rejected: with 80 proxies most have less
+ * than one operation of a customer per second, and nearly all of their shares would be unused.
  */
 #pragma once
 
@@ -20,19 +20,19 @@
 void quota_destroy(quota_t *quota);
 
 /*
- * An operation of the caller is about to begin. True if it may at once; else caller_on_admitted()
- * or caller_refuse() follows, within QUOTA_WAIT_MAX.
+ * Requests admission for the caller's next operation. True if the operation may begin at once;
+ * otherwise caller_on_admitted() or caller_refuse() follows within QUOTA_WAIT_MAX.
  */
 bool quota_admit(caller_t *caller);
 
-/* The caller does not wait any more. */
+/* The caller no longer waits for admission. */
 void quota_cancel(caller_t *caller);
 
-/* Another proxy asks for tokens. */
+/* Another proxy requests tokens. */
 void quota_on_request(pooler_t *pooler, const peer_message_t *message);
 
-/* A keeper answers. */
+/* A shard owner has answered a request. */
 void quota_on_answer(pooler_t *pooler, const peer_message_t *message);
 
-/* The fleet may be another one: work out the keepers anew. */
+/* The roster may list other proxies: computes the shard owners anew. */
 void quota_on_roster(pooler_t *pooler);
