--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -1,4 +1,7 @@
-/* Customers at a fleet of proxies: whose statements run, by which keys, and how many. */
+/*
+ * Customers at a fleet of proxies: under which customer's name statements run, which keys are
+ * accepted, and how many operations the limits allow.
+ */
 #include <stdio.h>
 #include <string.h>
 
@@ -13,9 +16,9 @@
 #define MSEC USEC_PER_MSEC
 #define SEC  USEC_PER_SEC
 
-static const world_customer_t two[] = {{.name = "ada"}, {.name = "ben"}};
+static const world_customer_t two_customers[] = {{.name = "ada"}, {.name = "ben"}};
 
-/* Eight connections: homes hold them for six proxies. */
+/* So few connections that six proxies need homes to hold them. */
 static const fake_db_config_t few_connections = {
 	.service = WORLD_SERVICE,
 	.members = 3,
@@ -33,16 +36,17 @@
 	return clock_now(&world->clock.base);
 }
 
-static pool_world_t *start(size_t nodes, const fake_db_config_t *config)
+static pool_world_t *start_fleet(size_t nodes, const fake_db_config_t *config)
 {
-	pool_world_t *world = world_create_keyed(nodes, config, two, G_N_ELEMENTS(two));
+	pool_world_t *world =
+		world_create_keyed(nodes, config, two_customers, G_N_ELEMENTS(two_customers));
 
 	world_settle(world);
 	return world;
 }
 
-/* The customer for whom members ran the statement; NULL: none did. */
-static const char *who_ran(const pool_world_t *world, const char *id)
+/* The customer under whose name a member ran the statement; NULL: none did. */
+static const char *customer_of_run(const pool_world_t *world, const char *id)
 {
 	const fake_db_t *db = world->db;
 
@@ -58,7 +62,7 @@
 	const char *reply = world_ask(caller, text);
 
 	g_assert_false(g_str_has_prefix(reply, "ERR"));
-	g_assert_cmpstr(who_ran(caller->at->world, caller->id), ==, customer);
+	g_assert_cmpstr(customer_of_run(caller->at->world, caller->id), ==, customer);
 }
 
 static void expect_refused(world_caller_t *caller, const char *text, const char *error)
@@ -67,36 +71,36 @@
 
 	if (!g_str_has_prefix(reply, error))
 		g_error("%s: %s, expected %s", text, reply, error);
-	g_assert_null(who_ran(caller->at->world, caller->id));
+	g_assert_null(customer_of_run(caller->at->world, caller->id));
 }
 
-static void new_version(pool_world_t *world)
+static void publish_new_version(pool_world_t *world)
 {
 	world->config_version++;
 	world_publish(world);
 }
 
-/* --- whose statements --- */
+/* --- the customer of a statement --- */
 
 /*
- * What a caller would see: rows that another customer may read, or a bill for somebody else's
- * statements. What happens: all customers' statements go through the same homes and the same few
- * connections. Why it does not: a connection is of one customer from its start on.
+ * Guards against statements that run under another customer's name, with its rights and on its
+ * bill: the statements of all customers go through the same homes and the same few connections.
+ * Each connection belongs to one customer from its start on.
  */
-static void check_names(size_t nodes, const fake_db_config_t *config)
+static void check_customers(size_t nodes, const fake_db_config_t *config)
 {
-	pool_world_t *world = start(nodes, config);
+	pool_world_t *world = start_fleet(nodes, config);
 
 	for (size_t i = 0; i < nodes; i++) {
 		world_caller_t *ada = world_open_key(world, i, "session", "key-ada");
 		world_caller_t *ben = world_open_key(world, i, "strict", "key-ben");
-		world_caller_t *any = world_open_key(world, i, "open", "");
+		world_caller_t *keyless = world_open_key(world, i, "open", "");
 
 		expect_run(ada, "READ a", "ada");
 		expect_run(ben, "WRITE a 1", "ben");
 		world_ask(ada, "BEGIN");
 		expect_run(ada, "WRITE a 2", "ada");
-		expect_run(any, "READ a", "public");
+		expect_run(keyless, "READ a", "public");
 		expect_run(ben, "READ a", "ben");
 		expect_run(ada, "COMMIT", "ada");
 		world_ask(ben, "PREPARE p READ shape");
@@ -105,24 +109,23 @@
 	world_destroy(world);
 }
 
-static void test_names(void)
+static void test_customers(void)
 {
-	check_names(3, NULL);
+	check_customers(3, NULL);
 }
 
-static void test_names_at_homes(void)
+static void test_customers_at_homes(void)
 {
-	check_names(6, &few_connections);
+	check_customers(6, &few_connections);
 }
 
 /*
- * What the caller sees: its statement is served though all connections are taken. What happens:
- * they are of another customer, unused. Why that suffices: an unused one gives way, and a customer
- * whose callers wait all the time does not keep its connections for ever.
+ * Guards against a customer that gets no connection because another one holds all of them: an idle
+ * connection is closed for it, even if the other customer's callers are always waiting.
  */
-static void test_connection_gives_way(void)
+static void test_idle_connection_is_replaced(void)
 {
-	static const fake_db_config_t one = {
+	static const fake_db_config_t one_member = {
 		.service = WORLD_SERVICE,
 		.members = 1,
 		.slots = 2,
@@ -133,18 +136,18 @@
 		.promote = 1000 * MSEC,
 		.open = 12 * MSEC,
 	};
-	pool_world_t *world = start(1, &one);
-	world_caller_t *busy[6];
+	pool_world_t *world = start_fleet(1, &one_member);
+	world_caller_t *flooding[6];
 	world_caller_t *ben = world_open_key(world, 0, "strict", "key-ben");
 	size_t replies = ben->replies;
 	usec_t began;
 
-	for (size_t i = 0; i < G_N_ELEMENTS(busy); i++)
-		busy[i] = world_open_key(world, 0, "strict", "key-ada");
+	for (size_t i = 0; i < G_N_ELEMENTS(flooding); i++)
+		flooding[i] = world_open_key(world, 0, "strict", "key-ada");
 	for (int step = 0; step < 500; step++) {
-		for (size_t i = 0; i < G_N_ELEMENTS(busy); i++) {
-			if (!caller_is_busy(busy[i]->caller))
-				world_send(busy[i], "READ a");
+		for (size_t i = 0; i < G_N_ELEMENTS(flooding); i++) {
+			if (!caller_is_busy(flooding[i]->caller))
+				world_send(flooding[i], "READ a");
 		}
 		if (step == 200) {
 			began = now_in(world);
@@ -155,7 +158,7 @@
 			break;
 	}
 	g_assert_cmpuint(ben->replies, ==, replies + 1);
-	g_assert_cmpstr(who_ran(world, ben->id), ==, "ben");
+	g_assert_cmpstr(customer_of_run(world, ben->id), ==, "ben");
 	g_assert_cmpuint(now_in(world) - began, <, 150 * MSEC);
 	world_destroy(world);
 }
@@ -164,7 +167,7 @@
 
 static void test_unknown_key(void)
 {
-	pool_world_t *world = start(2, NULL);
+	pool_world_t *world = start_fleet(2, NULL);
 
 	g_assert_cmpint(world_open_key(world, 0, "strict", "key-eve")->refused, ==, CODE_NO_AUTH);
 	g_assert_cmpint(world_open_key(world, 0, "strict", "")->refused, ==, CODE_NO_AUTH);
@@ -175,49 +178,49 @@
 }
 
 /*
- * What a caller with a stolen key would get: everything, as long as it keeps its session. What
- * happens: the operators take the key away while sessions are open, one of them in a transaction.
- * Why it ends: the key is looked up for each statement, and what rests on it is rolled back.
+ * Guards against a revoked key that keeps working in open sessions, one of them in a transaction:
+ * the key is looked up for each statement, and transactions under a revoked key are rolled back.
  */
-static void test_key_taken(void)
+static void test_key_revoked(void)
 {
-	pool_world_t *world = start(2, NULL);
-	world_caller_t *lone = world_open_key(world, 0, "strict", "key-ada");
-	world_caller_t *within = world_open_key(world, 0, "strict", "key-ada");
+	pool_world_t *world = start_fleet(2, NULL);
+	world_caller_t *single = world_open_key(world, 0, "strict", "key-ada");
+	world_caller_t *in_transaction = world_open_key(world, 0, "strict", "key-ada");
 	world_caller_t *other = world_open_key(world, 0, "strict", "key-ben");
 
-	expect_run(lone, "WRITE a 1", "ada");
-	world_ask(within, "BEGIN");
-	expect_run(within, "WRITE a 2", "ada");
+	expect_run(single, "WRITE a 1", "ada");
+	world_ask(in_transaction, "BEGIN");
+	expect_run(in_transaction, "WRITE a 2", "ada");
 	world->customers[0].key[0] = '\0';
-	new_version(world);
+	publish_new_version(world);
 	world_run(world, 10 * MSEC);
 	g_assert_false(world_in_transaction(world));
-	expect_refused(within, "WRITE a 3", "ERR ABORTED");
-	expect_refused(lone, "READ a", "ERR NOAUTH");
+	expect_refused(in_transaction, "WRITE a 3", "ERR ABORTED");
+	expect_refused(single, "READ a", "ERR NOAUTH");
 	expect_run(other, "READ a", "ben");
 	g_assert_cmpstr(fake_value(fake_leader(world->db), "a"), ==, "1");
-	/* Its sessions end. */
+	/* The sessions of the revoked key are closed. */
 	world_run(world, SEC);
-	g_assert_null(lone->caller);
+	g_assert_null(single->caller);
 	g_assert_nonnull(other->caller);
 	g_assert_cmpint(world_open_key(world, 1, "strict", "key-ada")->refused, ==, CODE_NO_AUTH);
 	world_destroy(world);
 }
 
 /*
- * The same with the answer to its statement under way: it is passed on, and nothing more runs.
+ * The same while a statement runs: its reply is forwarded to the caller, and no further statement
+ * runs.
  */
-static void test_key_taken_while_busy(void)
+static void test_key_revoked_while_busy(void)
 {
-	pool_world_t *world = start(2, NULL);
+	pool_world_t *world = start_fleet(2, NULL);
 	world_caller_t *caller = world_open_key(world, 0, "strict", "key-ada");
 
 	world_ask(caller, "BEGIN");
 	world_send(caller, "WRITE a 1");
 	world_run(world, MSEC);
 	world->customers[0].key[0] = '\0';
-	new_version(world);
+	publish_new_version(world);
 	world_run(world, 50 * MSEC);
 	g_assert_true(g_str_has_prefix(caller->reply, "DONE"));
 	expect_refused(caller, "COMMIT", "ERR ABORTED");
@@ -226,28 +229,28 @@
 }
 
 /*
- * What callers would see: statements of one customer counted and run as another's. What happens: a
- * key is passed on to another customer. Why it does not: a transaction ends with the name under
- * which it began, and what follows runs under the new one.
+ * Guards against statements that are counted and run under the wrong customer's name after a key
+ * was reassigned to another customer: an open transaction is aborted, and later statements run
+ * under the new name.
  */
-static void test_key_passed_on(void)
+static void test_key_reassigned(void)
 {
-	pool_world_t *world = start(2, NULL);
-	world_caller_t *lone = world_open_key(world, 0, "strict", "key-ada");
-	world_caller_t *within = world_open_key(world, 0, "strict", "key-ada");
+	pool_world_t *world = start_fleet(2, NULL);
+	world_caller_t *single = world_open_key(world, 0, "strict", "key-ada");
+	world_caller_t *in_transaction = world_open_key(world, 0, "strict", "key-ada");
 
-	expect_run(lone, "READ a", "ada");
-	world_ask(within, "BEGIN");
-	expect_run(within, "WRITE a 1", "ada");
+	expect_run(single, "READ a", "ada");
+	world_ask(in_transaction, "BEGIN");
+	expect_run(in_transaction, "WRITE a 1", "ada");
 	snprintf(world->customers[0].key, WORLD_KEY_MAX, "key-new");
 	snprintf(world->customers[1].key, WORLD_KEY_MAX, "key-ada");
-	new_version(world);
-	expect_refused(within, "COMMIT", "ERR ABORTED");
-	expect_run(lone, "READ a", "ben");
+	publish_new_version(world);
+	expect_refused(in_transaction, "COMMIT", "ERR ABORTED");
+	expect_run(single, "READ a", "ben");
 	world_destroy(world);
 }
 
-/* --- what is known of the keys grows old --- */
+/* --- expiry of cached keys --- */
 
 static void cut_off(pool_world_t *world, size_t node, bool cut)
 {
@@ -256,13 +259,13 @@
 }
 
 /*
- * What the operators would see: a key that they took away is served for as long as a proxy is cut
- * off. What happens: a proxy hears neither the store nor a peer, and its callers go on. Why it
- * ends: what it knows counts for a stated time from when it was proved.
+ * Guards against a revoked key that works as long as a proxy is cut off: the proxy receives nothing
+ * from the store or a peer, while its callers go on. Cached keys are valid for a stated time after
+ * they were last confirmed.
  */
-static void test_cut_off(void)
+static void test_cut_off_proxy_expires(void)
 {
-	pool_world_t *world = start(3, NULL);
+	pool_world_t *world = start_fleet(3, NULL);
 	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
 	usec_t cut_at = now_in(world);
 
@@ -276,7 +279,7 @@
 			g_assert_false(g_str_has_prefix(reply, "ERR"));
 		world_run(world, 20 * MSEC);
 	}
-	/* It is out of rotation, and lets sessions go that rest. */
+	/* The proxy is not ready and closes idle sessions. */
 	g_assert_false(pooler_is_ready(world->nodes[2].pooler));
 	world_run(world, SEC);
 	g_assert_null(caller->caller);
@@ -288,36 +291,36 @@
 }
 
 /*
- * What the operators would see: a key is served long after it was taken. What happens: a proxy is
- * stopped for longer than its knowledge may count, the key is taken meanwhile, and a statement
- * waits at its socket when it wakes. Why it is refused: the time of the stop counts as age.
+ * Guards against a key that works long after it was revoked: a proxy is stopped for longer than its
+ * cache is valid, the key is revoked meanwhile, and a statement waits at the proxy's socket when it
+ * resumes. The statement is refused, since the time for which the process was stopped counts
+ * towards the age of its cache.
  */
-static void test_frozen(void)
+static void test_frozen_proxy_expires(void)
 {
-	pool_world_t *world = start(3, NULL);
+	pool_world_t *world = start_fleet(3, NULL);
 	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
 
 	expect_run(caller, "READ a", "ada");
 	world_freeze(world, 2);
 	world->customers[0].key[0] = '\0';
-	new_version(world);
+	publish_new_version(world);
 	world_run(world, 6 * SEC);
-	/* It is read before anything else that came meanwhile. */
+	/* The statement is read before all other messages that arrived meanwhile. */
 	world_send(caller, "READ a");
 	g_assert_true(g_str_has_prefix(caller->reply, "ERR BUSY"));
-	g_assert_null(who_ran(world, caller->id));
+	g_assert_null(customer_of_run(world, caller->id));
 	world_thaw(world, 2);
 	world_destroy(world);
 }
 
 /*
- * What callers see: nothing. What happens: the store turns one proxy away for far longer than what
- * it knows of the keys counts. Why it serves: its peers prove it, each adding the age of its own
- * proof.
+ * Callers notice nothing when the store refuses one proxy for far longer than its cache is valid:
+ * its peers confirm the cache, each adding the age of its own confirmation.
  */
-static void test_proved_by_peers(void)
+static void test_confirmed_by_peers(void)
 {
-	pool_world_t *world = start(3, NULL);
+	pool_world_t *world = start_fleet(3, NULL);
 	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
 	usec_t end = now_in(world) + 12 * SEC;
 
@@ -330,14 +333,13 @@
 }
 
 /*
- * What the operators would see: a key is served for as long as the store is away, though all
- * proxies hear each other. What happens: each tells the others how old its proof is, and nobody has
- * a newer one. Why it ends: an answer proves what its sender has proved, not the time at which it
- * comes.
+ * Guards against a revoked key that works as long as the store is unavailable although all proxies
+ * reach each other: each proxy reports the age of its confirmation, and none has a newer one. An
+ * answer confirms the cache as of its sender's own confirmation, not as of its arrival.
  */
-static void test_nobody_proves(void)
+static void test_confirmed_by_nobody(void)
 {
-	pool_world_t *world = start(3, NULL);
+	pool_world_t *world = start_fleet(3, NULL);
 	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
 	usec_t cut_at = now_in(world);
 
@@ -357,18 +359,21 @@
 
 #define LIMIT_RATE  20
 #define LIMIT_BURST 20
-/* Within which the limit is judged, and by how much it may be exceeded. */
-#define WINDOW	    (5 * SEC)
-#define MOST_WITHIN ((LIMIT_RATE * 5 + LIMIT_BURST) * 1.1 + 20)
+/*
+ * The window in which runs are counted, and the most runs in it: the limit and by how much it may
+ * be exceeded.
+ */
+#define WINDOW	   (5 * SEC)
+#define WINDOW_MAX ((LIMIT_RATE * 5 + LIMIT_BURST) * 1.1 + 20)
 
 static const world_customer_t limited[] = {
 	{.name = "ada", .rate = LIMIT_RATE, .burst = LIMIT_BURST}, {.name = "ben"}};
 
-/* The most runs of the customer within any window. */
-static size_t most_within(const pool_world_t *world, const char *customer)
+/* The largest number of the customer's runs in any window. */
+static size_t max_runs_in_window(const pool_world_t *world, const char *customer)
 {
 	const fake_db_t *db = world->db;
-	size_t most = 0;
+	size_t max = 0;
 
 	for (size_t i = 0; i < db->run_count; i++) {
 		size_t count = 0;
@@ -376,10 +381,10 @@
 		for (size_t j = i; j < db->run_count && db->runs[j].at < db->runs[i].at + WINDOW;
 		     j++)
 			count += strcmp(db->runs[j].who, customer) == 0;
-		if (count > most)
-			most = count;
+		if (count > max)
+			max = count;
 	}
-	return most;
+	return max;
 }
 
 typedef struct flood {
@@ -397,7 +402,7 @@
 			world_open_key(world, i % world->node_count, "bounded", key);
 }
 
-/* Each that may send another statement does so, with a chance of one in pause each millisecond. */
+/* Each idle caller sends another statement with a probability of 1/pause per millisecond. */
 static void step_flood(flood_t *flood, GRand *rand, int pause)
 {
 	for (size_t i = 0; i < flood->count; i++) {
@@ -434,8 +439,8 @@
 }
 
 /*
- * What callers see: a customer that keeps to its limit is not refused, wherever its callers are;
- * one that sends ten times as much is held to it, and others don't notice.
+ * A customer that keeps to its limit is not refused, wherever its callers connect; one that sends
+ * ten times as much is held to the limit, and other customers are not affected.
  */
 static void test_below_limit(void)
 {
@@ -444,7 +449,7 @@
 	flood_t flood = {0};
 
 	open_flood(world, &flood, "key-ada", 2);
-	/* 12 callers, each 1.25 a second: three quarters of the limit. */
+	/* 12 callers with 1.25 statements a second each: three quarters of the limit. */
 	run_flood(world, &flood, rand, 800, 20 * SEC);
 	g_assert_cmpuint(flood.sent, >, 250);
 	g_assert_cmpuint(flood.served * 100, >=, flood.sent * 98);
@@ -468,7 +473,7 @@
 		world_run(world, MSEC);
 	}
 	g_assert_cmpuint(flood.sent, >, 12 * LIMIT_RATE * 5);
-	g_assert_cmpuint(most_within(world, "ada"), <=, (size_t)MOST_WITHIN);
+	g_assert_cmpuint(max_runs_in_window(world, "ada"), <=, (size_t)WINDOW_MAX);
 	g_assert_cmpuint(flood.served, >=, 12 * LIMIT_RATE);
 	g_assert_cmpuint(other.served * 100, >=, other.sent * 97);
 	world_destroy(world);
@@ -476,11 +481,11 @@
 }
 
 /*
- * What the operators would see: twice the limit. What happens: the fleet falls into two parts that
- * don't hear each other, and a customer floods both. Why it holds: each part has only the seats
- * whose keepers it reaches.
+ * Guards against twice the limit during a partition: the fleet falls into two parts without
+ * messages between them, and a customer floods both. Each part can use only the limit shards whose
+ * owners it reaches.
  */
-static void test_flood_of_two_islands(void)
+static void test_flood_during_partition(void)
 {
 	pool_world_t *world = start_limited(6);
 	GRand *rand = g_rand_new_with_seed(3);
@@ -494,17 +499,17 @@
 	for (size_t i = 0; i < 3; i++)
 		world->nodes[i].island = 0;
 	run_flood(world, &flood, rand, 50, 8 * SEC);
-	g_assert_cmpuint(most_within(world, "ada"), <=, (size_t)MOST_WITHIN);
+	g_assert_cmpuint(max_runs_in_window(world, "ada"), <=, (size_t)WINDOW_MAX);
 	g_assert_cmpuint(flood.served, >=, 10 * LIMIT_RATE);
 	world_destroy(world);
 	g_rand_free(rand);
 }
 
 /*
- * The same while proxies, and with them keepers, are killed and start again: what an earlier life
- * has let through is not known to the next one, and counts all the same.
+ * The same while proxies, among them shard owners, are killed and restarted: the new process does
+ * not have what the earlier one granted, and that counts all the same.
  */
-static void test_flood_of_restarts(void)
+static void test_flood_during_restarts(void)
 {
 	pool_world_t *world = start_limited(6);
 	GRand *rand = g_rand_new_with_seed(4);
@@ -521,99 +526,99 @@
 	flood = (flood_t){0};
 	open_flood(world, &flood, "key-ada", 3);
 	run_flood(world, &flood, rand, 50, 8 * SEC);
-	g_assert_cmpuint(most_within(world, "ada"), <=, (size_t)MOST_WITHIN);
+	g_assert_cmpuint(max_runs_in_window(world, "ada"), <=, (size_t)WINDOW_MAX);
 	g_assert_cmpuint(flood.served, >=, 6 * LIMIT_RATE);
 	world_destroy(world);
 	g_rand_free(rand);
 }
 
-/* A lower limit holds a window after it came; a transaction that has begun goes on. */
+/* A lowered limit is in force one window after it arrived; a transaction that has begun goes on. */
 static void test_lower_limit(void)
 {
 	pool_world_t *world = start_limited(3);
 	GRand *rand = g_rand_new_with_seed(5);
-	world_caller_t *within = world_open_key(world, 0, "strict", "key-ada");
+	world_caller_t *in_transaction = world_open_key(world, 0, "strict", "key-ada");
 	flood_t flood = {0};
 	size_t served;
 
 	open_flood(world, &flood, "key-ada", 3);
 	run_flood(world, &flood, rand, 50, SEC);
-	while (!g_str_has_prefix(world_ask(within, "BEGIN"), "DONE"))
+	while (!g_str_has_prefix(world_ask(in_transaction, "BEGIN"), "DONE"))
 		world_run(world, 20 * MSEC);
 	world->customers[0].rate = 2;
 	world->customers[0].burst = 2;
-	new_version(world);
+	publish_new_version(world);
 	run_flood(world, &flood, rand, 50, 5 * SEC);
 	served = flood.served;
 	run_flood(world, &flood, rand, 50, 5 * SEC);
 	g_assert_cmpuint(flood.served - served, <=, (size_t)((2 * 5 + 2) * 1.1 + 20));
 	g_assert_cmpuint(flood.served - served, >=, 8);
-	expect_run(within, "WRITE a 1", "ada");
-	expect_run(within, "COMMIT", "ada");
+	expect_run(in_transaction, "WRITE a 1", "ada");
+	expect_run(in_transaction, "COMMIT", "ada");
 	world_destroy(world);
 	g_rand_free(rand);
 }
 
-/* A seat of ada's that proxy 0 keeps. */
-static unsigned seat_of_first(const pool_world_t *world)
+/* A limit shard of customer ada that proxy 0 owns. */
+static unsigned shard_of_first_proxy(const pool_world_t *world)
 {
-	for (unsigned seat = 0; seat < LIMIT_SEATS; seat++) {
-		if (strcmp(keepers_find(world->nodes[0].pooler->keepers, "ada", seat), "p0") == 0)
-			return seat;
+	for (unsigned shard = 0; shard < LIMIT_SEATS; shard++) {
+		if (strcmp(keepers_find(world->nodes[0].pooler->keepers, "ada", shard), "p0") == 0)
+			return shard;
 	}
 	g_assert_not_reached();
 }
 
 /*
- * What callers would see: a third of a customer's limit is gone for good. What happens: a proxy
- * becomes the keeper of a seat and is gone again, and its predecessor, which gave the seat up, sees
- * only the rosters before and after. Why it is not: with a roster no older than the successor's the
- * seat is taken over anew.
+ * Guards against the permanent loss of a third of a customer's limit: a proxy becomes the owner of
+ * a limit shard and is gone again, and its predecessor, which released the shard, receives only the
+ * rosters before and after. Once the predecessor has a roster no older than the successor's, it
+ * takes the shard over like a new one.
  */
-static void test_successor_for_a_moment(void)
+static void test_short_lived_successor(void)
 {
 	pool_world_t *world = start_limited(3);
 	pooler_t *pooler = world->nodes[0].pooler;
-	limit_shards_t *seats = limit_shards_create(NULL, pooler);
+	limit_shards_t *shards = limit_shards_create(NULL, pooler);
 	quota_request_t request = {.number = 1, .customer = "ada", .wanted = 1};
 	int64_t successor = pooler->sync.roster->revision + 5;
 
-	request.seat = seat_of_first(world);
-	g_assert_cmpuint(limit_shards_take(seats, &request, now_in(world)).granted, ==, 1);
-	g_assert_true(limit_shards_release(seats, &request, successor).released);
-	g_assert_true(limit_shards_take(seats, &request, now_in(world)).vacant);
+	request.seat = shard_of_first_proxy(world);
+	g_assert_cmpuint(limit_shards_take(shards, &request, now_in(world)).granted, ==, 1);
+	g_assert_true(limit_shards_release(shards, &request, successor).released);
+	g_assert_true(limit_shards_take(shards, &request, now_in(world)).vacant);
 	world_run(world, 5 * SEC);
-	g_assert_true(limit_shards_take(seats, &request, now_in(world)).vacant);
+	g_assert_true(limit_shards_take(shards, &request, now_in(world)).vacant);
 	pooler->sync.roster->revision = successor + 1;
-	g_assert_true(limit_shards_take(seats, &request, now_in(world)).vacant);
+	g_assert_true(limit_shards_take(shards, &request, now_in(world)).vacant);
 	world_run(world, 100 * MSEC);
 	pooler->sync.roster->revision = successor + 1;
 	pooler->sync.confirmed_at = now_in(world) + 3 * SEC;
-	g_assert_cmpuint(limit_shards_take(seats, &request, now_in(world) + 3 * SEC).granted, ==,
+	g_assert_cmpuint(limit_shards_take(shards, &request, now_in(world) + 3 * SEC).granted, ==,
 			 1);
-	talloc_free(seats);
+	talloc_free(shards);
 	world_destroy(world);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/access/names", test_names);
-	g_test_add_func("/access/names-at-homes", test_names_at_homes);
-	g_test_add_func("/access/connection-gives-way", test_connection_gives_way);
+	g_test_add_func("/access/names", test_customers);
+	g_test_add_func("/access/names-at-homes", test_customers_at_homes);
+	g_test_add_func("/access/connection-gives-way", test_idle_connection_is_replaced);
 	g_test_add_func("/access/unknown-key", test_unknown_key);
-	g_test_add_func("/access/key-taken", test_key_taken);
-	g_test_add_func("/access/key-taken-while-busy", test_key_taken_while_busy);
-	g_test_add_func("/access/key-passed-on", test_key_passed_on);
-	g_test_add_func("/access/cut-off", test_cut_off);
-	g_test_add_func("/access/frozen", test_frozen);
-	g_test_add_func("/access/proved-by-peers", test_proved_by_peers);
-	g_test_add_func("/access/nobody-proves", test_nobody_proves);
+	g_test_add_func("/access/key-taken", test_key_revoked);
+	g_test_add_func("/access/key-taken-while-busy", test_key_revoked_while_busy);
+	g_test_add_func("/access/key-passed-on", test_key_reassigned);
+	g_test_add_func("/access/cut-off", test_cut_off_proxy_expires);
+	g_test_add_func("/access/frozen", test_frozen_proxy_expires);
+	g_test_add_func("/access/proved-by-peers", test_confirmed_by_peers);
+	g_test_add_func("/access/nobody-proves", test_confirmed_by_nobody);
 	g_test_add_func("/access/below-limit", test_below_limit);
 	g_test_add_func("/access/flood", test_flood);
-	g_test_add_func("/access/flood-of-two-islands", test_flood_of_two_islands);
-	g_test_add_func("/access/flood-of-restarts", test_flood_of_restarts);
+	g_test_add_func("/access/flood-of-two-islands", test_flood_during_partition);
+	g_test_add_func("/access/flood-of-restarts", test_flood_during_restarts);
 	g_test_add_func("/access/lower-limit", test_lower_limit);
-	g_test_add_func("/access/successor-for-a-moment", test_successor_for_a_moment);
+	g_test_add_func("/access/successor-for-a-moment", test_short_lived_successor);
 	return g_test_run();
 }
