--- a/pooler/caller.c
+++ b/pooler/caller.c
@@ -246,7 +246,7 @@
 /* A success that the rules on superseded primaries do not let through. */
 static bool is_overtaken(const caller_t *caller, const member_t *member)
 {
-	return caller_may_keep(caller) && !permit_covers(member, now_of(caller->pooler));
+	return caller_may_keep(caller) && !permit_allows(member, now_of(caller->pooler));
 }
 
 static void on_success(caller_t *caller, conn_t *conn, const reply_t *reply)
--- a/pooler/conn.c
+++ b/pooler/conn.c
@@ -434,7 +434,7 @@
 		return;
 	member->applied = reply->position;
 	member->applied_at = now;
-	if (!permit_covers(member, now))
+	if (!permit_allows(member, now))
 		return;
 	if (service->freshness_primary == NULL ||
 	    strcmp(service->freshness_primary, member->id) != 0) {
--- a/pooler/permit.c
+++ b/pooler/permit.c
@@ -79,7 +79,7 @@
 	return service->primary;
 }
 
-bool permit_covers(const member_t *member, usec_t now)
+bool permit_allows(const member_t *member, usec_t now)
 {
 	return permit_primary(member->service, now) == member;
 }
--- a/pooler/permit.h
+++ b/pooler/permit.h
@@ -60,7 +60,7 @@
 member_t *permit_primary(const service_t *service, usec_t now);
 
 /* True if the member is the primary and this proxy may use it now. */
-bool permit_covers(const member_t *member, usec_t now);
+bool permit_allows(const member_t *member, usec_t now);
 
 /* Number of proxies that this process has seen on the roster for PERMIT_LEASE_MAX. */
 size_t permit_count_listed(const pooler_t *pooler);
