--- a/pooler/limit_shards.h
+++ b/pooler/limit_shards.h
@@ -1,5 +1,5 @@
 /*
- * The limit shards that this proxy owns: a token bucket for each; see keepers.h and quota.h.
+ * The limit shards that this proxy owns: a token bucket for each; see shard_owners.h and quota.h.
  *
  * A proxy that becomes a shard's owner asks the previous owner to release it, and grants tokens
  * once that one has answered. Without an answer it grants none until the previous owner can no
--- a/pooler/sweep.c
+++ b/pooler/sweep.c
@@ -66,7 +66,7 @@
 		roster_remove_node(roster, name);
 		return;
 	}
-	LOG_EVENT(LOG_WARN, "proxy is gone", LOG_STR("proxy", name));
+	LOG_EVENT(LOG_WARN, "proxy marked as gone", LOG_STR("proxy", name));
 	roster_node(roster, name)->gone = true;
 }
 
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -31,7 +31,7 @@
 	.open = 12 * MSEC,
 };
 
-static usec_t now_in(const pool_world_t *world)
+static usec_t current_time(const pool_world_t *world)
 {
 	return clock_now(&world->clock.base);
 }
@@ -150,7 +150,7 @@
 				world_send(flooding[i], "READ a");
 		}
 		if (step == 200) {
-			began = now_in(world);
+			began = current_time(world);
 			world_send(ben, "READ a");
 		}
 		world_run(world, MSEC);
@@ -159,7 +159,7 @@
 	}
 	g_assert_cmpuint(ben->replies, ==, replies + 1);
 	g_assert_cmpstr(customer_of_run(world, ben->id), ==, "ben");
-	g_assert_cmpuint(now_in(world) - began, <, 150 * MSEC);
+	g_assert_cmpuint(current_time(world) - began, <, 150 * MSEC);
 	world_destroy(world);
 }
 
@@ -252,7 +252,7 @@
 
 /* --- expiry of cached keys --- */
 
-static void cut_off(pool_world_t *world, size_t node, bool cut)
+static void set_cut_off(pool_world_t *world, size_t node, bool cut)
 {
 	world->nodes[node].kv.cut = cut;
 	world->nodes[node].cut_from_peers = cut;
@@ -267,15 +267,15 @@
 {
 	pool_world_t *world = start_fleet(3, NULL);
 	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
-	usec_t cut_at = now_in(world);
+	usec_t cut_at = current_time(world);
 
-	cut_off(world, 2, true);
-	while (now_in(world) < cut_at + 8 * SEC) {
+	set_cut_off(world, 2, true);
+	while (current_time(world) < cut_at + 8 * SEC) {
 		const char *reply = world_ask(caller, "READ a");
 
-		if (now_in(world) > cut_at + WORLD_REVOKE)
+		if (current_time(world) > cut_at + WORLD_REVOKE)
 			g_assert_true(g_str_has_prefix(reply, "ERR"));
-		else if (now_in(world) < cut_at + SEC)
+		else if (current_time(world) < cut_at + SEC)
 			g_assert_false(g_str_has_prefix(reply, "ERR"));
 		world_run(world, 20 * MSEC);
 	}
@@ -284,7 +284,7 @@
 	world_run(world, SEC);
 	g_assert_null(caller->caller);
 	g_assert_cmpint(world_open_key(world, 2, "bounded", "key-ada")->refused, ==, CODE_BUSY);
-	cut_off(world, 2, false);
+	set_cut_off(world, 2, false);
 	world_run(world, 3 * SEC);
 	expect_run(world_open_key(world, 2, "bounded", "key-ada"), "READ a", "ada");
 	world_destroy(world);
@@ -322,10 +322,10 @@
 {
 	pool_world_t *world = start_fleet(3, NULL);
 	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
-	usec_t end = now_in(world) + 12 * SEC;
+	usec_t end = current_time(world) + 12 * SEC;
 
 	world->nodes[2].kv.cut = true;
-	while (now_in(world) < end) {
+	while (current_time(world) < end) {
 		expect_run(caller, "READ a", "ada");
 		world_run(world, 100 * MSEC);
 	}
@@ -341,15 +341,15 @@
 {
 	pool_world_t *world = start_fleet(3, NULL);
 	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
-	usec_t cut_at = now_in(world);
+	usec_t cut_at = current_time(world);
 
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = true;
-	while (now_in(world) < cut_at + 8 * SEC) {
+	while (current_time(world) < cut_at + 8 * SEC) {
 		bool served = !g_str_has_prefix(world_ask(caller, "READ a"), "ERR");
 
-		g_assert_false(served && now_in(world) > cut_at + WORLD_REVOKE);
-		g_assert_true(served || now_in(world) > cut_at + 4 * SEC);
+		g_assert_false(served && current_time(world) > cut_at + WORLD_REVOKE);
+		g_assert_true(served || current_time(world) > cut_at + 4 * SEC);
 		world_run(world, 100 * MSEC);
 	}
 	world_destroy(world);
@@ -422,9 +422,9 @@
 
 static void run_flood(pool_world_t *world, flood_t *flood, GRand *rand, int pause, usec_t time)
 {
-	usec_t end = now_in(world) + time;
+	usec_t end = current_time(world) + time;
 
-	while (now_in(world) < end) {
+	while (current_time(world) < end) {
 		step_flood(flood, rand, pause);
 		world_run(world, MSEC);
 	}
@@ -463,11 +463,11 @@
 	GRand *rand = g_rand_new_with_seed(2);
 	flood_t flood = {0};
 	flood_t other = {0};
-	usec_t end = now_in(world) + 12 * SEC;
+	usec_t end = current_time(world) + 12 * SEC;
 
 	open_flood(world, &flood, "key-ada", 3);
 	open_flood(world, &other, "key-ben", 1);
-	while (now_in(world) < end) {
+	while (current_time(world) < end) {
 		step_flood(&flood, rand, 50);
 		step_flood(&other, rand, 100);
 		world_run(world, MSEC);
@@ -584,18 +584,18 @@
 	int64_t successor = pooler->sync.roster->revision + 5;
 
 	request.seat = shard_of_first_proxy(world);
-	g_assert_cmpuint(limit_shards_take(shards, &request, now_in(world)).granted, ==, 1);
+	g_assert_cmpuint(limit_shards_take(shards, &request, current_time(world)).granted, ==, 1);
 	g_assert_true(limit_shards_release(shards, &request, successor).released);
-	g_assert_true(limit_shards_take(shards, &request, now_in(world)).vacant);
+	g_assert_true(limit_shards_take(shards, &request, current_time(world)).vacant);
 	world_run(world, 5 * SEC);
-	g_assert_true(limit_shards_take(shards, &request, now_in(world)).vacant);
+	g_assert_true(limit_shards_take(shards, &request, current_time(world)).vacant);
 	pooler->sync.roster->revision = successor + 1;
-	g_assert_true(limit_shards_take(shards, &request, now_in(world)).vacant);
+	g_assert_true(limit_shards_take(shards, &request, current_time(world)).vacant);
 	world_run(world, 100 * MSEC);
 	pooler->sync.roster->revision = successor + 1;
-	pooler->sync.confirmed_at = now_in(world) + 3 * SEC;
-	g_assert_cmpuint(limit_shards_take(shards, &request, now_in(world) + 3 * SEC).granted, ==,
-			 1);
+	pooler->sync.confirmed_at = current_time(world) + 3 * SEC;
+	g_assert_cmpuint(limit_shards_take(shards, &request, current_time(world) + 3 * SEC).granted,
+			 ==, 1);
 	talloc_free(shards);
 	world_destroy(world);
 }
--- a/tests/test_pooler_outlier.c
+++ b/tests/test_pooler_outlier.c
@@ -171,7 +171,7 @@
 	return count;
 }
 
-static usec_t now_in(const pool_world_t *world)
+static usec_t current_time(const pool_world_t *world)
 {
 	return clock_now(&world->clock.base);
 }
@@ -208,16 +208,18 @@
 	world_settle(world);
 	run_statements(world, "bounded", "READ job-1", 60);
 	world->db->members[1].fail_percent = 100;
-	began = now_in(world);
+	began = current_time(world);
 	run_statements(world, "bounded", "READ job-1", 600);
-	g_test_message("%zu runs at the replica while it failed", count_runs_at(world, failing, began));
+	g_test_message("%zu runs at the replica while it failed",
+		       count_runs_at(world, failing, began));
 	g_assert_cmpuint(count_runs_at(world, failing, began), <, 40);
 	world->db->members[1].fail_percent = 0;
 	world_run(world, 8 * SEC);
 	run_statements(world, "bounded", "READ job-1", 100);
-	began = now_in(world);
+	began = current_time(world);
 	run_statements(world, "bounded", "READ job-1", 300);
-	g_test_message("%zu runs at the replica after it recovered", count_runs_at(world, failing, began));
+	g_test_message("%zu runs at the replica after it recovered",
+		       count_runs_at(world, failing, began));
 	g_assert_cmpuint(count_runs_at(world, failing, began), >, 50);
 	world_destroy(world);
 }
@@ -324,7 +326,7 @@
 	world_run(world, 60 * MSEC);
 	g_assert_cmpuint(world->db->members[0].reset_answers, ==, 0);
 	primary = member_find(world->nodes[0].pooler, "core-0");
-	g_assert_false(outlier_is_failing(&primary->outlier, now_in(world)));
+	g_assert_false(outlier_is_failing(&primary->outlier, current_time(world)));
 	world_run(world, 2 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
@@ -483,9 +485,9 @@
 	world_settle(world);
 	run_statements(world, "strict", "WRITE job-1 a", 12);
 	for (size_t i = 0; i < 3; i++)
-		mark_primary_failing(world->nodes[i].pooler, now_in(world));
-	end = now_in(world) + 2 * SEC;
-	while (world_permitted(world, "core-0") == 3 && now_in(world) < end)
+		mark_primary_failing(world->nodes[i].pooler, current_time(world));
+	end = current_time(world) + 2 * SEC;
+	while (world_permitted(world, "core-0") == 3 && current_time(world) < end)
 		world_run(world, MSEC);
 	for (size_t i = 0; i < 2; i++)
 		member_find(world->nodes[i].pooler, "core-0")->outlier.failing_until = 0;
@@ -501,17 +503,17 @@
  */
 static void test_failing_member_is_not_promoted(void)
 {
-	for (size_t ill = 1; ill <= 2; ill++) {
+	for (size_t failing = 1; failing <= 2; failing++) {
 		pool_world_t *world = world_create(3, NULL);
 		char id[16];
 
 		world_settle(world);
-		snprintf(id, sizeof(id), "core-%zu", ill);
+		snprintf(id, sizeof(id), "core-%zu", failing);
 		for (size_t i = 0; i < 3; i++) {
 			pooler_t *pooler = world->nodes[i].pooler;
 
-			mark_primary_failing(pooler, now_in(world));
-			outlier_eject(&member_find(pooler, id)->outlier, now_in(world));
+			mark_primary_failing(pooler, current_time(world));
+			outlier_eject(&member_find(pooler, id)->outlier, current_time(world));
 		}
 		world_run(world, 3 * SEC);
 		g_assert_cmpuint(world->promote_count, ==, 1);
@@ -532,7 +534,7 @@
 		for (size_t i = 0; i < 3; i++) {
 			pooler_t *pooler = world->nodes[i].pooler;
 
-			mark_primary_failing(pooler, now_in(world));
+			mark_primary_failing(pooler, current_time(world));
 			member_find(pooler, id)->response_time = 100 * MSEC;
 		}
 		world_run(world, 3 * SEC);
@@ -552,7 +554,7 @@
 		member_t *primary = member_find(world->nodes[0].pooler, "core-0");
 
 		for (int j = 0; j < 4; j++)
-			outlier_record(&primary->outlier, STATEMENT_FAILED, now_in(world));
+			outlier_record(&primary->outlier, STATEMENT_FAILED, current_time(world));
 		run_statements(world, "strict", "WRITE job-1 a", 6);
 	}
 	g_assert_cmpuint(world->promote_count, ==, 0);
@@ -572,8 +574,8 @@
 	world_settle(world);
 	for (size_t i = 0; i < 3; i++)
 		world->db->members[i].fail_percent = 60;
-	end = now_in(world) + 25 * SEC;
-	while (now_in(world) < end)
+	end = current_time(world) + 25 * SEC;
+	while (current_time(world) < end)
 		run_statements(world, "strict", "WRITE job-1 a", 30);
 	g_assert_cmpuint(world->promote_count, <=, 1);
 	world_destroy(world);
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -13,7 +13,7 @@
 #include "sync.h"
 
 /* Step of the change of primary at this proxy. */
-static change_step_t step_of(const pool_world_t *world, size_t node)
+static change_step_t change_step_of(const pool_world_t *world, size_t node)
 {
 	pooler_t *pooler = world->nodes[node].pooler;
 
@@ -344,14 +344,14 @@
 	world_settle(world);
 	leader = find_holder(world);
 	world_crash_member(world, 0);
-	while (step_of(world, leader) != CHANGE_COMMITTING)
+	while (change_step_of(world, leader) != CHANGE_COMMITTING)
 		world_run(world, MSEC);
 	write.expected = world->nodes[leader].pooler->sync.roster->revision;
 	text = talloc_strdup(NULL, roster_text(world->nodes[leader].pooler->sync.roster));
 	write.value = text;
 	world->nodes[leader].kv.cut = true;
 	world_kill(world, leader);
-	while (step_of(world, next) != CHANGE_SURVEYING) {
+	while (change_step_of(world, next) != CHANGE_SURVEYING) {
 		next = (next + 1) % world->node_count;
 		world_run(world, MSEC);
 	}
@@ -455,7 +455,7 @@
 	leader = find_holder(world);
 	caller = world_open(world, (leader + 1) % 3);
 	world_crash_member(world, 0);
-	while (step_of(world, leader) != CHANGE_RELEASING)
+	while (change_step_of(world, leader) != CHANGE_RELEASING)
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = i != leader;
@@ -493,7 +493,7 @@
 	world_freeze(world, first);
 	world->db->members[0].leaving = false;
 	second = first;
-	while (second == first || step_of(world, second) != CHANGE_RELEASING) {
+	while (second == first || change_step_of(world, second) != CHANGE_RELEASING) {
 		world_run(world, MSEC);
 		second = (second + 1) % 3;
 	}
