--- a/pooler/failover.c
+++ b/pooler/failover.c
@@ -322,8 +322,8 @@
 }
 
 /*
- * True if the primary answers again, and its silence was the only reason to replace it. No member
- * was promoted, so it does no harm that other proxies still use the primary, and there is no need
+ * True if the primary answers again, and its silence was the only reason to replace it. No promote
+ * call was made, so it does no harm that other proxies still use the primary, and there is no need
  * to wait until they have released it.
  */
 static bool has_recovered(service_t *service, member_t *primary, usec_t now)
--- a/pooler/member.h
+++ b/pooler/member.h
@@ -1,4 +1,7 @@
-/* Members of a service: their connections, and their health as this proxy observes it. */
+/*
+ * Members: the backend servers of a service, its primary and its replicas. This module keeps their
+ * connections, and their health as this proxy observes it.
+ */
 #pragma once
 
 #include "state.h"
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -81,7 +81,7 @@
 	char *id;
 	char *address;
 	char *zone;
-	int64_t slots;
+	int64_t slots; /* statements that the member runs at a time */
 	bool leaving;
 	usec_t leaving_since; /* USEC_NEVER / 2 while the member is not leaving */
 	bool unlisted;	      /* the platform's list no longer has the member */
