--- a/pooler/member.c
+++ b/pooler/member.c
@@ -66,8 +66,8 @@
 /*
  * The member restarted: another process now runs under the same id. The connections belong to the
  * earlier process, with their session variables and prepared names; its log position and response
- * time say nothing about the new one. Read with the old position the member would count as a
- * replica that has caught up.
+ * time say nothing about the new one. With the old position the member would pass for a replica
+ * that has caught up.
  */
 static void reset_after_restart(member_t *member)
 {
--- a/pooler/quota.h
+++ b/pooler/quota.h
@@ -1,8 +1,8 @@
 /*
  * Enforces customers' operation limits over the whole fleet. A proxy runs an operation of a
- * customer with a limit only with a token from one of the customer's shard owners (shard_owners.h), and
- * a shard owner grants no more tokens than its share of the limit. So the limit holds without any
- * message having to arrive: a proxy that reaches no shard owner runs nothing.
+ * customer with a limit only with a token from one of the customer's shard owners (shard_owners.h),
+ * and a shard owner grants no more tokens than its share of the limit. So the limit holds without
+ * any message having to arrive: a proxy that reaches no shard owner runs nothing.
  *
  * A token is requested after the client sent its operation, and is used at once or never: so
  * whatever a member receives from a customer within some time was granted within that time.
--- a/pooler/survey.c
+++ b/pooler/survey.c
@@ -79,7 +79,10 @@
 	return false;
 }
 
-/* True if no other entry stands for the log of a member that is no longer listed. */
+/*
+ * True if the member is no longer listed, did not announce that it leaves, and no new entry has its
+ * address, so that its log may be out of reach.
+ */
 static bool is_log_missing(const member_t *member)
 {
 	return member->unlisted && !member->leaving && !is_listed_again(member);
--- a/pooler/survey.h
+++ b/pooler/survey.h
@@ -27,9 +27,9 @@
 member_t *survey_newer_primary(const service_t *service, const member_t *old);
 
 /*
- * True if best has every commit that was acknowledged to a caller. False for a service with
- * synchronous replicas if best may lack an acknowledged commit, because a member that may have it
- * has not answered. old: the primary so far, or NULL.
+ * False if the service has synchronous replicas, and best may lack a commit that was acknowledged
+ * to a caller, because a member that may have it has not answered; true otherwise, and once
+ * SYNC_WAIT_MAX has passed. old: the primary so far, or NULL.
  */
 bool survey_has_acknowledged_commits(const service_t *service, const member_t *best,
 				     const member_t *old, usec_t now);
