--- a/pooler/active.c
+++ b/pooler/active.c
@@ -24,7 +24,7 @@
 	service->active_until = now_of(service->pooler) + ACTIVE_FOR;
 	if (list_empty(&service->active))
 		list_add_tail(&service->pooler->active_services, &service->active);
-	pooler_hasten(service->pooler);
+	pooler_hasten_tick(service->pooler);
 }
 
 void active_add_member(member_t *member)
@@ -82,7 +82,7 @@
 	       relay_is_cut_off(pooler->relay) || now >= sync->confirmed_at + NEWS_USUAL;
 }
 
-bool active_is_busy(pooler_t *pooler, usec_t now)
+bool active_needs_fast_tick(pooler_t *pooler, usec_t now)
 {
 	return pooler->draining || pooler->routes == NULL || !list_empty(&pooler->forwarded) ||
 	       !list_empty(&pooler->sync.awaited) || is_fleet_busy(pooler, now) ||
--- a/pooler/active.h
+++ b/pooler/active.h
@@ -21,7 +21,7 @@
  * True while something must be looked at soon: statements on their way, changes of primary, common
  * work of the fleet. Without it a proxy need not look around more often than it asks for news.
  */
-bool active_is_busy(pooler_t *pooler, usec_t now);
+bool active_needs_fast_tick(pooler_t *pooler, usec_t now);
 
 /* Take off what has nothing under way any more. */
 void active_tick(pooler_t *pooler, usec_t now);
--- a/pooler/admission.c
+++ b/pooler/admission.c
@@ -34,9 +34,9 @@
 	LOG_EVENT(LOG_WARN, "session refused", LOG_STR("database", database), LOG_STR("key", label),
 		  LOG_STR("reason", reason_text(reason)),
 		  LOG_INT("config", pooler->routes->version),
-		  LOG_INT("heard", pooler->config_heard),
+		  LOG_INT("heard", pooler->newest_config_version),
 		  LOG_INT("keys_age_ms",
-			  usec_age_ms(proof_age(&pooler->config_proof, now_of(pooler)))));
+			  usec_age_ms(proof_age(&pooler->config_validity, now_of(pooler)))));
 }
 
 /*
@@ -45,11 +45,11 @@
  */
 static bool is_current(const pooler_t *pooler)
 {
-	return pooler->routes->version >= pooler->config_heard &&
-	       proof_age(&pooler->config_proof, now_of(pooler)) < pooler->config.config_bound;
+	return pooler->routes->version >= pooler->newest_config_version &&
+	       proof_age(&pooler->config_validity, now_of(pooler)) < pooler->config.config_bound;
 }
 
-code_t admission_unknown(const pooler_t *pooler, reason_t *reason)
+code_t admission_unknown_database(const pooler_t *pooler, reason_t *reason)
 {
 	bool current = is_current(pooler);
 
@@ -57,22 +57,22 @@
 	return current ? CODE_NO_DATABASE : CODE_BUSY;
 }
 
-bool admission_opens(const pooler_t *pooler, const char *database, const key_digest_t *key,
-		     code_t *code)
+bool admission_check_session(const pooler_t *pooler, const char *database, const key_digest_t *key,
+			     code_t *code)
 {
 	const route_t *route = routes_find(pooler->routes, database);
 	reason_t reason;
 
 	if (route == NULL) {
-		*code = admission_unknown(pooler, &reason);
+		*code = admission_unknown_database(pooler, &reason);
 		counter_add(&no_database_total, 1);
 		log_refused(pooler, database, key, reason);
 		return false;
 	}
-	if (route->open)
+	if (route->keyless)
 		return true;
 	/* What is too old does not show that a key is unknown either. */
-	if (!proof_holds(&pooler->config_proof, now_of(pooler)) ||
+	if (!proof_holds(&pooler->config_validity, now_of(pooler)) ||
 	    (customer_of(pooler, key) == NULL && !is_current(pooler))) {
 		*code = CODE_BUSY;
 		log_refused(pooler, database, key, REASON_KEYS_TOO_OLD);
@@ -93,25 +93,25 @@
 		talloc_free(caller->customer);
 		caller->customer = talloc_strdup(caller, customer);
 	}
-	caller->line = service_line(caller->service, customer);
+	caller->customer_pool = service_customer_pool(caller->service, customer);
 }
 
-bool admission_begins(caller_t *caller, const route_t *route, reason_t *reason)
+bool admission_check_operation(caller_t *caller, const route_t *route, reason_t *reason)
 {
 	const pooler_t *pooler = caller->pooler;
 	const customer_t *customer = customer_of(pooler, &caller->key);
 
-	caller->by_open_route = route->open;
-	if (route->open) {
+	caller->keyless = route->keyless;
+	if (route->keyless) {
 		admission_set_customer(caller, customer != NULL ? customer->name : NO_CUSTOMER);
 		return true;
 	}
-	if (!proof_holds(&pooler->config_proof, now_of(pooler))) {
+	if (!proof_holds(&pooler->config_validity, now_of(pooler))) {
 		*reason = REASON_KEYS_TOO_OLD;
 		return false;
 	}
 	if (customer == NULL) {
-		*reason = REASON_KEY_TAKEN;
+		*reason = REASON_KEY_REVOKED;
 		return false;
 	}
 	admission_set_customer(caller, customer->name);
@@ -127,15 +127,15 @@
 	       strcmp(customer->name, caller->customer) == 0;
 }
 
-bool admission_goes_on(const caller_t *caller, reason_t *reason)
+bool admission_check_transaction(const caller_t *caller, reason_t *reason)
 {
 	/* The proxy that it stands for has looked. */
-	if (caller->job != NULL || caller->by_open_route)
+	if (caller->job != NULL || caller->keyless)
 		return true;
-	if (!proof_holds(&caller->pooler->config_proof, now_of(caller->pooler)))
+	if (!proof_holds(&caller->pooler->config_validity, now_of(caller->pooler)))
 		*reason = REASON_KEYS_TOO_OLD;
 	else if (!is_same(caller))
-		*reason = REASON_KEY_TAKEN;
+		*reason = REASON_KEY_REVOKED;
 	else
 		return true;
 	return false;
@@ -145,7 +145,7 @@
 {
 	const route_t *route = routes_find(caller->pooler->routes, caller->database);
 
-	if (caller->job != NULL || route == NULL || route->open)
+	if (caller->job != NULL || route == NULL || route->keyless)
 		return false;
 	return caller->customer != NULL ? !is_same(caller)
 					: customer_of(caller->pooler, &caller->key) == NULL;
@@ -159,7 +159,7 @@
 {
 	char label[KEY_LABEL_TEXT];
 
-	caller->barred = true;
+	caller->key_revoked = true;
 	counter_add(&barred_total, 1);
 	key_label(&caller->key, label);
 	LOG_EVENT(LOG_INFO, "key was taken", LOG_STR("database", caller->database),
@@ -170,14 +170,14 @@
 		conn_reclaim(caller->conn, "its key was taken");
 }
 
-void admission_on_keys(pooler_t *pooler)
+void admission_on_keys_changed(pooler_t *pooler)
 {
 	list_for_each (it, &pooler->callers) {
 		caller_t *caller = list_entry(it, caller_t, node);
 
-		if (!caller->barred && is_barred(caller))
+		if (!caller->key_revoked && is_barred(caller))
 			bar(caller);
-		else if (caller->barred && !is_barred(caller))
-			caller->barred = false;
+		else if (caller->key_revoked && !is_barred(caller))
+			caller->key_revoked = false;
 	}
 }
--- a/pooler/admission.h
+++ b/pooler/admission.h
@@ -15,24 +15,24 @@
  * True if a session with the database may begin by the caller's key; else *code says why not.
  * Counts and logs who is turned away.
  */
-bool admission_opens(const pooler_t *pooler, const char *database, const key_digest_t *key,
-		     code_t *code);
+bool admission_check_session(const pooler_t *pooler, const char *database, const key_digest_t *key,
+			     code_t *code);
 
 /*
  * What a caller is told whose database the configuration in force does not name: that there is
  * none, or to come back if a newer configuration may have it.
  */
-code_t admission_unknown(const pooler_t *pooler, reason_t *reason);
+code_t admission_unknown_database(const pooler_t *pooler, reason_t *reason);
 
 /* True if an operation on the caller's route may begin; sets its customer. Else *reason tells why.
  */
-bool admission_begins(caller_t *caller, const route_t *route, reason_t *reason);
+bool admission_check_operation(caller_t *caller, const route_t *route, reason_t *reason);
 
 /* True if a transaction that began so may go on by the same customer's name. */
-bool admission_goes_on(const caller_t *caller, reason_t *reason);
+bool admission_check_transaction(const caller_t *caller, reason_t *reason);
 
 /* Whose statements run there now; line and name follow. */
 void admission_set_customer(caller_t *caller, const char *customer);
 
 /* Another table of keys is in force: end what rests on keys that are gone. */
-void admission_on_keys(pooler_t *pooler);
+void admission_on_keys_changed(pooler_t *pooler);
--- a/pooler/adopt.c
+++ b/pooler/adopt.c
@@ -30,7 +30,7 @@
 			if (conn->caller == NULL || !caller_may_write(conn->caller))
 				continue;
 			/* A commit under way may still be answered before all have let go. */
-			if (conn->state == CONN_RUNNING && caller_may_keep(conn->caller))
+			if (conn->state == CONN_RUNNING && caller_may_commit(conn->caller))
 				continue;
 			conn_close(conn, "the primary is being replaced");
 		}
--- a/pooler/caller.c
+++ b/pooler/caller.c
@@ -51,7 +51,7 @@
 	return caller->statement.kind == STATEMENT_COMMIT;
 }
 
-bool caller_may_keep(const caller_t *caller)
+bool caller_may_commit(const caller_t *caller)
 {
 	if (caller->tx == TX_NONE)
 		return is_write(caller);
@@ -67,18 +67,18 @@
 
 	caller->busy = false;
 	/* Values and names only prepare for the operation that is to come. */
-	caller->served = pooler->draining && caller->want != WANT_NONE;
+	caller->served_while_draining = pooler->draining && caller->target != TARGET_NONE;
 	caller->exec = NULL;
-	caller->want = WANT_NONE;
+	caller->target = TARGET_NONE;
 	caller->idle_since = now_of(pooler);
 	timers_cancel(pooler->timers, &caller->timer);
 	if (caller->job != NULL)
-		job_answer(caller, reply, from);
+		job_send_result(caller, reply, from);
 	else if (caller->link != NULL)
 		pooler->env->ops->caller_reply(pooler->env, caller->link, reply);
 	if (caller->tx == TX_NONE) {
 		caller->service = NULL;
-		caller->remote = 0;
+		caller->remote_tx = 0;
 	}
 }
 
@@ -94,9 +94,9 @@
 	caller_reply_t reply = {.kind = REPLY_RAW, .raw = from->raw};
 
 	if (from->ok)
-		report_done(caller);
+		report_success(caller);
 	else
-		report_failed(caller, from->code, REASON_MEMBER_FAILED, code_name(from->code));
+		report_failure(caller, from->code, REASON_MEMBER_FAILED, code_name(from->code));
 	finish(caller, &reply, from);
 }
 
@@ -106,7 +106,7 @@
 	caller_reply_t reply = {
 		.kind = REPLY_ERROR, .code = code, .text = reason_text(reason), .tx = caller->tx};
 
-	report_failed(caller, code, reason, detail);
+	report_failure(caller, code, reason, detail);
 	finish(caller, &reply, NULL);
 }
 
@@ -114,13 +114,13 @@
 static void end_statement(caller_t *caller)
 {
 	quota_leave(caller);
-	dispatch_leave(caller);
-	forward_forget(caller);
+	dispatch_dequeue(caller);
+	forward_cancel(caller);
 	if (caller->tx == TX_OPEN)
 		caller->tx = is_commit(caller) ? TX_NONE : TX_FAILED;
 	if (caller->conn != NULL)
 		conn_orphan(caller->conn);
-	forward_end(caller);
+	forward_end_tx(caller);
 }
 
 static void fail(caller_t *caller, code_t code, reason_t reason, const char *detail)
@@ -139,7 +139,7 @@
 		 retry_after / USEC_PER_MSEC);
 	end_statement(caller);
 	reply.tx = caller->tx;
-	report_failed(caller, code, reason, text);
+	report_failure(caller, code, reason, text);
 	finish(caller, &reply, NULL);
 }
 
@@ -149,10 +149,10 @@
 	return caller->conn != NULL || caller->forward_number != 0;
 }
 
-void caller_cut_short(caller_t *caller)
+void caller_end_at_shutdown(caller_t *caller)
 {
 	code_t code =
-		is_handed_on(caller) && caller_may_keep(caller) ? CODE_IN_DOUBT : CODE_ABORTED;
+		is_handed_on(caller) && caller_may_commit(caller) ? CODE_IN_DOUBT : CODE_ABORTED;
 
 	caller_refuse(caller, code, REASON_SHUTTING_DOWN, 0);
 }
@@ -165,16 +165,16 @@
 
 	counter_add(&retried_total, 1);
 	caller->attempts++;
-	caller->not_before = now + pause;
-	dispatch_join(caller);
+	caller->next_attempt_at = now + pause;
+	dispatch_enqueue(caller);
 }
 
 /* The statement certainly did not run: try again, or say so. */
 static void not_run(caller_t *caller, code_t code, reason_t reason, const char *detail)
 {
 	if (code == CODE_LAGGING)
-		caller->only_primary = true;
-	if (caller->tx == TX_OPEN && caller->tx_ran) {
+		caller->primary_only = true;
+	if (caller->tx == TX_OPEN && caller->tx_has_run) {
 		fail(caller, CODE_ABORTED, reason, detail);
 		return;
 	}
@@ -185,17 +185,17 @@
 	wait_again(caller, code == CODE_LAGGING ? 0 : RETRY_STEP * caller->attempts);
 }
 
-void caller_on_refused(caller_t *caller, code_t code)
+void caller_on_setup_refused(caller_t *caller, code_t code)
 {
 	caller->conn = NULL;
 	if (caller->link == NULL) {
-		caller_on_gone(caller);
+		caller_on_session_end(caller);
 		return;
 	}
 	not_run(caller, code, REASON_MEMBER_REFUSED, code_name(code));
 }
 
-bool caller_try_elsewhere(caller_t *caller)
+bool caller_retry_read(caller_t *caller)
 {
 	if (caller->tx != TX_NONE || is_write(caller) || caller->attempts >= HEDGES_MAX)
 		return false;
@@ -206,7 +206,7 @@
 
 static void lost_while_running(caller_t *caller, const char *detail)
 {
-	if (caller_may_keep(caller)) {
+	if (caller_may_commit(caller)) {
 		if (caller->tx == TX_OPEN)
 			caller->tx = TX_NONE;
 		answer_error(caller, CODE_IN_DOUBT, REASON_CONNECTION_LOST, detail);
@@ -246,7 +246,7 @@
 /* A success that the rules on superseded primaries do not let through. */
 static bool is_overtaken(const caller_t *caller, const member_t *member)
 {
-	return caller_may_keep(caller) && !permit_covers(member, now_of(caller->pooler));
+	return caller_may_commit(caller) && !permit_covers(member, now_of(caller->pooler));
 }
 
 static void on_success(caller_t *caller, conn_t *conn, const reply_t *reply)
@@ -270,15 +270,15 @@
 		conn_release(conn);
 		return;
 	}
-	if (caller_may_keep(caller))
+	if (caller_may_commit(caller))
 		remember_commit(caller, reply);
 	if (caller->tx == TX_OPEN) {
-		caller->tx_ran = true;
+		caller->tx_has_run = true;
 		caller->tx_wrote = caller->tx_wrote || is_write(caller);
 		caller->tx = is_commit(caller) ? TX_NONE : reply->tx;
 	}
 	conn->state = CONN_HELD;
-	conn->since = now_of(caller->pooler);
+	conn->state_since = now_of(caller->pooler);
 	answer_raw(caller, reply);
 	if (ends)
 		conn_release(conn);
@@ -289,7 +289,7 @@
 {
 	caller->tx = reply->tx;
 	conn->state = CONN_HELD;
-	conn->since = now_of(caller->pooler);
+	conn->state_since = now_of(caller->pooler);
 	answer_raw(caller, reply);
 	if (caller->tx == TX_NONE)
 		conn_release(conn);
@@ -297,11 +297,11 @@
 
 static void on_error(caller_t *caller, conn_t *conn, const reply_t *reply)
 {
-	bool untouched = caller->tx == TX_NONE || (!caller->tx_ran && !is_commit(caller));
+	bool untouched = caller->tx == TX_NONE || (!caller->tx_has_run && !is_commit(caller));
 
 	if (reply->code == CODE_NO_STATEMENT)
 		conn->prepared_count = 0;
-	if (!code_is_not_run(reply->code) || !untouched) {
+	if (!code_means_not_run(reply->code) || !untouched) {
 		pass_error(caller, conn, reply);
 		return;
 	}
@@ -315,7 +315,7 @@
 		on_success(caller, conn, reply);
 	else
 		on_error(caller, conn, reply);
-	hangup_if_done(caller);
+	hangup_after_answer(caller);
 }
 
 /* --- results of another proxy --- */
@@ -331,14 +331,14 @@
 	};
 
 	/* Whoever ran it had permission; what counts for our caller is ours. */
-	if (caller_may_keep(caller) && (member == NULL || is_overtaken(caller, member))) {
+	if (caller_may_commit(caller) && (member == NULL || is_overtaken(caller, member))) {
 		answer_error(caller, CODE_IN_DOUBT, REASON_PERMISSION_ENDED, NULL);
 		return;
 	}
-	if (caller_may_keep(caller))
+	if (caller_may_commit(caller))
 		remember_commit(caller, &reply);
 	if (caller->tx == TX_OPEN) {
-		caller->tx_ran = true;
+		caller->tx_has_run = true;
 		caller->tx_wrote = caller->tx_wrote || is_write(caller);
 		caller->tx = result->tx;
 	}
@@ -352,7 +352,7 @@
 
 	end_statement(caller);
 	reply.tx = caller->tx;
-	report_failed(caller, result->code, REASON_NOT_SERVED_ELSEWHERE, result->text);
+	report_failure(caller, result->code, REASON_NOT_SERVED_ELSEWHERE, result->text);
 	finish(caller, &reply, NULL);
 }
 
@@ -368,17 +368,17 @@
 	}
 }
 
-void caller_on_forwarded(caller_t *caller, const forward_result_t *result)
+void caller_on_forward_result(caller_t *caller, const forward_result_t *result)
 {
 	if (result->declined) {
-		caller->remote = 0;
+		caller->remote_tx = 0;
 		not_run(caller, result->code, REASON_MEMBER_REFUSED, result->text);
 	} else if (result->ok) {
 		on_forwarded_success(caller, result);
 	} else {
 		on_forwarded_error(caller, result);
 	}
-	hangup_if_done(caller);
+	hangup_after_answer(caller);
 }
 
 /* --- statements that are answered here --- */
@@ -400,7 +400,7 @@
 		answer_error(caller, CODE_NO_STATEMENT, REASON_UNKNOWN_NAME, NULL);
 		return;
 	}
-	prepared_forget(prepared);
+	prepared_remove(prepared);
 	answer_done(caller);
 }
 
@@ -413,7 +413,7 @@
 		return NULL;
 	caller->service = service_get(caller->pooler, route->service);
 	if (caller->customer != NULL)
-		caller->line = service_line(caller->service, caller->customer);
+		caller->customer_pool = service_customer_pool(caller->service, caller->customer);
 	caller->reads = route->reads;
 	caller->max_age = route->max_age;
 	caller->timeout = route->statement_timeout;
@@ -422,21 +422,21 @@
 	return route;
 }
 
-void caller_begin(caller_t *caller, bool read_only)
+void caller_begin_tx(caller_t *caller, bool read_only)
 {
 	caller->tx = TX_OPEN;
 	caller->tx_read_only = read_only;
-	caller->tx_ran = false;
+	caller->tx_has_run = false;
 	caller->tx_wrote = false;
 	caller->tx_lost = false;
-	caller->only_primary = false;
+	caller->primary_only = false;
 	take_route(caller);
 }
 
 static void on_begin(caller_t *caller)
 {
 	counter_add(&transactions_total, 1);
-	caller_begin(caller, caller->statement.kind == STATEMENT_BEGIN_READ);
+	caller_begin_tx(caller, caller->statement.kind == STATEMENT_BEGIN_READ);
 	/* The member's BEGIN waits for the first statement: pauses before it cost no connection. */
 	answer_done(caller);
 }
@@ -446,7 +446,7 @@
 	caller->tx = TX_NONE;
 	if (caller->conn != NULL)
 		conn_release(caller->conn);
-	forward_end(caller);
+	forward_end_tx(caller);
 	answer_done(caller);
 }
 
@@ -460,7 +460,7 @@
  */
 static bool waits_for_refusal(caller_t *caller, usec_t now)
 {
-	if (caller->forward_number == 0 || !caller_may_keep(caller) ||
+	if (caller->forward_number == 0 || !caller_may_commit(caller) ||
 	    now >= caller->deadline + REFUSAL_PATIENCE ||
 	    home_is_suspect(caller->pooler, caller->helper, now))
 		return false;
@@ -478,11 +478,12 @@
 		return;
 	if (caller->forward_number == 0 && (conn == NULL || conn->state != CONN_RUNNING)) {
 		caller_refuse(caller,
-			      caller->tx == TX_OPEN && caller->tx_ran ? CODE_ABORTED : CODE_BUSY,
+			      caller->tx == TX_OPEN && caller->tx_has_run ? CODE_ABORTED
+									  : CODE_BUSY,
 			      REASON_NO_CONNECTION, RETRY_STEP);
 		return;
 	}
-	if (caller_may_keep(caller)) {
+	if (caller_may_commit(caller)) {
 		fail(caller, CODE_IN_DOUBT, REASON_NO_ANSWER, NULL);
 	} else if (caller->tx == TX_OPEN) {
 		fail(caller, CODE_ABORTED, REASON_NO_ANSWER, NULL);
@@ -491,39 +492,39 @@
 	}
 }
 
-static want_t want_of(const caller_t *caller)
+static statement_target_t want_of(const caller_t *caller)
 {
 	if (caller->reads == READS_PRIMARY)
-		return WANT_PRIMARY;
+		return TARGET_PRIMARY;
 	if (caller->tx == TX_OPEN)
-		return caller->tx_read_only ? WANT_ANY : WANT_PRIMARY;
-	return is_write(caller) ? WANT_PRIMARY : WANT_ANY;
+		return caller->tx_read_only ? TARGET_ANY : TARGET_PRIMARY;
+	return is_write(caller) ? TARGET_PRIMARY : TARGET_ANY;
 }
 
 static void run_at_member(caller_t *caller)
 {
 	pooler_t *pooler = caller->pooler;
 
-	caller->want = want_of(caller);
+	caller->target = want_of(caller);
 	caller->attempts = 0;
-	caller->not_before = 0;
-	if (caller->job != NULL && caller->job->left < caller->timeout)
-		caller->timeout = caller->job->left;
+	caller->next_attempt_at = 0;
+	if (caller->job != NULL && caller->job->time_left < caller->timeout)
+		caller->timeout = caller->job->time_left;
 	caller->deadline = caller->received_at + caller->timeout;
 	timers_arm(pooler->timers, &caller->timer, caller->deadline, on_deadline);
 	if (caller->conn != NULL) {
 		caller->placed_at = caller->received_at;
-		conn_run_held(caller->conn);
+		conn_run_in_tx(caller->conn);
 		return;
 	}
-	if (caller->remote != 0) {
-		if (!forward_go_on(caller, caller->received_at))
+	if (caller->remote_tx != 0) {
+		if (!forward_next_statement(caller, caller->received_at))
 			fail(caller, CODE_ABORTED, REASON_CONNECTION_LOST, "home is out of reach");
 		return;
 	}
 	if (caller->tx == TX_NONE)
-		caller->only_primary = false;
-	dispatch_join(caller);
+		caller->primary_only = false;
+	dispatch_enqueue(caller);
 }
 
 /* False if there is no such prepared statement; answered then. */
@@ -588,7 +589,7 @@
 
 static code_t code_of_refusal(reason_t reason)
 {
-	return reason == REASON_KEY_TAKEN ? CODE_NO_AUTH : CODE_BUSY;
+	return reason == REASON_KEY_REVOKED ? CODE_NO_AUTH : CODE_BUSY;
 }
 
 /* An operation begins. What may not run is refused here, before any of it has. */
@@ -599,7 +600,7 @@
 	code_t code;
 
 	if (route == NULL) {
-		code = admission_unknown(caller->pooler, &reason);
+		code = admission_unknown_database(caller->pooler, &reason);
 		if (code == CODE_BUSY)
 			caller_refuse(caller, code, reason, RETRY_KEYS);
 		else
@@ -610,7 +611,7 @@
 		caller_on_admitted(caller);
 		return;
 	}
-	if (!admission_begins(caller, route, &reason)) {
+	if (!admission_check_operation(caller, route, &reason)) {
 		caller_refuse(caller, code_of_refusal(reason), reason, RETRY_KEYS);
 		return;
 	}
@@ -654,7 +655,7 @@
 		on_failed_tx(caller);
 		return;
 	}
-	if (!admission_goes_on(caller, &reason)) {
+	if (!admission_check_transaction(caller, &reason)) {
 		fail(caller, CODE_ABORTED, reason, NULL);
 		return;
 	}
@@ -707,7 +708,7 @@
 		on_outside_tx(caller);
 	else
 		on_inside_tx(caller);
-	hangup_if_done(caller);
+	hangup_after_answer(caller);
 }
 
 bool caller_is_busy(const caller_t *caller)
@@ -725,11 +726,11 @@
 	caller->link = link;
 	caller->database = talloc_strdup(caller, database);
 	caller->idle_since = now_of(pooler);
-	caller->leaving = pooler->draining;
+	caller->closing = pooler->draining;
 	variables_init(&caller->variables);
 	list_init(&caller->prepared);
-	list_init(&caller->waiting);
-	list_init(&caller->admission);
+	list_init(&caller->queue_node);
+	list_init(&caller->quota_node);
 	list_add_tail(&pooler->callers, &caller->node);
 	counter_add(&open_callers, 1);
 	return caller;
@@ -742,11 +743,11 @@
 	caller_t *caller;
 
 	/* One whose START was read so late would be cut off by the end of the process. */
-	if (pooler->routes == NULL || pooler->drained_told) {
+	if (pooler->routes == NULL || pooler->drained_reported) {
 		*code = CODE_BUSY;
 		return NULL;
 	}
-	if (!admission_opens(pooler, database, &digest, code))
+	if (!admission_check_session(pooler, database, &digest, code))
 		return NULL;
 	caller = caller_create(pooler, database, link);
 	caller->key = digest;
@@ -755,21 +756,21 @@
 
 void caller_on_sent(caller_t *caller)
 {
-	hangup_if_done(caller);
+	hangup_after_answer(caller);
 }
 
-void caller_on_gone(caller_t *caller)
+void caller_on_session_end(caller_t *caller)
 {
 	pooler_t *pooler = caller->pooler;
 
 	quota_leave(caller);
-	dispatch_leave(caller);
-	forward_forget(caller);
+	dispatch_dequeue(caller);
+	forward_cancel(caller);
 	timers_cancel(pooler->timers, &caller->timer);
 	/* A commit or lone write that is under way is left to finish; the rest is rolled back. */
 	if (caller->conn != NULL)
 		conn_orphan(caller->conn);
-	forward_end(caller);
+	forward_end_tx(caller);
 	list_del(&caller->node);
 	counter_add(&open_callers, -1);
 	talloc_free(caller);
@@ -788,7 +789,7 @@
 
 	if (caller->busy || caller->tx != TX_OPEN || caller->conn == NULL)
 		return;
-	if (routes == NULL || now < caller->idle_since + routes->tx_idle)
+	if (routes == NULL || now < caller->idle_since + routes->tx_idle_timeout)
 		return;
 	LOG_EVENT(LOG_INFO, "idle transaction ended", LOG_STR("database", caller->database),
 		  LOG_INT("idle_ms", (int64_t)((now - caller->idle_since) / USEC_PER_MSEC)));
--- a/pooler/conn.c
+++ b/pooler/conn.c
@@ -41,7 +41,7 @@
 static void set_state(conn_t *conn, conn_state_t state)
 {
 	conn->state = state;
-	conn->since = now_of(conn->member->pooler);
+	conn->state_since = now_of(conn->member->pooler);
 }
 
 static void send_requests(conn_t *conn, const member_request_t *requests, size_t count)
@@ -56,7 +56,7 @@
 static void note_failure(conn_t *conn, evidence_t evidence)
 {
 	if (conn->caller != NULL)
-		conn->caller->failed_at = conn->member;
+		conn->caller->failed_member = conn->member;
 	member_note(conn->member, evidence);
 }
 
@@ -69,7 +69,7 @@
 	member_t *member = conn->member;
 	usec_t now = now_of(member->pooler);
 
-	conn->caller->failed_at = member;
+	conn->caller->failed_member = member;
 	if (now < member->lost_at + SAME_LOSS)
 		return;
 	member->lost_at = now;
@@ -81,7 +81,7 @@
 /* As whom a probe's connection introduces itself; it runs no statement of a customer. */
 #define PROBE_CUSTOMER "cyclamenspan"
 
-conn_t *conn_open(member_t *member, line_t *line)
+conn_t *conn_open(member_t *member, customer_pool_t *line)
 {
 	const char *customer = line != NULL ? line->customer : PROBE_CUSTOMER;
 	bool probe = line == NULL;
@@ -89,7 +89,7 @@
 	conn_t *conn = talloc_zero(member, conn_t);
 
 	conn->member = member;
-	conn->line = line;
+	conn->customer_pool = line;
 	conn->probe = probe;
 	variables_init(&conn->variables);
 	conn->link = pooler->env->ops->member_connect(
@@ -148,7 +148,7 @@
 	end(conn, reason);
 }
 
-void conn_ask_status(conn_t *conn)
+void conn_query_status(conn_t *conn)
 {
 	member_request_t request = {.kind = REQUEST_STATUS};
 
@@ -162,10 +162,10 @@
 
 	member_heard(member);
 	if (conn->probe) {
-		conn_ask_status(conn);
+		conn_query_status(conn);
 		return;
 	}
-	conn->opened = now_of(member->pooler);
+	conn->ready_at = now_of(member->pooler);
 	set_state(conn, CONN_IDLE);
 	dispatch_run(member->service);
 }
@@ -313,7 +313,7 @@
 		request.kind = REQUEST_EXEC;
 		request.name = slice_from(caller->exec->alias);
 	}
-	if (caller->tx == TX_NONE && caller->want == WANT_ANY) {
+	if (caller->tx == TX_NONE && caller->target == TARGET_ANY) {
 		request.has_after = caller->has_after;
 		request.after = caller->after;
 	}
@@ -346,7 +346,7 @@
 	conn->setup_done = 0;
 	conn->setup_code = CODE_NONE;
 	/* A value that the caller does not have can only be taken away by a reset. */
-	if (!conn->in_tx && (!variables_within(&conn->variables, &caller->variables) ||
+	if (!conn->in_tx && (!variables_is_subset(&conn->variables, &caller->variables) ||
 			     conn->prepared_count >= PREPARED_MAX)) {
 		counter_add(&resets_total, 1);
 		forget_all(conn);
@@ -360,13 +360,13 @@
 void conn_run(conn_t *conn, caller_t *caller)
 {
 	conn->caller = caller;
-	conn->used = true;
+	conn->has_served = true;
 	caller->conn = conn;
 	caller->placed_at = now_of(caller->pooler);
-	conn_run_held(conn);
+	conn_run_in_tx(conn);
 }
 
-void conn_run_held(conn_t *conn)
+void conn_run_in_tx(conn_t *conn)
 {
 	flight_t flight = {.conn = conn};
 	bool only_name;
@@ -414,7 +414,7 @@
 		set_state(conn, CONN_IDLE);
 	else
 		conn_close(conn, "setting up failed");
-	caller_on_refused(caller, code);
+	caller_on_setup_refused(caller, code);
 }
 
 /* The reply to a name that went along with its statement, whose own reply is next. */
@@ -470,7 +470,7 @@
 		return;
 	}
 	conn->in_tx = reply->tx != TX_NONE;
-	if (conn->state == CONN_CLEANING && conn->in_tx) {
+	if (conn->state == CONN_ROLLING_BACK && conn->in_tx) {
 		conn_close(conn, "rollback failed");
 		return;
 	}
@@ -495,7 +495,7 @@
  */
 static bool read_again(conn_t *conn, const reply_t *reply)
 {
-	if (reply->ok || reply->code != CODE_FAILED || !caller_try_elsewhere(conn->caller))
+	if (reply->ok || reply->code != CODE_FAILED || !caller_retry_read(conn->caller))
 		return false;
 	conn_release(conn);
 	return true;
@@ -542,7 +542,7 @@
 		}
 		on_statement_reply(conn, reply, now);
 		break;
-	case CONN_CLEANING:
+	case CONN_ROLLING_BACK:
 	case CONN_ORPHANED:
 		on_late_reply(conn, reply);
 		break;
@@ -562,7 +562,7 @@
 	conn->caller = NULL;
 	if (conn->in_tx) {
 		conn->setup_done = conn->setup_len;
-		set_state(conn, CONN_CLEANING);
+		set_state(conn, CONN_ROLLING_BACK);
 		send_requests(conn, &rollback, 1);
 		return;
 	}
@@ -579,8 +579,8 @@
 
 	LOG_EVENT(LOG_INFO, "transaction ended", LOG_STR("member", conn->member->id),
 		  LOG_STR("reason", reason), LOG_STR("database", caller->database),
-		  LOG_INT("idle_ms",
-			  (int64_t)((now_of(conn->member->pooler) - conn->since) / USEC_PER_MSEC)));
+		  LOG_INT("idle_ms", (int64_t)((now_of(conn->member->pooler) - conn->state_since) /
+					       USEC_PER_MSEC)));
 	counter_add(&reclaimed_total, 1);
 	conn->caller = NULL;
 	caller_on_conn_lost(caller, false, reason);
@@ -597,18 +597,18 @@
 		set_state(conn, CONN_ORPHANED);
 }
 
-conn_t *conn_idle(const member_t *member, const caller_t *caller)
+conn_t *conn_find_idle(const member_t *member, const caller_t *caller)
 {
 	conn_t *best = NULL;
 
 	list_for_each (it, &member->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
 
-		if (conn->state != CONN_IDLE || conn->line != caller->line)
+		if (conn->state != CONN_IDLE || conn->customer_pool != caller->customer_pool)
 			continue;
 		if (variables_equal(&conn->variables, &caller->variables))
 			return conn;
-		if (best == NULL || variables_within(&conn->variables, &caller->variables))
+		if (best == NULL || variables_is_subset(&conn->variables, &caller->variables))
 			best = conn;
 	}
 	return best;
@@ -621,20 +621,20 @@
  */
 static bool is_spare(const conn_t *conn, bool waited)
 {
-	return conn->line->waiting == 0 || (waited && conn->used);
+	return conn->customer_pool->waiting == 0 || (waited && conn->has_served);
 }
 
-conn_t *conn_spare(const member_t *member, const caller_t *caller, bool waited)
+conn_t *conn_find_evictable(const member_t *member, const caller_t *caller, bool waited)
 {
 	conn_t *longest = NULL;
 
 	list_for_each (it, &member->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
 
-		if (conn->state != CONN_IDLE || conn->probe || conn->line == caller->line ||
-		    !is_spare(conn, waited))
+		if (conn->state != CONN_IDLE || conn->probe ||
+		    conn->customer_pool == caller->customer_pool || !is_spare(conn, waited))
 			continue;
-		if (longest == NULL || conn->since < longest->since)
+		if (longest == NULL || conn->state_since < longest->state_since)
 			longest = conn;
 	}
 	return longest;
--- a/pooler/dispatch.c
+++ b/pooler/dispatch.c
@@ -104,10 +104,10 @@
 		cost += OTHER_ZONE;
 	if (primary)
 		cost += IS_PRIMARY;
-	if (conn_idle(member, caller) == NULL)
+	if (conn_find_idle(member, caller) == NULL)
 		cost += NO_CONNECTION;
 	if (!outlier_takes(&member->outlier, member_load(member), now_of(caller->pooler)) ||
-	    (caller->attempts != 0 && caller->failed_at == member))
+	    (caller->attempts != 0 && caller->failed_member == member))
 		cost += LAST_CHOICE;
 	return cost;
 }
@@ -134,7 +134,7 @@
 {
 	if (now < member->open_after || member_share(member) == 0)
 		return NULL;
-	return conn_spare(member, caller, now >= caller->received_at + TAKE_AFTER);
+	return conn_find_evictable(member, caller, now >= caller->received_at + TAKE_AFTER);
 }
 
 static bool can_open(const member_t *member, const caller_t *caller, usec_t now)
@@ -146,7 +146,7 @@
 static bool can_serve(const member_t *member, const caller_t *caller, usec_t now)
 {
 	return member_is_usable(member) && member_has_room(member) &&
-	       (conn_idle(member, caller) != NULL || can_open(member, caller, now));
+	       (conn_find_idle(member, caller) != NULL || can_open(member, caller, now));
 }
 
 /*
@@ -171,7 +171,7 @@
 {
 	member_t *primary = permit_primary(caller->service, now);
 	sample_t wanted;
-	bool fresh = position_for(caller, &wanted) && !caller->only_primary;
+	bool fresh = position_for(caller, &wanted) && !caller->primary_only;
 	member_t *best = NULL;
 	usec_t best_cost = USEC_NEVER;
 
@@ -205,27 +205,27 @@
 	caller->has_after = false;
 	*open = primary != NULL && !primary->down && now < primary->leaving_since + leaving_use;
 	if (!*open || !member_has_room(primary) ||
-	    (conn_idle(primary, caller) == NULL && !can_open(primary, caller, now)))
+	    (conn_find_idle(primary, caller) == NULL && !can_open(primary, caller, now)))
 		return NULL;
 	return primary;
 }
 
 /* Connections that are being made there for the customer's callers. */
-static size_t opening(const member_t *member, const line_t *line)
+static size_t opening(const member_t *member, const customer_pool_t *line)
 {
 	size_t count = 0;
 
 	list_for_each (it, &member->conns) {
 		const conn_t *conn = list_entry(it, conn_t, node);
 
-		count += conn->state == CONN_OPENING && conn->line == line;
+		count += conn->state == CONN_OPENING && conn->customer_pool == line;
 	}
 	return count;
 }
 
 static member_t *choose(caller_t *caller, usec_t now, bool *open)
 {
-	if (caller->want == WANT_PRIMARY)
+	if (caller->target == TARGET_PRIMARY)
 		return choose_primary(caller, now, open);
 	return choose_reader(caller, now, open);
 }
@@ -240,7 +240,7 @@
 		if (spare != NULL)
 			conn_close(spare, "another customer needs its place");
 	}
-	conn_open(member, caller->line);
+	conn_open(member, caller->customer_pool);
 }
 
 /* Returns true if the caller is served, and waits no more. */
@@ -251,38 +251,38 @@
 	conn_t *conn;
 
 	switch (forward_to_home(caller, now)) {
-	case FORWARD_DONE:
-		dispatch_leave(caller);
+	case FORWARD_SENT:
+		dispatch_dequeue(caller);
 		return true;
 	case FORWARD_WAIT:
-		caller->not_before = now + HOME_RETRY;
+		caller->next_attempt_at = now + HOME_RETRY;
 		return false;
-	case FORWARD_NOT:
+	case FORWARD_LOCAL:
 		break;
 	}
 	member = choose(caller, now, &open);
 	if (member == NULL)
 		return false;
-	conn = conn_idle(member, caller);
+	conn = conn_find_idle(member, caller);
 	if (conn != NULL) {
-		dispatch_leave(caller);
+		dispatch_dequeue(caller);
 		conn_run(conn, caller);
 		return true;
 	}
 	/* One new connection for each that waits is enough. */
-	if (opening(member, caller->line) < caller->line->waiting)
+	if (opening(member, caller->customer_pool) < caller->customer_pool->waiting)
 		open_for(member, caller, now);
 	return false;
 }
 
 /* --- the queue --- */
 
-void dispatch_leave(caller_t *caller)
+void dispatch_dequeue(caller_t *caller)
 {
 	if (!caller->is_waiting)
 		return;
-	list_del(&caller->waiting);
-	caller->line->waiting--;
+	list_del(&caller->queue_node);
+	caller->customer_pool->waiting--;
 	caller->is_waiting = false;
 }
 
@@ -291,13 +291,13 @@
 	list_t *pos = &service->waiting;
 
 	list_for_each (it, &service->waiting) {
-		if (list_entry(it, caller_t, waiting)->priority > caller->priority) {
+		if (list_entry(it, caller_t, queue_node)->priority > caller->priority) {
 			pos = it;
 			break;
 		}
 	}
-	list_add_before(pos, &caller->waiting);
-	caller->line->waiting++;
+	list_add_before(pos, &caller->queue_node);
+	caller->customer_pool->waiting++;
 	caller->is_waiting = true;
 }
 
@@ -323,7 +323,7 @@
 	list_for_each (it, &caller->service->members) {
 		const member_t *member = list_entry(it, member_t, in_service);
 
-		if (caller->want == WANT_ANY && member_is_usable(member) &&
+		if (caller->target == TARGET_ANY && member_is_usable(member) &&
 		    member->response < least)
 			least = member->response;
 	}
@@ -339,7 +339,7 @@
  */
 static bool is_late(const caller_t *caller, usec_t now)
 {
-	return !caller->pooler->config.in_order &&
+	return !caller->pooler->config.serve_in_arrival_order &&
 	       now + expected_response(caller, now) + CALLER_WAYS >=
 		       caller->received_at + caller->objective;
 }
@@ -354,7 +354,7 @@
  */
 static bool is_too_late(const caller_t *caller, usec_t now)
 {
-	usec_t needed = expected_response(caller, now) * (caller_may_keep(caller) ? 2 : 1);
+	usec_t needed = expected_response(caller, now) * (caller_may_commit(caller) ? 2 : 1);
 
 	return now - caller->received_at > caller->timeout / 2 && now + needed >= caller->deadline;
 }
@@ -363,21 +363,21 @@
 static bool serve_one_of(service_t *service, bool late, usec_t now, usec_t *next)
 {
 	list_for_each (it, &service->waiting) {
-		caller_t *caller = list_entry(it, caller_t, waiting);
+		caller_t *caller = list_entry(it, caller_t, queue_node);
 
 		if (is_late(caller, now) != late || is_too_late(caller, now))
 			continue;
-		if (caller->not_before > now) {
-			*next = caller->not_before < *next ? caller->not_before : *next;
+		if (caller->next_attempt_at > now) {
+			*next = caller->next_attempt_at < *next ? caller->next_attempt_at : *next;
 			continue;
 		}
 		if (place(caller, now))
 			return true;
-		if (caller->not_before > now && caller->not_before < *next)
-			*next = caller->not_before;
+		if (caller->next_attempt_at > now && caller->next_attempt_at < *next)
+			*next = caller->next_attempt_at;
 		if (!may_borrow(caller, now) && caller->received_at + BORROW_AFTER < *next)
 			*next = caller->received_at + BORROW_AFTER;
-		if (caller->want == WANT_ANY && !takes_any(caller, now) &&
+		if (caller->target == TARGET_ANY && !takes_any(caller, now) &&
 		    caller->received_at + WAIT_FOR_WELL(caller->objective) < *next)
 			*next = caller->received_at + WAIT_FOR_WELL(caller->objective);
 	}
@@ -458,7 +458,7 @@
 /* True if nothing but a connection to the member is missing. */
 static bool lacks_connection(const member_t *member, const caller_t *caller, usec_t now)
 {
-	return member_has_room(member) && conn_idle(member, caller) == NULL &&
+	return member_has_room(member) && conn_find_idle(member, caller) == NULL &&
 	       !can_open(member, caller, now);
 }
 
@@ -472,11 +472,11 @@
 		member_t *member = list_entry(it, member_t, in_service);
 		conn_t *conn = member_longest_held(member);
 
-		if (conn == NULL || now < conn->since + RESTS_AFTER ||
-		    (caller->want == WANT_PRIMARY && member != primary) ||
+		if (conn == NULL || now < conn->state_since + RESTS_AFTER ||
+		    (caller->target == TARGET_PRIMARY && member != primary) ||
 		    !lacks_connection(member, caller, now))
 			continue;
-		if (longest == NULL || conn->since < longest->since)
+		if (longest == NULL || conn->state_since < longest->state_since)
 			longest = conn;
 	}
 	return longest;
@@ -490,7 +490,7 @@
 static void end_resting(service_t *service, usec_t now)
 {
 	list_for_each (it, &service->waiting) {
-		const caller_t *caller = list_entry(it, caller_t, waiting);
+		const caller_t *caller = list_entry(it, caller_t, queue_node);
 		conn_t *conn;
 
 		if (!may_borrow(caller, now))
@@ -503,16 +503,16 @@
 	}
 }
 
-void dispatch_check(service_t *service, usec_t now)
+void dispatch_tick(service_t *service, usec_t now)
 {
 	/* A process that was paused has not read what its callers have sent since. */
-	if (now != service->pooler->awake_since)
+	if (now != service->pooler->resumed_at)
 		end_resting(service, now);
 	list_for_each_safe (it, &service->waiting)
-		refuse_hopeless(list_entry(it, caller_t, waiting), now);
+		refuse_hopeless(list_entry(it, caller_t, queue_node), now);
 }
 
-void dispatch_join(caller_t *caller)
+void dispatch_enqueue(caller_t *caller)
 {
 	usec_t now = now_of(caller->pooler);
 	service_t *service = caller->service;
--- a/pooler/dispatch.h
+++ b/pooler/dispatch.h
@@ -7,13 +7,13 @@
 #include "state.h"
 
 /* Wait for a connection, or take one at once. */
-void dispatch_join(caller_t *caller);
+void dispatch_enqueue(caller_t *caller);
 
 /* No longer wait. */
-void dispatch_leave(caller_t *caller);
+void dispatch_dequeue(caller_t *caller);
 
 /* Something changed: serve whoever can be served now. */
 void dispatch_run(service_t *service);
 
 /* Refuse those whose deadline will pass before the service is usable again. */
-void dispatch_check(service_t *service, usec_t now);
+void dispatch_tick(service_t *service, usec_t now);
--- a/pooler/duty.c
+++ b/pooler/duty.c
@@ -253,7 +253,7 @@
 {
 	const routes_t *routes = service->pooler->routes;
 
-	return routes != NULL && routes_service(routes, service->name) != NULL;
+	return routes != NULL && routes_find_service(routes, service->name) != NULL;
 }
 
 static void watch(service_t *service, usec_t now)
--- a/pooler/exchange.c
+++ b/pooler/exchange.c
@@ -440,10 +440,10 @@
 	upstream_note_contact(pooler, message->from, message->address);
 	if (message->draining)
 		note_draining(pooler, message);
-	if (message->config_version > pooler->config_heard)
-		pooler->config_heard = message->config_version;
+	if (message->config_version > pooler->newest_config_version)
+		pooler->newest_config_version = message->config_version;
 	if (message->kind != PEER_RESULT)
-		forward_on_heard(pooler, message->from);
+		forward_on_peer_message(pooler, message->from);
 	switch (message->kind) {
 	case PEER_ASK:
 		on_ask(pooler, message);
--- a/pooler/forward.c
+++ b/pooler/forward.c
@@ -30,7 +30,7 @@
 	size_t count = 0;
 
 	list_for_each (it, &pooler->forwarded)
-		count += strcmp(list_entry(it, caller_t, forwarded)->helper, helper) == 0;
+		count += strcmp(list_entry(it, caller_t, forwarded_node)->helper, helper) == 0;
 	return count;
 }
 
@@ -50,8 +50,8 @@
 		.variables = &caller->variables,
 		.has_commit = caller->has_commit,
 		.commit = caller->commit,
-		.session = caller->remote,
-		.begins = !caller->tx_ran,
+		.session = caller->remote_tx,
+		.begins = !caller->tx_has_run,
 		.read_only = caller->tx_read_only,
 	};
 	peer_message_t message = {.kind = PEER_REQUEST, .request = &request};
@@ -74,7 +74,7 @@
 	}
 	caller->forwarded_at = now;
 	caller->placed_at = now;
-	list_add_tail(&pooler->forwarded, &caller->forwarded);
+	list_add_tail(&pooler->forwarded, &caller->forwarded_node);
 	counter_add(&forwarded_total, 1);
 	home_on_sent(pooler, helper->name, now);
 	return true;
@@ -88,29 +88,29 @@
 	caller->helper = copy;
 }
 
-forward_t forward_to_home(caller_t *caller, usec_t now)
+forward_status_t forward_to_home(caller_t *caller, usec_t now)
 {
 	pooler_t *pooler = caller->pooler;
 	const roster_node_t *home;
 
 	if (caller->job != NULL || !home_applies(caller->service) ||
 	    permit_primary(caller->service, now) == NULL)
-		return FORWARD_NOT;
+		return FORWARD_LOCAL;
 	home = home_find(caller->service, now);
 	if (home == NULL || strcmp(home->name, pooler->config.name) == 0)
-		return FORWARD_NOT;
+		return FORWARD_LOCAL;
 	if (caller->tx == TX_OPEN)
-		caller->remote = pooler_next_number(pooler);
+		caller->remote_tx = pooler_next_number(pooler);
 	set_helper(caller, home->name);
 	if (hand_over(caller, home, now))
-		return FORWARD_DONE;
+		return FORWARD_SENT;
 	/* Its link is being made, or it is gone: unanswered, it is passed over soon. */
-	caller->remote = 0;
+	caller->remote_tx = 0;
 	home_on_sent(pooler, home->name, now);
 	return FORWARD_WAIT;
 }
 
-bool forward_go_on(caller_t *caller, usec_t now)
+bool forward_next_statement(caller_t *caller, usec_t now)
 {
 	const pooler_t *pooler = caller->pooler;
 	const roster_node_t *helper = roster_node(pooler->sync.roster, caller->helper);
@@ -120,7 +120,7 @@
 	return hand_over(caller, helper, now);
 }
 
-void forward_end(caller_t *caller)
+void forward_end_tx(caller_t *caller)
 {
 	static const statement_t rollback = {
 		.kind = STATEMENT_ROLLBACK,
@@ -129,27 +129,27 @@
 	};
 	const roster_node_t *helper;
 
-	if (caller->remote == 0)
+	if (caller->remote_tx == 0)
 		return;
 	helper = roster_node(caller->pooler->sync.roster, caller->helper);
 	/* If this is lost, the transaction ends by the limit for idle ones. */
 	if (helper != NULL)
 		send_request(caller, helper, &rollback, now_of(caller->pooler));
-	caller->remote = 0;
+	caller->remote_tx = 0;
 }
 
-void forward_forget(caller_t *caller)
+void forward_cancel(caller_t *caller)
 {
 	if (caller->forward_number == 0)
 		return;
-	list_del(&caller->forwarded);
+	list_del(&caller->forwarded_node);
 	caller->forward_number = 0;
 }
 
 static caller_t *find_forwarded(const pooler_t *pooler, uint64_t number)
 {
 	list_for_each (it, &pooler->forwarded) {
-		caller_t *caller = list_entry(it, caller_t, forwarded);
+		caller_t *caller = list_entry(it, caller_t, forwarded_node);
 
 		if (caller->forward_number == number)
 			return caller;
@@ -163,17 +163,17 @@
 
 	/* Given up meanwhile, or asked of somebody else since. */
 	if (caller != NULL && strcmp(caller->helper, message->from) == 0)
-		forward_forget(caller);
+		forward_cancel(caller);
 	else
 		caller = NULL;
-	forward_on_heard(pooler, message->from);
+	forward_on_peer_message(pooler, message->from);
 	if (message->result->declined)
 		home_on_declined(pooler, message->from, now_of(pooler));
 	if (caller != NULL)
-		caller_on_forwarded(caller, message->result);
+		caller_on_forward_result(caller, message->result);
 }
 
-void forward_on_heard(pooler_t *pooler, const char *peer)
+void forward_on_peer_message(pooler_t *pooler, const char *peer)
 {
 	const peer_report_t *report = exchange_report(pooler, peer);
 
@@ -184,7 +184,7 @@
 /* Nothing more is expected of the home for what the caller has asked. */
 static bool is_given_up(const caller_t *caller, usec_t now)
 {
-	if (caller_may_keep(caller))
+	if (caller_may_commit(caller))
 		return false;
 	return home_is_suspect(caller->pooler, caller->helper, now);
 }
@@ -192,11 +192,11 @@
 void forward_tick(pooler_t *pooler, usec_t now)
 {
 	list_for_each_safe (it, &pooler->forwarded) {
-		caller_t *caller = list_entry(it, caller_t, forwarded);
+		caller_t *caller = list_entry(it, caller_t, forwarded_node);
 
 		if (!is_given_up(caller, now))
 			continue;
-		forward_forget(caller);
+		forward_cancel(caller);
 		counter_add(&unanswered_total, 1);
 		caller_on_conn_lost(caller, true, "no answer of the proxy that helps");
 	}
--- a/pooler/forward.h
+++ b/pooler/forward.h
@@ -15,27 +15,27 @@
 #include "state.h"
 
 typedef enum {
-	FORWARD_NOT,  /* it is ours to serve: we are the home, or none answers */
-	FORWARD_DONE, /* the home has it */
-	FORWARD_WAIT, /* the home can't be reached yet */
-} forward_t;
+	FORWARD_LOCAL, /* it is ours to serve: we are the home, or none answers */
+	FORWARD_SENT,  /* the home has it */
+	FORWARD_WAIT,  /* the home can't be reached yet */
+} forward_status_t;
 
 /* Hand the waiting caller's statement to its service's home. */
-forward_t forward_to_home(caller_t *caller, usec_t now);
+forward_status_t forward_to_home(caller_t *caller, usec_t now);
 
 /* The next statement of a transaction that another proxy has; false if that is out of reach. */
-bool forward_go_on(caller_t *caller, usec_t now);
+bool forward_next_statement(caller_t *caller, usec_t now);
 
 /* The caller's transaction is not needed any more where it is. */
-void forward_end(caller_t *caller);
+void forward_end_tx(caller_t *caller);
 
 /* The caller's statement is not waited for any more. */
-void forward_forget(caller_t *caller);
+void forward_cancel(caller_t *caller);
 
 /* The answer to one of our statements. */
 void forward_on_result(pooler_t *pooler, const peer_message_t *message);
 
 /* Any message of that peer has come. */
-void forward_on_heard(pooler_t *pooler, const char *peer);
+void forward_on_peer_message(pooler_t *pooler, const char *peer);
 
 void forward_tick(pooler_t *pooler, usec_t now);
--- a/pooler/hangup.c
+++ b/pooler/hangup.c
@@ -70,7 +70,7 @@
 	}
 	if (result != CLOSE_DONE)
 		return false;
-	caller_on_gone(caller);
+	caller_on_session_end(caller);
 	return true;
 }
 
@@ -90,37 +90,37 @@
 	if (result != CLOSE_DONE)
 		env->ops->caller_abort(env, caller->link);
 	report(caller, result == CLOSE_UNSENT ? END_NOT_READING : END_SHUTDOWN, CLOSE_DONE);
-	caller_on_gone(caller);
+	caller_on_session_end(caller);
 	return true;
 }
 
 bool hangup_drain(caller_t *caller, drain_phase_t phase)
 {
-	caller->leaving = true;
+	caller->closing = true;
 	if (caller->busy)
 		return false;
 	if (phase == DRAIN_ALL && caller->job == NULL)
 		return give_up(caller);
 	if (caller->tx != TX_NONE)
-		return phase != DRAIN_RESTING && hang_up(caller, END_CUT);
-	if (caller->served || now_of(caller->pooler) >= caller->idle_since + REST)
+		return phase != DRAIN_IDLE && hang_up(caller, END_CUT);
+	if (caller->served_while_draining || now_of(caller->pooler) >= caller->idle_since + REST)
 		return hang_up(caller, END_SHUTDOWN);
 	return false;
 }
 
-void hangup_if_done(caller_t *caller)
+void hangup_after_answer(caller_t *caller)
 {
-	if (caller->leaving && caller->tx == TX_NONE && !caller->busy)
-		hangup_drain(caller, DRAIN_RESTING);
+	if (caller->closing && caller->tx == TX_NONE && !caller->busy)
+		hangup_drain(caller, DRAIN_IDLE);
 }
 
-bool hangup_let_go(caller_t *caller, usec_t now)
+bool hangup_without_permission(caller_t *caller, usec_t now)
 {
 	return caller->job == NULL && !caller->busy && caller->tx == TX_NONE &&
 	       now >= caller->idle_since + REST && hang_up(caller, END_NO_PERMISSION);
 }
 
-bool hangup_bar(caller_t *caller)
+bool hangup_key_revoked(caller_t *caller)
 {
 	return caller->job == NULL && !caller->busy && caller->tx == TX_NONE &&
 	       hang_up(caller, END_KEY_TAKEN);
--- a/pooler/hangup.h
+++ b/pooler/hangup.h
@@ -8,7 +8,7 @@
 
 /* How far a shutdown has come; each phase ends more than the one before. */
 typedef enum {
-	DRAIN_RESTING,	    /* sessions that rest outside a transaction */
+	DRAIN_IDLE,	    /* sessions that rest outside a transaction */
 	DRAIN_TRANSACTIONS, /* and inside of one */
 	DRAIN_ALL, /* and whose caller does not read its answer or stops within a statement */
 } drain_phase_t;
@@ -23,13 +23,13 @@
  * While shutting down: close the session if its last statement has just been answered. The caller
  * may be freed.
  */
-void hangup_if_done(caller_t *caller);
+void hangup_after_answer(caller_t *caller);
 
 /*
  * While this proxy has no permission: close the session if it rests outside a transaction, so that
  * its client goes elsewhere. True if it is closed, and the caller freed.
  */
-bool hangup_let_go(caller_t *caller, usec_t now);
+bool hangup_without_permission(caller_t *caller, usec_t now);
 
 /* Close the session of a caller whose key was taken, unless something of it is under way. */
-bool hangup_bar(caller_t *caller);
+bool hangup_key_revoked(caller_t *caller);
--- a/pooler/hold.c
+++ b/pooler/hold.c
@@ -165,7 +165,7 @@
 
 static usec_t duty_ttl(const pooler_t *pooler)
 {
-	usec_t least = pooler->config.lease_least;
+	usec_t least = pooler->config.min_lease;
 
 	return least > DUTY_TTL ? least : DUTY_TTL;
 }
--- a/pooler/home.c
+++ b/pooler/home.c
@@ -58,7 +58,7 @@
 
 bool home_applies(const service_t *service)
 {
-	return !service->pooler->config.alone &&
+	return !service->pooler->config.no_homes &&
 	       service->pooler->sync.proxies * 100 >
 		       (size_t)service->max_connections * DIRECT_PERCENT;
 }
@@ -245,7 +245,7 @@
 	bool done = true;
 
 	if (!permit_is_registered(pooler) ||
-	    (fleet == pooler->warm_for && now < pooler->warm_up_next))
+	    (fleet == pooler->connected_homes_revision && now < pooler->next_home_connect_at))
 		return;
 	if (HASH_COUNT(pooler->services_by_name) <= WARM_SERVICES) {
 		list_for_each (it, &pooler->services)
@@ -254,8 +254,8 @@
 		list_for_each (it, &pooler->active_services)
 			done &= warm_up(list_entry(it, service_t, active), now, &links);
 	}
-	pooler->warm_for = fleet;
-	pooler->warm_up_next = done ? now + WARM_INTERVAL : now;
+	pooler->connected_homes_revision = fleet;
+	pooler->next_home_connect_at = done ? now + WARM_INTERVAL : now;
 }
 
 static bool names(const homes_t *homes, const char *name)
@@ -332,7 +332,7 @@
 		report->unanswered_since = now;
 	if (list_empty(&report->awaited))
 		list_add_tail(&pooler->sync.awaited, &report->awaited);
-	pooler_hasten(pooler);
+	pooler_hasten_tick(pooler);
 }
 
 void home_on_heard(pooler_t *pooler, const char *name, size_t outstanding, usec_t now)
@@ -356,7 +356,7 @@
 
 	return report != NULL && report->unanswered_since != 0 &&
 	       now >= report->unanswered_since + SUSPECT_AFTER &&
-	       now >= pooler->awake_since + SUSPECT_AFTER;
+	       now >= pooler->resumed_at + SUSPECT_AFTER;
 }
 
 /* The first of the homes that is not suspect; their number if all are. */
--- a/pooler/job.c
+++ b/pooler/job.c
@@ -25,7 +25,7 @@
 		.text = "the proxy that helps can't",
 	};
 
-	outbox_send(&pooler->outbox, message->from, message->address, &result);
+	outbox_send_result(&pooler->outbox, message->from, message->address, &result);
 }
 
 /*
@@ -42,7 +42,7 @@
 		.tx = TX_FAILED,
 	};
 
-	outbox_send(&pooler->outbox, message->from, message->address, &result);
+	outbox_send_result(&pooler->outbox, message->from, message->address, &result);
 }
 
 /* The session as far as its statement needs it. */
@@ -71,9 +71,10 @@
 		caller_t *caller = list_entry(it, caller_t, node);
 		const job_t *job = caller->job;
 
-		if (job != NULL && job->session != 0 && job->session == message->request->session &&
-		    job->incarnation == message->incarnation &&
-		    strcmp(job->from, message->from) == 0)
+		if (job != NULL && job->tx_number != 0 &&
+		    job->tx_number == message->request->session &&
+		    job->origin_incarnation == message->incarnation &&
+		    strcmp(job->origin, message->from) == 0)
 			return caller;
 	}
 	return NULL;
@@ -96,12 +97,12 @@
 	caller->job = talloc_steal(caller, job);
 	/* Whoever took the statement has looked at its key. */
 	caller->customer = talloc_strdup(caller, request->customer);
-	job->from = talloc_strdup(job, message->from);
-	job->address = talloc_strdup(job, message->address);
-	job->incarnation = message->incarnation;
-	job->session = request->session;
+	job->origin = talloc_strdup(job, message->from);
+	job->origin_address = talloc_strdup(job, message->address);
+	job->origin_incarnation = message->incarnation;
+	job->tx_number = request->session;
 	if (request->session != 0)
-		caller_begin(caller, request->read_only);
+		caller_begin_tx(caller, request->read_only);
 	return caller;
 }
 
@@ -117,8 +118,8 @@
 static void run(caller_t *caller, const forward_request_t *request)
 {
 	counter_add(&jobs_total, 1);
-	caller->job->number = request->number;
-	caller->job->left = request->left;
+	caller->job->request_number = request->number;
+	caller->job->time_left = request->left;
 	give_session(caller, request);
 	mark_served(caller);
 	caller_on_statement(caller, request->statement);
@@ -131,7 +132,7 @@
 
 	if (request->statement->kind == STATEMENT_ROLLBACK) {
 		if (caller != NULL)
-			caller_on_gone(caller);
+			caller_on_session_end(caller);
 		return;
 	}
 	if (caller == NULL && (request->session == 0 || request->begins)) {
@@ -146,11 +147,11 @@
 		run(caller, request);
 }
 
-void job_answer(caller_t *caller, const caller_reply_t *reply, const reply_t *from)
+void job_send_result(caller_t *caller, const caller_reply_t *reply, const reply_t *from)
 {
 	job_t *job = caller->job;
 	forward_result_t result = {
-		.number = job->number,
+		.number = job->request_number,
 		.is_raw = from != NULL,
 		.member = caller->conn != NULL ? caller->conn->member->id : "",
 		.code = reply->code,
@@ -166,20 +167,20 @@
 		result.position = from->position;
 	}
 	job->done = caller->tx == TX_NONE;
-	outbox_send(&caller->pooler->outbox, job->from, job->address, &result);
+	outbox_send_result(&caller->pooler->outbox, job->origin, job->origin_address, &result);
 }
 
 /* The proxy that it stands for has left the fleet, or is another process now. */
 static bool is_abandoned(const caller_t *caller)
 {
 	const job_t *job = caller->job;
-	const roster_node_t *node = roster_node(caller->pooler->sync.roster, job->from);
+	const roster_node_t *node = roster_node(caller->pooler->sync.roster, job->origin);
 
-	return job->session != 0 &&
-	       (node == NULL || node->gone || node->incarnation > job->incarnation);
+	return job->tx_number != 0 &&
+	       (node == NULL || node->gone || node->incarnation > job->origin_incarnation);
 }
 
-bool job_is_over(const caller_t *caller)
+bool job_is_done(const caller_t *caller)
 {
 	return caller->job != NULL &&
 	       (caller->job->done || (!caller->busy && is_abandoned(caller)));
--- a/pooler/job.h
+++ b/pooler/job.h
@@ -10,7 +10,7 @@
 void job_on_request(pooler_t *pooler, const peer_message_t *message);
 
 /* What came of it; from is the member's reply if it is passed on as it is, else NULL. */
-void job_answer(caller_t *job, const caller_reply_t *reply, const reply_t *from);
+void job_send_result(caller_t *job, const caller_reply_t *reply, const reply_t *from);
 
 /* True if the job is over and its caller can be freed. */
-bool job_is_over(const caller_t *job);
+bool job_is_done(const caller_t *job);
--- a/pooler/member.c
+++ b/pooler/member.c
@@ -97,7 +97,7 @@
 
 void member_update(member_t *member, const member_entry_t *entry)
 {
-	if (!take_born(member, entry->born))
+	if (!take_born(member, entry->started))
 		return;
 	if (strcmp(member->address, entry->address) != 0) {
 		talloc_free(member->address);
@@ -192,7 +192,7 @@
 		if (conn->state == CONN_PROBING)
 			return;
 		if (conn->state == CONN_IDLE && !conn->probe) {
-			conn_ask_status(conn);
+			conn_query_status(conn);
 			return;
 		}
 	}
@@ -223,7 +223,7 @@
 	list_for_each_safe (it, &member->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
 
-		if (conn->state == CONN_IDLE && !conn->probe && now >= conn->since + rest &&
+		if (conn->state == CONN_IDLE && !conn->probe && now >= conn->state_since + rest &&
 		    member->conn_count > kept) {
 			conn_close(conn, "idle");
 			return;
@@ -239,7 +239,7 @@
 	list_for_each (it, &member->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
 		bool waits = conn->state == CONN_PREPARING || conn->state == CONN_RUNNING ||
-			     conn->state == CONN_CLEANING || conn->state == CONN_ORPHANED ||
+			     conn->state == CONN_ROLLING_BACK || conn->state == CONN_ORPHANED ||
 			     (conn->state == CONN_PROBING && !conn->probe);
 
 		if (waits && (oldest == NULL || conn->sent_at < oldest->sent_at))
@@ -255,7 +255,8 @@
 	list_for_each (it, &member->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
 
-		if (conn->state == CONN_HELD && (longest == NULL || conn->since < longest->since))
+		if (conn->state == CONN_HELD &&
+		    (longest == NULL || conn->state_since < longest->state_since))
 			longest = conn;
 	}
 	return longest;
@@ -272,14 +273,14 @@
 		conn_t *conn = list_entry(it, conn_t, node);
 		usec_t usual = member->response * OVERDUE_FACTOR + OVERDUE_FLOOR;
 
-		if (conn->state == CONN_ORPHANED && now >= conn->since + ORPHAN_TIME) {
+		if (conn->state == CONN_ORPHANED && now >= conn->state_since + ORPHAN_TIME) {
 			if (now >= conn->sent_at + usual + ORPHAN_TIME)
 				member_note(member, EVIDENCE_FAILED);
 			conn_close(conn, "no answer to what nobody waits for");
 			return;
 		}
 		if (conn->state == CONN_RUNNING && now >= conn->sent_at + usual &&
-		    caller_try_elsewhere(conn->caller))
+		    caller_retry_read(conn->caller))
 			return;
 	}
 }
@@ -302,7 +303,7 @@
 {
 	conn_t *probe = member->probe_conn;
 
-	if (probe != NULL && now >= probe->since + PROBE_TIMEOUT)
+	if (probe != NULL && now >= probe->state_since + PROBE_TIMEOUT)
 		conn_close(probe, "probe timed out");
 	else if (probe == NULL && member->down && now >= member->open_after)
 		member_probe(member);
@@ -310,7 +311,7 @@
 
 void member_tick(member_t *member, usec_t now)
 {
-	if (now != member->pooler->awake_since) {
+	if (now != member->pooler->resumed_at) {
 		check_silence(member, now);
 		check_overdue(member, now);
 		check_probe(member, now);
--- a/pooler/metrics.c
+++ b/pooler/metrics.c
@@ -31,11 +31,11 @@
 		fprintf(out, "cyclamenspan_roster_age_seconds %g\n",
 			seconds(now - sync->confirmed_at));
 	}
-	if (proof_age(&pooler->config_proof, now) != USEC_NEVER) {
+	if (proof_age(&pooler->config_validity, now) != USEC_NEVER) {
 		head(out, "config_age_seconds",
 		     "Since the configuration in force was known to be the newest.");
 		fprintf(out, "cyclamenspan_config_age_seconds %g\n",
-			seconds(proof_age(&pooler->config_proof, now)));
+			seconds(proof_age(&pooler->config_validity, now)));
 	}
 }
 
--- a/pooler/outbox.c
+++ b/pooler/outbox.c
@@ -33,7 +33,7 @@
 void outbox_init(outbox_t *outbox, pooler_t *pooler)
 {
 	outbox->pooler = pooler;
-	list_init(&outbox->results);
+	list_init(&outbox->pending);
 }
 
 void outbox_destroy(outbox_t *outbox)
@@ -83,7 +83,7 @@
 {
 	outbox_t *outbox = list_entry(timer, outbox_t, timer);
 
-	list_for_each_safe (it, &outbox->results) {
+	list_for_each_safe (it, &outbox->pending) {
 		unsent_t *unsent = list_entry(it, unsent_t, node);
 
 		if (send_again(outbox, unsent)) {
@@ -98,7 +98,7 @@
 			forget(unsent);
 		}
 	}
-	if (!list_empty(&outbox->results))
+	if (!list_empty(&outbox->pending))
 		timers_arm(outbox->pooler->timers, timer, now + RETRY_INTERVAL, on_retry);
 }
 
@@ -109,15 +109,15 @@
 	unsent->to = talloc_strdup(unsent, to);
 	unsent->address = talloc_strdup(unsent, address);
 	unsent->since = now_of(outbox->pooler);
-	list_add_tail(&outbox->results, &unsent->node);
+	list_add_tail(&outbox->pending, &unsent->node);
 	if (!timer_is_armed(&outbox->timer))
 		timers_arm(outbox->pooler->timers, &outbox->timer, unsent->since + RETRY_INTERVAL,
 			   on_retry);
 	return unsent;
 }
 
-void outbox_send(outbox_t *outbox, const char *to, const char *address,
-		 const forward_result_t *result)
+void outbox_send_result(outbox_t *outbox, const char *to, const char *address,
+			const forward_result_t *result)
 {
 	unsent_t *unsent;
 
@@ -131,8 +131,8 @@
 	unsent->result.text = talloc_strdup(unsent, result->text);
 }
 
-void outbox_answer(outbox_t *outbox, const char *to, const char *address,
-		   const quota_answer_t *answer)
+void outbox_send_quota_answer(outbox_t *outbox, const char *to, const char *address,
+			      const quota_answer_t *answer)
 {
 	unsent_t *unsent;
 
--- a/pooler/outbox.h
+++ b/pooler/outbox.h
@@ -14,7 +14,7 @@
 
 typedef struct outbox {
 	struct pooler *pooler;
-	list_t results;
+	list_t pending;
 	run_timer_t timer;
 } outbox_t;
 
@@ -22,9 +22,9 @@
 void outbox_destroy(outbox_t *outbox);
 
 /* Send it now, or as soon as there is a link. */
-void outbox_send(outbox_t *outbox, const char *to, const char *address,
-		 const forward_result_t *result);
+void outbox_send_result(outbox_t *outbox, const char *to, const char *address,
+			const forward_result_t *result);
 
 /* The same for the answer to a question for operations of a customer. */
-void outbox_answer(outbox_t *outbox, const char *to, const char *address,
-		   const quota_answer_t *answer);
+void outbox_send_quota_answer(outbox_t *outbox, const char *to, const char *address,
+			      const quota_answer_t *answer);
--- a/pooler/permit.c
+++ b/pooler/permit.c
@@ -142,7 +142,7 @@
 			const conn_t *conn = list_entry(jt, conn_t, node);
 
 			if (conn->state == CONN_RUNNING && conn->caller != NULL &&
-			    caller_may_keep(conn->caller))
+			    caller_may_commit(conn->caller))
 				return true;
 		}
 	}
--- a/pooler/pooler.c
+++ b/pooler/pooler.c
@@ -87,7 +87,7 @@
 
 uint64_t pooler_next_number(pooler_t *pooler)
 {
-	return ++pooler->numbers;
+	return ++pooler->last_number;
 }
 
 service_t *service_get(pooler_t *pooler, const char *name)
@@ -110,14 +110,14 @@
 	return service;
 }
 
-line_t *service_line(service_t *service, const char *customer)
+customer_pool_t *service_customer_pool(service_t *service, const char *customer)
 {
-	line_t *line;
+	customer_pool_t *line;
 
 	HASH_FIND_STR(service->lines, customer, line);
 	if (line != NULL)
 		return line;
-	line = talloc_zero(service, line_t);
+	line = talloc_zero(service, customer_pool_t);
 	line->customer = talloc_strdup(line, customer);
 	HASH_ADD_KEYPTR(hh, service->lines, line->customer, strlen(customer), line);
 	return line;
@@ -156,7 +156,7 @@
 			conn_t *conn = list_entry(jt, conn_t, node);
 
 			if (conn->state == CONN_RUNNING && conn->caller != NULL &&
-			    caller_may_keep(conn->caller))
+			    caller_may_commit(conn->caller))
 				conn_close(conn, "the primary is being replaced");
 		}
 	}
@@ -193,7 +193,7 @@
 		pooler->last_permitted = now;
 	if (pooler->last_permitted != 0 && now >= pooler->last_permitted + LET_GO_AFTER)
 		return true;
-	return proof_is_old(&pooler->config_proof, now);
+	return proof_is_old(&pooler->config_validity, now);
 }
 
 static drain_phase_t drain_phase(const pooler_t *pooler, usec_t now)
@@ -202,14 +202,14 @@
 
 	if (now >= pooler->drain_started + grace - END_MARGIN)
 		return DRAIN_ALL;
-	return now >= pooler->drain_started + grace / 2 ? DRAIN_TRANSACTIONS : DRAIN_RESTING;
+	return now >= pooler->drain_started + grace / 2 ? DRAIN_TRANSACTIONS : DRAIN_IDLE;
 }
 
 static void tick_callers(pooler_t *pooler, usec_t now);
 
 static void on_more_hangups(run_timer_t *timer, usec_t now)
 {
-	tick_callers(list_entry(timer, pooler_t, more_hangups), now);
+	tick_callers(list_entry(timer, pooler_t, hangup_timer), now);
 }
 
 static void tick_callers(pooler_t *pooler, usec_t now)
@@ -222,25 +222,25 @@
 	list_for_each_safe (it, &pooler->callers) {
 		caller_t *caller = list_entry(it, caller_t, node);
 
-		if (job_is_over(caller)) {
-			caller_on_gone(caller);
+		if (job_is_done(caller)) {
+			caller_on_session_end(caller);
 			continue;
 		}
 		caller_tick(caller, now);
 		if (end && caller->busy)
-			caller_cut_short(caller);
+			caller_end_at_shutdown(caller);
 		if (closed == HANGUPS_AT_ONCE)
 			continue;
 		if (pooler->draining)
 			closed += hangup_drain(caller, phase);
-		else if (caller->barred)
-			closed += hangup_bar(caller);
+		else if (caller->key_revoked)
+			closed += hangup_key_revoked(caller);
 		else if (let_go)
-			closed += hangup_let_go(caller, now);
+			closed += hangup_without_permission(caller, now);
 	}
 	/* Not at once, or it would expire with the timers that are due now. */
 	if (closed == HANGUPS_AT_ONCE)
-		timers_arm(pooler->timers, &pooler->more_hangups, now_of(pooler) + 1,
+		timers_arm(pooler->timers, &pooler->hangup_timer, now_of(pooler) + 1,
 			   on_more_hangups);
 }
 
@@ -250,17 +250,18 @@
  */
 static void stop_accepting(pooler_t *pooler, usec_t now)
 {
-	if (!pooler->draining || pooler->closed || now < pooler->drain_started + NOTICE_TIME)
+	if (!pooler->draining || pooler->accept_stopped ||
+	    now < pooler->drain_started + NOTICE_TIME)
 		return;
-	pooler->closed = true;
+	pooler->accept_stopped = true;
 	pooler->env->ops->stop_accepting(pooler->env);
 }
 
 static void tell_drained(pooler_t *pooler)
 {
-	if (!pooler->closed || pooler->drained_told || !list_empty(&pooler->callers))
+	if (!pooler->accept_stopped || pooler->drained_reported || !list_empty(&pooler->callers))
 		return;
-	pooler->drained_told = true;
+	pooler->drained_reported = true;
 	pooler->env->ops->drained(pooler->env);
 }
 
@@ -272,7 +273,7 @@
 	timers_arm(pooler->timers, &pooler->tick, at, on_tick);
 }
 
-void pooler_hasten(pooler_t *pooler)
+void pooler_hasten_tick(pooler_t *pooler)
 {
 	usec_t soon = now_of(pooler) + TICK_INTERVAL;
 
@@ -291,7 +292,7 @@
 			  LOG_INT("ms", (int64_t)((now - pooler->last_tick) / USEC_PER_MSEC)));
 	}
 	if (now > pooler->tick_due + STALL_NOTICED)
-		pooler->awake_since = now;
+		pooler->resumed_at = now;
 	if (now > pooler->tick_due)
 		histogram_add(&late_seconds, now - pooler->tick_due);
 	pooler->last_tick = now;
@@ -312,12 +313,12 @@
 
 		end_commits(service, now);
 		dispatch_run(service);
-		dispatch_check(service, now);
+		dispatch_tick(service, now);
 	}
 	tick_callers(pooler, now);
 	stop_accepting(pooler, now);
 	tell_drained(pooler);
-	if (!active_is_busy(pooler, now))
+	if (!active_needs_fast_tick(pooler, now))
 		arm_tick(pooler, now + TICK_IDLE);
 }
 
@@ -326,7 +327,7 @@
 static int pooler_destructor(pooler_t *pooler)
 {
 	timers_cancel(pooler->timers, &pooler->tick);
-	timers_cancel(pooler->timers, &pooler->more_hangups);
+	timers_cancel(pooler->timers, &pooler->hangup_timer);
 	sync_destroy(pooler);
 	outbox_destroy(&pooler->outbox);
 	list_for_each (it, &pooler->services) {
@@ -358,15 +359,15 @@
 	pooler->config.prefix = talloc_strdup(pooler, config->prefix);
 	pooler->random = config->seed | 1;
 	/* Positive: messages carry numbers with a sign. */
-	pooler->numbers = (config->incarnation << INCARNATION_SHIFT) & INT64_MAX;
+	pooler->last_number = (config->incarnation << INCARNATION_SHIFT) & INT64_MAX;
 	list_init(&pooler->services);
 	list_init(&pooler->members);
 	active_init(pooler);
 	list_init(&pooler->callers);
 	list_init(&pooler->forwarded);
 	pooler->relay = relay_create(pooler, env->kv);
-	pooler->config_proof.lifetime = config->revoke_bound;
-	pooler->keepers = keepers_create(pooler);
+	pooler->config_validity.lifetime = config->revoke_bound;
+	pooler->shard_owners = keepers_create(pooler);
 	pooler->quota = quota_create(pooler);
 	sync_init(pooler);
 	outbox_init(&pooler->outbox, pooler);
@@ -405,7 +406,7 @@
 
 	/* Getting on the roster takes some ms more; statements wait for it. */
 	if (pooler->routes == NULL || pooler->draining || now >= permit_end(pooler) ||
-	    proof_is_old(&pooler->config_proof, now))
+	    proof_is_old(&pooler->config_validity, now))
 		return false;
 	return knows_primaries(pooler) || now >= pooler->started + LISTED_TIME;
 }
@@ -416,7 +417,7 @@
  * 648 of 1,732 in the four seconds around such a start (Welsh site, all killed 0.8 s before the
  * end of an outage of the store).
  */
-bool pooler_expects_routes(const pooler_t *pooler)
+bool pooler_awaits_config(const pooler_t *pooler)
 {
 	return pooler->routes == NULL && !pooler->draining &&
 	       now_of(pooler) < pooler->started + START_PATIENCE;
@@ -459,9 +460,9 @@
 		  LOG_INT("customers", (int64_t)customers_count(routes->customers)),
 		  LOG_INT("version", routes->version),
 		  LOG_INT("before", pooler->routes != NULL ? pooler->routes->version : 0),
-		  LOG_INT("heard", pooler->config_heard),
+		  LOG_INT("heard", pooler->newest_config_version),
 		  LOG_INT("proved_age_ms",
-			  usec_age_ms(proof_age(&pooler->config_proof, now_of(pooler)))),
+			  usec_age_ms(proof_age(&pooler->config_validity, now_of(pooler)))),
 		  LOG_INT("routes", (int64_t)list_length(&routes->routes)));
 	talloc_free(pooler->routes);
 	pooler->routes = talloc_steal(pooler, routes);
@@ -473,15 +474,15 @@
 		service_get(pooler, limits->name)->max_connections = limits->max_connections;
 	}
 	/* Which services have homes depends on the limits. */
-	pooler->warm_up_next = 0;
-	admission_on_keys(pooler);
+	pooler->next_home_connect_at = 0;
+	admission_on_keys_changed(pooler);
 }
 
-void pooler_on_keys_proved(pooler_t *pooler, usec_t asked_at)
+void pooler_on_config_confirmed(pooler_t *pooler, usec_t asked_at)
 {
 	/* A store that came back from a copy may hold an older one than the fleet knows. */
-	if (pooler->routes != NULL && pooler->routes->version >= pooler->config_heard)
-		proof_extend(&pooler->config_proof, asked_at);
+	if (pooler->routes != NULL && pooler->routes->version >= pooler->newest_config_version)
+		proof_extend(&pooler->config_validity, asked_at);
 }
 
 void pooler_on_member(pooler_t *pooler, const member_entry_t *entry)
@@ -559,9 +560,9 @@
 	return json_pack("{s:s, s:b, s:I, s:I, s:I, s:I, s:I, s:s, s:I, s:b, s:i, s:o}", "name",
 			 pooler->config.name, "ready", pooler_is_ready(pooler), "config_version",
 			 (json_int_t)(pooler->routes != NULL ? pooler->routes->version : 0),
-			 "config_heard", (json_int_t)pooler->config_heard, "config_age_ms",
-			 (json_int_t)usec_age_ms(proof_age(&pooler->config_proof, now)), "roster",
-			 (json_int_t)sync->roster->revision, "roster_age_ms",
+			 "config_heard", (json_int_t)pooler->newest_config_version, "config_age_ms",
+			 (json_int_t)usec_age_ms(proof_age(&pooler->config_validity, now)),
+			 "roster", (json_int_t)sync->roster->revision, "roster_age_ms",
 			 (json_int_t)(sync->confirmed_at != USEC_NEVER
 					      ? (now - sync->confirmed_at) / USEC_PER_MSEC
 					      : 0),
--- a/pooler/pooler.h
+++ b/pooler/pooler.h
@@ -23,19 +23,19 @@
 	const char *address; /* for messages of other proxies */
 	const char *prefix;  /* of our keys in the store */
 	int64_t capacity;    /* processor share in percent of a core; 0: unknown */
-	int64_t link;	     /* bytes a second that the VM can send */
+	int64_t link_rate;   /* bytes a second that the VM can send */
 	uint64_t incarnation;
 	uint64_t seed;
 	usec_t grace; /* from the request to stop to the end */
 	/* The platform's bounds. */
 	usec_t config_bound;  /* within which a configuration must be in force */
 	usec_t leaving_bound; /* within which a leaving member must be left alone */
-	usec_t lease_least;   /* shortest lease that the store grants */
+	usec_t min_lease;     /* shortest lease that the store grants */
 	usec_t revoke_bound;  /* within which a key that was taken must be refused; 0: at leisure */
 	limit_slack_t slack;  /* by which customers' limits may be exceeded */
 	/* Without the safeguards that are measured against this: ./dev/measure pooler. */
-	bool in_order; /* the queue serves in order of arrival, whoever is late */
-	bool alone;    /* no homes: every proxy has connections of its own */
+	bool serve_in_arrival_order; /* the queue serves in order of arrival, whoever is late */
+	bool no_homes;		     /* no homes: every proxy has connections of its own */
 } pooler_config_t;
 
 /* A backend server as the platform lists it. */
@@ -46,8 +46,8 @@
 	const char *zone;
 	int64_t slots;
 	bool leaving;
-	bool primary; /* how it sees itself */
-	int64_t born; /* when its process started, in ms since 1970; 0: not told */
+	bool primary;	 /* how it sees itself */
+	int64_t started; /* when its process started, in ms since 1970; 0: not told */
 } member_entry_t;
 
 pooler_t *pooler_create(void *parent, const pooler_config_t *config, env_t *env,
@@ -66,7 +66,7 @@
  * True while the configuration is not known, but may come any moment since the process has just
  * started: sessions are better kept waiting than refused.
  */
-bool pooler_expects_routes(const pooler_t *pooler);
+bool pooler_awaits_config(const pooler_t *pooler);
 
 /* A session with database, by a customer's key; NULL with *code set if it is refused. */
 struct caller *pooler_caller_open(pooler_t *pooler, const char *database, slice_t key, void *link,
@@ -80,7 +80,7 @@
 void caller_on_sent(struct caller *caller);
 
 /* The session has ended; frees the caller. */
-void caller_on_gone(struct caller *caller);
+void caller_on_session_end(struct caller *caller);
 
 /* --- members --- */
 
@@ -98,7 +98,7 @@
 void pooler_on_routes(pooler_t *pooler, routes_t *routes);
 
 /* The store was asked then for the configuration, and held none newer than the one in force. */
-void pooler_on_keys_proved(pooler_t *pooler, usec_t asked_at);
+void pooler_on_config_confirmed(pooler_t *pooler, usec_t asked_at);
 void pooler_on_member(pooler_t *pooler, const member_entry_t *entry);
 void pooler_on_member_gone(pooler_t *pooler, const char *id);
 void pooler_on_promoted(pooler_t *pooler, const char *service, promote_status_t status);
--- a/pooler/prepared.c
+++ b/pooler/prepared.c
@@ -17,7 +17,7 @@
 	return NULL;
 }
 
-void prepared_forget(prepared_t *prepared)
+void prepared_remove(prepared_t *prepared)
 {
 	list_del(&prepared->node);
 	talloc_free(prepared);
@@ -28,7 +28,7 @@
 	prepared_t *prepared = prepared_find(names, name);
 
 	if (prepared != NULL)
-		prepared_forget(prepared);
+		prepared_remove(prepared);
 	prepared = talloc_zero(parent, prepared_t);
 	prepared->name = talloc_strndup(prepared, name.at, name.len);
 	prepared->shape = talloc_strndup(prepared, shape.at, shape.len);
--- a/pooler/prepared.h
+++ b/pooler/prepared.h
@@ -20,4 +20,4 @@
 /* Add a name, in place of one that is the same; memory hangs on parent. */
 void prepared_put(list_t *names, void *parent, slice_t name, slice_t shape, bool writes);
 
-void prepared_forget(prepared_t *prepared);
+void prepared_remove(prepared_t *prepared);
--- a/pooler/quota.c
+++ b/pooler/quota.c
@@ -117,12 +117,12 @@
 {
 	return list_empty(&allowance->waiting)
 		       ? NULL
-		       : list_entry(allowance->waiting.next, caller_t, admission);
+		       : list_entry(allowance->waiting.next, caller_t, quota_node);
 }
 
 void quota_leave(caller_t *caller)
 {
-	list_del(&caller->admission);
+	list_del(&caller->quota_node);
 }
 
 static void admit(allowance_t *allowance, unsigned count)
@@ -182,7 +182,7 @@
 
 static const char *keeper_of(const allowance_t *allowance, unsigned seat)
 {
-	return keepers_find(allowance->quota->pooler->keepers, allowance->customer, seat);
+	return keepers_find(allowance->quota->pooler->shard_owners, allowance->customer, seat);
 }
 
 static void on_timer(run_timer_t *timer, usec_t now)
@@ -254,7 +254,7 @@
 static bool is_near(const allowance_t *allowance, unsigned seat)
 {
 	const pooler_t *pooler = allowance->quota->pooler;
-	const char *zone = keepers_zone(pooler->keepers, allowance->customer, seat);
+	const char *zone = keepers_zone(pooler->shard_owners, allowance->customer, seat);
 
 	return zone != NULL && strcmp(zone, pooler->config.zone) == 0;
 }
@@ -335,7 +335,7 @@
 		return true;
 	allowance = get_allowance(pooler->quota, caller->customer);
 	alone = list_empty(&allowance->waiting);
-	list_add_tail(&allowance->waiting, &caller->admission);
+	list_add_tail(&allowance->waiting, &caller->quota_node);
 	if (!alone)
 		return false;
 	allowance->tried = 0;
@@ -383,7 +383,7 @@
 					? seats_release(seats, message->take, message->revision)
 					: seats_take(seats, message->take, now_of(pooler));
 
-	outbox_answer(&pooler->outbox, message->from, message->address, &answer);
+	outbox_send_quota_answer(&pooler->outbox, message->from, message->address, &answer);
 }
 
 static void fill_fleet(pooler_t *pooler, usec_t now)
@@ -398,14 +398,14 @@
 		if (!node->gone)
 			members[count++] = (fleet_member_t){.name = node->name, .zone = node->zone};
 	}
-	keepers_set_fleet(pooler->keepers, members, count, now);
+	keepers_set_fleet(pooler->shard_owners, members, count, now);
 	talloc_free(members);
 }
 
 void quota_on_roster(pooler_t *pooler)
 {
-	if (pooler->keepers_from == pooler->sync.roster->nodes_revision)
+	if (pooler->shard_owners_revision == pooler->sync.roster->nodes_revision)
 		return;
-	pooler->keepers_from = pooler->sync.roster->nodes_revision;
+	pooler->shard_owners_revision = pooler->sync.roster->nodes_revision;
 	fill_fleet(pooler, now_of(pooler));
 }
--- a/pooler/refresh.c
+++ b/pooler/refresh.c
@@ -71,7 +71,7 @@
 static usec_t config_interval(const pooler_t *pooler)
 {
 	usec_t interval = pooler->config.config_bound * CONFIG_REFRESH_PERCENT / 100;
-	usec_t proving = pooler->config_proof.lifetime * KEYS_REFRESH_PERCENT / 100;
+	usec_t proving = pooler->config_validity.lifetime * KEYS_REFRESH_PERCENT / 100;
 
 	return proving != 0 && proving < interval ? proving : interval;
 }
@@ -199,7 +199,7 @@
 	told = is_told(pooler, now);
 	set_fed(pooler, told, now);
 	if (now >= sync->config_due &&
-	    (!told || proof_wants_news(&pooler->config_proof, now + KEYS_AHEAD)))
+	    (!told || proof_wants_news(&pooler->config_validity, now + KEYS_AHEAD)))
 		refresh_config(pooler, now);
 	if (told)
 		return;
@@ -231,7 +231,7 @@
 	const roster_node_t *self = roster_node(pooler->sync.roster, pooler->config.name);
 	size_t listeners = UPSTREAM_SPAN * (self != NULL ? upstream_weight(self) : 1);
 
-	return len * listeners <= (size_t)pooler->config.link / PACKED_PART;
+	return len * listeners <= (size_t)pooler->config.link_rate / PACKED_PART;
 }
 
 /*
@@ -315,7 +315,7 @@
 	int64_t members_at = ask != NULL ? ask->members_at : report->members_at;
 
 	message->directory_age = directory_age(pooler, now_of(pooler));
-	message->keys_age = proof_age(&pooler->config_proof, now_of(pooler));
+	message->keys_age = proof_age(&pooler->config_validity, now_of(pooler));
 	/* Who is told without having asked may have no need of all of it. */
 	if (ask != NULL || config_at != 0)
 		describe_config(pooler, report, config_at, message, parent);
@@ -353,7 +353,7 @@
 	if (pooler->routes == NULL || message->echo == 0 || message->keys_age >= message->echo ||
 	    message->config_version > pooler->routes->version)
 		return;
-	proof_extend(&pooler->config_proof, message->echo - message->keys_age);
+	proof_extend(&pooler->config_validity, message->echo - message->keys_age);
 }
 
 void refresh_on_state(pooler_t *pooler, const peer_message_t *message, usec_t now)
--- a/pooler/report.c
+++ b/pooler/report.c
@@ -58,7 +58,7 @@
 /* -1: nothing has proved them yet. */
 static int64_t keys_age(const caller_t *caller, usec_t now)
 {
-	return usec_age_ms(proof_age(&caller->pooler->config_proof, now));
+	return usec_age_ms(proof_age(&caller->pooler->config_validity, now));
 }
 
 /* -1: the store was never heard. */
@@ -69,7 +69,7 @@
 	return confirmed != USEC_NEVER ? msec_since(now, confirmed) : -1;
 }
 
-void report_done(const caller_t *caller)
+void report_success(const caller_t *caller)
 {
 	usec_t now = now_of(caller->pooler);
 	usec_t took = now - caller->received_at;
@@ -117,7 +117,7 @@
 	}
 }
 
-void report_failed(const caller_t *caller, code_t code, reason_t reason, const char *detail)
+void report_failure(const caller_t *caller, code_t code, reason_t reason, const char *detail)
 {
 	usec_t now = now_of(caller->pooler);
 
@@ -137,7 +137,7 @@
 		  LOG_INT("waited_ms", msec_since(now, caller->received_at)),
 		  LOG_STR("member", caller->conn != NULL ? caller->conn->member->id : ""),
 		  LOG_STR("helper", caller->helper != NULL ? caller->helper : ""),
-		  LOG_STR("for", caller->job != NULL ? caller->job->from : ""),
+		  LOG_STR("for", caller->job != NULL ? caller->job->origin : ""),
 		  LOG_INT("config", caller->pooler->routes->version),
 		  LOG_INT("roster", caller->pooler->sync.roster->revision),
 		  LOG_INT("roster_age_ms", roster_age(caller, now)),
--- a/pooler/report.h
+++ b/pooler/report.h
@@ -7,7 +7,7 @@
 #include "state.h"
 
 /* Answered with success. */
-void report_done(const caller_t *caller);
+void report_success(const caller_t *caller);
 
 /* Answered with an error of the member's or of our own. */
-void report_failed(const caller_t *caller, code_t code, reason_t reason, const char *detail);
+void report_failure(const caller_t *caller, code_t code, reason_t reason, const char *detail);
--- a/pooler/routes.c
+++ b/pooler/routes.c
@@ -45,7 +45,7 @@
 
 	service->name = talloc_strdup(service, name);
 	list_add_tail(&routes->services, &service->node);
-	if (routes_service(routes, name) == NULL)
+	if (routes_find_service(routes, name) == NULL)
 		HASH_ADD_KEYPTR(hh, routes->services_by_name, service->name, strlen(name), service);
 	return service;
 }
@@ -58,7 +58,7 @@
 	return route;
 }
 
-const service_limits_t *routes_service(const routes_t *routes, const char *name)
+const service_limits_t *routes_find_service(const routes_t *routes, const char *name)
 {
 	const service_limits_t *service;
 
--- a/pooler/routes.h
+++ b/pooler/routes.h
@@ -29,7 +29,7 @@
 	usec_t statement_timeout;
 	usec_t objective; /* for a whole operation */
 	int64_t priority; /* 0 is the highest */
-	bool open;	  /* callers need no key */
+	bool keyless;	  /* callers need no key */
 } route_t;
 
 typedef struct service_limits {
@@ -43,7 +43,7 @@
 /* One version of the configuration; everything hangs on it. */
 typedef struct routes {
 	int64_t version;
-	usec_t tx_idle; /* a transaction that rests longer may be ended */
+	usec_t tx_idle_timeout; /* a transaction that rests longer may be ended */
 	list_t routes;
 	route_t *by_database;
 	list_t services;
@@ -59,4 +59,4 @@
 
 /* The route of a database name, or NULL. */
 const route_t *routes_find(const routes_t *routes, const char *database);
-const service_limits_t *routes_service(const routes_t *routes, const char *name);
+const service_limits_t *routes_find_service(const routes_t *routes, const char *name);
--- a/pooler/seat.c
+++ b/pooler/seat.c
@@ -130,8 +130,8 @@
 static void ask_predecessor(seats_t *seats, seat_t *seat, const quota_request_t *from, usec_t now)
 {
 	pooler_t *pooler = seats->pooler;
-	const char *name =
-		keepers_before(pooler->keepers, pooler->config.name, from->customer, from->seat);
+	const char *name = keepers_before(pooler->shard_owners, pooler->config.name, from->customer,
+					  from->seat);
 	const roster_node_t *node = name != NULL ? roster_node(pooler->sync.roster, name) : NULL;
 	quota_request_t request = {
 		.customer = from->customer,
@@ -215,7 +215,7 @@
 {
 	if (request->seat >= LIMIT_SEATS)
 		return USEC_NEVER;
-	return keepers_since(pooler->keepers, pooler->config.name, request->customer,
+	return keepers_since(pooler->shard_owners, pooler->config.name, request->customer,
 			     request->seat);
 }
 
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -23,23 +23,23 @@
  * A customer at a service. A member is told for whom a connection is, so connections are of one
  * line each and never serve another's statements.
  */
-typedef struct line {
+typedef struct customer_pool {
 	UT_hash_handle hh; /* in service_t.lines */
 	char *customer;
 	size_t waiting; /* callers in service_t.waiting */
-} line_t;
+} customer_pool_t;
 
 /* --- connections to members --- */
 
 typedef enum {
 	CONN_OPENING,
 	CONN_IDLE,
-	CONN_PREPARING, /* values, prepared names and BEGIN are being set up for a caller */
-	CONN_RUNNING,	/* the caller's statement is at the member */
-	CONN_HELD,	/* in the caller's transaction, the caller is thinking */
-	CONN_CLEANING,	/* our ROLLBACK is at the member */
-	CONN_ORPHANED,	/* the caller is gone or answered, the member is still at work */
-	CONN_PROBING,	/* asks for the member's status */
+	CONN_PREPARING,	   /* values, prepared names and BEGIN are being set up for a caller */
+	CONN_RUNNING,	   /* the caller's statement is at the member */
+	CONN_HELD,	   /* in the caller's transaction, the caller is thinking */
+	CONN_ROLLING_BACK, /* our ROLLBACK is at the member */
+	CONN_ORPHANED,	   /* the caller is gone or answered, the member is still at work */
+	CONN_PROBING,	   /* asks for the member's status */
 } conn_state_t;
 
 /* Values that a session may set; far more than the users' applications do. */
@@ -50,14 +50,14 @@
 typedef struct conn {
 	list_t node; /* in member_t.conns */
 	struct member *member;
-	line_t *line; /* NULL: a probe's, which runs no statement */
-	void *link;   /* the environment's; NULL when gone */
+	customer_pool_t *customer_pool; /* NULL: a probe's, which runs no statement */
+	void *link;			/* the environment's; NULL when gone */
 	conn_state_t state;
 	bool probe;
-	bool used;	/* it has served a statement */
-	usec_t since;	/* of the state */
-	usec_t opened;	/* when it was first ready */
-	usec_t sent_at; /* of the last request */
+	bool has_served;    /* it has served a statement */
+	usec_t state_since; /* of the state */
+	usec_t ready_at;    /* when it was first ready */
+	usec_t sent_at;	    /* of the last request */
 	struct caller *caller;
 	variables_t variables;
 	char **prepared; /* talloc array of the names that the member knows */
@@ -113,17 +113,17 @@
 
 /* --- callers --- */
 
-typedef enum { WANT_NONE, WANT_PRIMARY, WANT_ANY } want_t;
+typedef enum { TARGET_NONE, TARGET_PRIMARY, TARGET_ANY } statement_target_t;
 
 /* What a caller that stands for another proxy's statement was asked for; see forward.h. */
 typedef struct job {
-	char *from; /* the proxy */
-	char *address;
-	uint64_t incarnation;
-	uint64_t number;
-	uint64_t session; /* its number of the transaction; 0: a lone statement */
-	usec_t left;	  /* from the job's arrival */
-	bool done;	  /* the last result was sent */
+	char *origin; /* the proxy */
+	char *origin_address;
+	uint64_t origin_incarnation;
+	uint64_t request_number;
+	uint64_t tx_number; /* its number of the transaction; 0: a lone statement */
+	usec_t time_left;   /* from the job's arrival */
+	bool done;	    /* the last result was sent */
 } job_t;
 
 typedef struct caller {
@@ -131,12 +131,12 @@
 	struct pooler *pooler;
 	void *link; /* NULL: gone */
 	char *database;
-	key_digest_t key;   /* with which the session began */
-	char *customer;	    /* of the operation in progress; NULL: none was admitted yet */
-	line_t *line;	    /* of the same */
-	bool by_open_route; /* its operation needs no key */
-	bool barred;	    /* its key is no customer's any more, or another one's */
-	list_t admission;   /* in allowance_t.waiting */
+	key_digest_t key; /* with which the session began */
+	char *customer;	  /* of the operation in progress; NULL: none was admitted yet */
+	customer_pool_t *customer_pool; /* of the same */
+	bool keyless;			/* its operation needs no key */
+	bool key_revoked;		/* its key is no customer's any more, or another one's */
+	list_t quota_node;		/* in allowance_t.waiting */
 	variables_t variables;
 	list_t prepared;
 	bool has_commit;
@@ -145,11 +145,11 @@
 	/* Transaction. */
 	tx_state_t tx;
 	bool tx_read_only;
-	bool tx_ran; /* a statement of it has run at the member */
+	bool tx_has_run; /* a statement of it has run at the member */
 	bool tx_wrote;
-	bool tx_lost; /* the connection was lost while the caller was thinking */
-	bool leaving; /* close it when its transaction ends */
-	bool served;  /* a statement was answered since the shutdown began */
+	bool tx_lost;		    /* the connection was lost while the caller was thinking */
+	bool closing;		    /* close it when its transaction ends */
+	bool served_while_draining; /* a statement was answered since the shutdown began */
 	conn_t *conn;
 	/* The route of the current transaction or statement, copied: a change applies later. */
 	struct service *service;
@@ -167,24 +167,24 @@
 	usec_t deadline;
 	run_timer_t timer;
 	usec_t idle_since;
-	list_t waiting; /* in service_t.waiting */
+	list_t queue_node; /* in service_t.waiting */
 	bool is_waiting;
-	want_t want;
-	bool only_primary; /* a replica lacked the position */
+	statement_target_t target;
+	bool primary_only; /* a replica lacked the position */
 	/* What the log of a replica must hold, decided when the statement was placed. */
 	bool has_after;
 	position_t after;
 	unsigned attempts;
-	const struct member *failed_at; /* of the last attempt; for comparison only */
-	usec_t not_before;		/* of the next attempt */
-	prepared_t *exec;		/* of an EXEC */
+	const struct member *failed_member; /* of the last attempt; for comparison only */
+	usec_t next_attempt_at;		    /* of the next attempt */
+	prepared_t *exec;		    /* of an EXEC */
 	/* While another proxy runs the statement. */
-	list_t forwarded;	 /* in pooler_t.forwarded */
+	list_t forwarded_node;	 /* in pooler_t.forwarded */
 	uint64_t forward_number; /* 0: it is not */
 	usec_t forwarded_at;
-	char *helper;	 /* that proxy, or the last one that did */
-	uint64_t remote; /* number of the transaction that is at the helper; 0: none is */
-	job_t *job;	 /* NULL: a caller of our own */
+	char *helper;	    /* that proxy, or the last one that did */
+	uint64_t remote_tx; /* number of the transaction that is at the helper; 0: none is */
+	job_t *job;	    /* NULL: a caller of our own */
 } caller_t;
 
 /* --- services --- */
@@ -255,7 +255,7 @@
 	/* What the roster in use says, kept since every tick and message looks at all services. */
 	roster_group_t *group;	/* NULL: nothing */
 	struct member *primary; /* that it names; NULL: none, or it is not listed */
-	line_t *lines;		/* by customer */
+	customer_pool_t *lines; /* by customer */
 	list_t waiting;		/* caller_t.waiting, by priority, then by arrival */
 	run_timer_t retry;	/* first attempt that is put off */
 	bool dispatching;
@@ -428,7 +428,7 @@
 struct pooler {
 	follow_t *config_follow; /* NULL: the directory is kept elsewhere */
 	follow_t *members_follow;
-	int64_t config_heard; /* newest version that another proxy has in force */
+	int64_t newest_config_version; /* newest version that another proxy has in force */
 	const run_clock_t *clock;
 	timer_set_t *timers;
 	env_t *env;
@@ -443,31 +443,32 @@
 	member_t *members_by_id;
 	uint64_t members_digest; /* of those that are listed, see refresh_members_digest() */
 	list_t callers;
-	list_t forwarded; /* caller_t.forwarded */
-	uint64_t numbers; /* the last of pooler_next_number() */
+	list_t forwarded;     /* caller_t.forwarded */
+	uint64_t last_number; /* the last of pooler_next_number() */
 	sync_t sync;
-	proof_t config_proof; /* when routes was last known to be the newest; its keys count for a
-				 time */
-	keepers_t *keepers;   /* who counts customers' operations */
-	int64_t keepers_from; /* roster_t.nodes_revision that it follows */
+	proof_t config_validity; /* when routes was last known to be the newest; its keys count for
+				 a time */
+	keepers_t *shard_owners; /* who counts customers' operations */
+	int64_t shard_owners_revision; /* roster_t.nodes_revision that it follows */
 	struct quota *quota;
 	struct relay *relay; /* to the store */
 	outbox_t outbox;
 	run_timer_t tick;
-	run_timer_t more_hangups; /* sessions that are still to be closed */
+	run_timer_t hangup_timer; /* sessions that are still to be closed */
 	usec_t last_tick;
 	usec_t tick_due; /* the next */
 	usec_t started;
 	usec_t last_permitted; /* 0: never */
-	usec_t awake_since;    /* this process was found late at its timers; see on_tick() */
+	usec_t resumed_at;     /* this process was found late at its timers; see on_tick() */
 	summary_t summary;
-	int64_t warm_for;    /* roster_t.nodes_revision whose homes there are links to */
-	usec_t warm_up_next; /* look for homes without a link again */
-	bool sweeping;	     /* the roster is being rid of proxies that are gone */
+	int64_t connected_homes_revision; /* roster_t.nodes_revision whose homes there are links to
+					   */
+	usec_t next_home_connect_at;	  /* look for homes without a link again */
+	bool sweeping;			  /* the roster is being rid of proxies that are gone */
 	bool draining;
 	usec_t drain_started;
-	bool closed; /* no new callers are taken */
-	bool drained_told;
+	bool accept_stopped; /* no new callers are taken */
+	bool drained_reported;
 	uint64_t random;
 };
 
@@ -476,8 +477,8 @@
 	return clock_now(pooler->clock);
 }
 
-/* What has begun needs a look soon; see active_is_busy(). */
-void pooler_hasten(pooler_t *pooler);
+/* What has begun needs a look soon; see active_needs_fast_tick(). */
+void pooler_hasten_tick(pooler_t *pooler);
 
 /* Pseudo-random number below bound, from the pooler's seed. */
 uint64_t pooler_random(pooler_t *pooler, uint64_t bound);
@@ -495,7 +496,7 @@
 void service_set_group(service_t *service, roster_group_t *group);
 
 /* The customer's line at the service, made if there is none. */
-line_t *service_line(service_t *service, const char *customer);
+customer_pool_t *service_customer_pool(service_t *service, const char *customer);
 
 /* The member of this id, or NULL. */
 member_t *member_find(const pooler_t *pooler, const char *id);
--- a/pooler/statement.c
+++ b/pooler/statement.c
@@ -25,7 +25,7 @@
 	return code_names[code];
 }
 
-bool code_is_not_run(code_t code)
+bool code_means_not_run(code_t code)
 {
 	switch (code) {
 	case CODE_BUSY:
--- a/pooler/statement.h
+++ b/pooler/statement.h
@@ -69,7 +69,7 @@
 const char *code_name(code_t code);
 
 /* True if a member that answers with code has not run the statement. */
-bool code_is_not_run(code_t code);
+bool code_means_not_run(code_t code);
 
 /* A member's whole reply. raw holds it as it came and is valid for the call only. */
 typedef struct reply {
--- a/pooler/survey.c
+++ b/pooler/survey.c
@@ -83,7 +83,7 @@
 {
 	const routes_t *routes = service->pooler->routes;
 	const service_limits_t *limits =
-		routes != NULL ? routes_service(routes, service->name) : NULL;
+		routes != NULL ? routes_find_service(routes, service->name) : NULL;
 
 	return limits != NULL && limits->sync_replicas;
 }
--- a/pooler/upstream.c
+++ b/pooler/upstream.c
@@ -320,7 +320,7 @@
 	}
 	if (report->asked_since == 0)
 		report->asked_since = now;
-	if (now < report->asked_since + HUB_SILENT || now == pooler->awake_since)
+	if (now < report->asked_since + HUB_SILENT || now == pooler->resumed_at)
 		return;
 	report->asked_since = 0;
 	/* The holder's silence is noticed by the age of its news; as a hub it has a successor. */
--- a/pooler/variables.c
+++ b/pooler/variables.c
@@ -59,7 +59,7 @@
 	variables_init(set);
 }
 
-bool variables_within(const variables_t *have, const variables_t *want)
+bool variables_is_subset(const variables_t *have, const variables_t *want)
 {
 	list_for_each (it, &have->list) {
 		const variable_t *variable = list_entry(it, variable_t, node);
--- a/pooler/variables.h
+++ b/pooler/variables.h
@@ -34,4 +34,4 @@
 }
 
 /* True if every name in have is in want too, so that setting the rest makes them equal. */
-bool variables_within(const variables_t *have, const variables_t *want);
+bool variables_is_subset(const variables_t *have, const variables_t *want);
--- a/tests/pool_callers.c
+++ b/tests/pool_callers.c
@@ -107,7 +107,7 @@
 
 	caller->caller = NULL;
 	if (gone != NULL)
-		caller_on_gone(gone);
+		caller_on_session_end(gone);
 }
 
 bool world_state_is(const world_caller_t *caller, const char *ready)
--- a/tests/pool_directory.c
+++ b/tests/pool_directory.c
@@ -22,7 +22,7 @@
 
 static void on_config_read(follow_t *follow, usec_t asked_at)
 {
-	pooler_on_keys_proved(list_entry(follow, world_node_t, config)->pooler, asked_at);
+	pooler_on_config_confirmed(list_entry(follow, world_node_t, config)->pooler, asked_at);
 }
 
 static void on_member(follow_t *follow, const kv_item_t *item)
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -108,8 +108,8 @@
 	route->max_age = world->max_age;
 	route->statement_timeout = 800 * USEC_PER_MSEC;
 	route->objective = WORLD_OBJECTIVE;
-	route->open = world->customer_count == 0 || strcmp(database, "open") == 0 ||
-		      strcmp(database, WORLD_ADDED) == 0;
+	route->keyless = world->customer_count == 0 || strcmp(database, "open") == 0 ||
+			 strcmp(database, WORLD_ADDED) == 0;
 }
 
 static void add_customers(routes_t *routes, const pool_world_t *world)
@@ -131,7 +131,7 @@
 	service_limits_t *limits = routes_add_service(routes, WORLD_SERVICE);
 
 	routes->version = version;
-	routes->tx_idle = 3 * USEC_PER_SEC;
+	routes->tx_idle_timeout = 3 * USEC_PER_SEC;
 	add_route(routes, world, WORLD_DATABASE, world->reads);
 	add_route(routes, world, "strict", READS_PRIMARY);
 	add_route(routes, world, "bounded", READS_BOUNDED);
@@ -177,7 +177,7 @@
 			continue;
 		if (world->config_bytes == 0) {
 			pooler_on_routes(node->pooler, world_routes(world, world->config_version));
-			pooler_on_keys_proved(node->pooler, world_now(world));
+			pooler_on_config_confirmed(node->pooler, world_now(world));
 		}
 		publish_members(world, node);
 	}
@@ -282,11 +282,11 @@
 		.grace = 6 * USEC_PER_SEC,
 		.config_bound = 3 * USEC_PER_SEC,
 		.leaving_bound = 7 * USEC_PER_SEC,
-		.lease_least = 1 * USEC_PER_SEC,
+		.min_lease = 1 * USEC_PER_SEC,
 		.revoke_bound = world->revoke_bound,
 		.slack = world->slack,
-		.in_order = node->world->plain,
-		.alone = node->world->plain,
+		.serve_in_arrival_order = node->world->plain,
+		.no_homes = node->world->plain,
 	};
 
 	node->drained = false;
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -65,8 +65,8 @@
 	g_assert_null(holder_of(routes, "three"));
 	g_assert_null(holder_of(routes, "four"));
 	g_assert_cmpuint(customers_count(routes->customers), ==, 2);
-	g_assert_false(routes_find(routes, "jobs")->open);
-	g_assert_true(routes_find(routes, "any")->open);
+	g_assert_false(routes_find(routes, "jobs")->keyless);
+	g_assert_true(routes_find(routes, "any")->keyless);
 	talloc_free(routes);
 }
 
@@ -76,7 +76,7 @@
 	routes_t *routes = read_config("{\"version\":1,\"routes\":[{\"host\":\"jobs\",\"kind\":"
 				       "\"primary\",\"service\":\"core\"}]}");
 
-	g_assert_true(routes_find(routes, "jobs")->open);
+	g_assert_true(routes_find(routes, "jobs")->keyless);
 	talloc_free(routes);
 }
 
@@ -87,7 +87,7 @@
 		read_config("{\"version\":1,\"tenants\":[],\"routes\":[{\"host\":\"jobs\",\"kind\":"
 			    "\"primary\",\"service\":\"core\"}]}");
 
-	g_assert_false(routes_find(routes, "jobs")->open);
+	g_assert_false(routes_find(routes, "jobs")->keyless);
 	talloc_free(routes);
 }
 
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -31,7 +31,7 @@
 	g_assert_cmpstr(entry.service, ==, "core");
 	g_assert_cmpstr(entry.address, ==, "10.0.0.9:8080");
 	g_assert_cmpint(entry.slots, ==, 2);
-	g_assert_cmpint(entry.born, ==, 1790000000000);
+	g_assert_cmpint(entry.started, ==, 1790000000000);
 	g_assert_false(entry.leaving);
 	g_assert_false(entry.primary);
 	json_decref(root);
@@ -89,7 +89,7 @@
 	member_entry_t entry;
 
 	g_assert_true(decode(text, "i-1", &entry));
-	g_assert_cmpint(entry.born, ==, 0);
+	g_assert_cmpint(entry.started, ==, 0);
 	g_free(text);
 	g_strfreev(parts);
 }
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -153,7 +153,7 @@
 	talloc_free(sealed);
 	if (routes == NULL)
 		return;
-	assert_time(routes->tx_idle);
+	assert_time(routes->tx_idle_timeout);
 	list_for_each (it, &routes->routes) {
 		const route_t *route = list_entry(it, route_t, node);
 
@@ -165,7 +165,7 @@
 	}
 	list_for_each (it, &routes->services)
 		g_assert_nonnull(
-			routes_service(routes, list_entry(it, service_limits_t, node)->name));
+			routes_find_service(routes, list_entry(it, service_limits_t, node)->name));
 	talloc_free(routes);
 }
 
@@ -181,7 +181,7 @@
 		g_assert_nonnull(strchr(entry.address, ':'));
 		g_assert_cmpstr(entry.zone, !=, "");
 		g_assert_cmpint(entry.slots, >=, 0);
-		g_assert_cmpint(entry.born, >=, 0);
+		g_assert_cmpint(entry.started, >=, 0);
 	} else {
 		g_assert_nonnull(why);
 	}
--- a/tests/test_pooler.c
+++ b/tests/test_pooler.c
@@ -383,16 +383,16 @@
 		.zone = member->zone,
 		.slots = member->slots,
 		.primary = true,
-		.born = 1000,
+		.started = 1000,
 	};
 	pooler_on_member(pooler, &entry);
 	g_assert_cmpuint(member->conn_count, !=, 0);
 	g_assert_cmpuint(member->applied.lsn, !=, 0);
-	entry.born = 2000;
+	entry.started = 2000;
 	pooler_on_member(pooler, &entry);
 	g_assert_cmpuint(member->conn_count, ==, 0);
 	g_assert_cmpuint(member->applied.lsn, ==, 0);
-	entry.born = 1500;
+	entry.started = 1500;
 	entry.leaving = true;
 	pooler_on_member(pooler, &entry);
 	g_assert_false(member->leaving);
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -558,7 +558,8 @@
 static unsigned seat_of_first(const pool_world_t *world)
 {
 	for (unsigned seat = 0; seat < LIMIT_SEATS; seat++) {
-		if (strcmp(keepers_find(world->nodes[0].pooler->keepers, "ada", seat), "p0") == 0)
+		if (strcmp(keepers_find(world->nodes[0].pooler->shard_owners, "ada", seat), "p0") ==
+		    0)
 			return seat;
 	}
 	g_assert_not_reached();
--- a/tests/test_pooler_config.c
+++ b/tests/test_pooler_config.c
@@ -295,7 +295,7 @@
 	pooler = world->nodes[3].pooler;
 	g_assert_cmpint(world_open_key(world, 3, "strict", "key-ben")->refused, ==, CODE_NO_AUTH);
 	/* As any message of a proxy that has it tells. */
-	pooler->config_heard = world->config_version + 1;
+	pooler->newest_config_version = world->config_version + 1;
 	g_assert_cmpint(world_open_key(world, 3, "strict", "key-ben")->refused, ==, CODE_BUSY);
 	g_assert_cmpint(world_open_key(world, 3, "nowhere", "key-ada")->refused, ==, CODE_BUSY);
 	g_assert_nonnull(world_open_key(world, 3, "strict", "key-ada")->caller);
@@ -362,7 +362,7 @@
 	int64_t known = holder->members.told;
 
 	/* Slow, so that so many do not fit. */
-	holder->pooler->config.link = LARGE;
+	holder->pooler->config.link_rate = LARGE;
 	world_write_members(world, LARGE);
 	world_run(world, 2 * FOLLOW_GATHER);
 	expect_told_if_not_read(world, known, packed_members, 2 * SEC);
--- a/tests/test_pooler_forward.c
+++ b/tests/test_pooler_forward.c
@@ -60,8 +60,8 @@
 	list_for_each (it, &pooler->callers) {
 		const caller_t *caller = list_entry(it, caller_t, node);
 
-		if (caller->job != NULL && caller->job->number == number &&
-		    strcmp(caller->job->from, name) == 0)
+		if (caller->job != NULL && caller->job->request_number == number &&
+		    strcmp(caller->job->origin, name) == 0)
 			return true;
 	}
 	return false;
--- a/tests/test_pooler_parts.c
+++ b/tests/test_pooler_parts.c
@@ -96,8 +96,8 @@
 	variables_set(&a, parent, text("x"), text("1"));
 	variables_set(&a, parent, text("y"), text("2"));
 	variables_set(&b, parent, text("y"), text("9"));
-	g_assert_true(variables_within(&b, &a));
-	g_assert_false(variables_within(&a, &b));
+	g_assert_true(variables_is_subset(&b, &a));
+	g_assert_false(variables_is_subset(&a, &b));
 	variables_set(&b, parent, text("y"), text("2"));
 	variables_set(&b, parent, text("x"), text("1"));
 	g_assert_true(variables_equal(&a, &b));
--- a/tests/test_pooler_restore.c
+++ b/tests/test_pooler_restore.c
@@ -223,13 +223,13 @@
 
 	world_settle(world);
 	pooler = world->nodes[0].pooler;
-	pooler_on_keys_proved(pooler, now_of(pooler));
-	proved = proof_age(&pooler->config_proof, now_of(pooler));
+	pooler_on_config_confirmed(pooler, now_of(pooler));
+	proved = proof_age(&pooler->config_validity, now_of(pooler));
 	message.config_version = pooler->routes->version + 1;
 	pooler_on_message(pooler, &message);
 	world_run(world, SEC);
-	pooler_on_keys_proved(pooler, now_of(pooler));
-	g_assert_cmpuint(proof_age(&pooler->config_proof, now_of(pooler)), >=, proved + SEC);
+	pooler_on_config_confirmed(pooler, now_of(pooler));
+	g_assert_cmpuint(proof_age(&pooler->config_validity, now_of(pooler)), >=, proved + SEC);
 	world_destroy(world);
 }
 
