--- a/pooler/state.h
+++ b/pooler/state.h
@@ -1,4 +1,4 @@
-/* The pooler's own structures; for its modules only. */
+/* Internal structures of the pooler; only its own modules include this header. */
 #pragma once
 
 #include "follow.h"
@@ -20,8 +20,9 @@
 /* --- customers --- */
 
 /*
- * A customer at a service. A member is told for whom a connection is, so connections are of one
- * line each and never serve another's statements.
+ * The waiting callers and the connections of one customer at one service. A connection names its
+ * customer to the member when it is opened, so it belongs to one customer pool for good and never
+ * runs statements of another customer.
  */
 typedef struct customer_pool {
 	UT_hash_handle hh; /* in service_t.lines */
@@ -34,38 +35,38 @@
 typedef enum {
 	CONN_OPENING,
 	CONN_IDLE,
-	CONN_PREPARING,	   /* values, prepared names and BEGIN are being set up for a caller */
+	CONN_PREPARING,	   /* session values, a prepared name or BEGIN are being set up */
 	CONN_RUNNING,	   /* the caller's statement is at the member */
-	CONN_HELD,	   /* in the caller's transaction, the caller is thinking */
-	CONN_ROLLING_BACK, /* our ROLLBACK is at the member */
-	CONN_ORPHANED,	   /* the caller is gone or answered, the member is still at work */
-	CONN_PROBING,	   /* asks for the member's status */
+	CONN_HELD,	   /* reserved for an open transaction between two statements */
+	CONN_ROLLING_BACK, /* a ROLLBACK sent by this proxy is at the member */
+	CONN_ORPHANED,	   /* caller gone or answered; the member still runs its statement */
+	CONN_PROBING,	   /* a status query is at the member */
 } conn_state_t;
 
-/* Values that a session may set; far more than the users' applications do. */
+/* Maximum number of values that a session may set; applications set far fewer. */
 #define VARIABLES_MAX 48
-/* Requests of our own in one flight before a statement: RESET, values, a name, BEGIN. */
+/* Maximum number of set-up requests before a statement: RESET, values, one PREPARE, BEGIN. */
 #define CONN_SETUP_MAX (VARIABLES_MAX + 3)
 
 typedef struct conn {
 	list_t node; /* in member_t.conns */
 	struct member *member;
-	customer_pool_t *customer_pool; /* NULL: a probe's, which runs no statement */
-	void *link;			/* the environment's; NULL when gone */
+	customer_pool_t *customer_pool; /* NULL for a probe, which runs no statements */
+	void *link;			/* handle of the environment (env_t); NULL when closed */
 	conn_state_t state;
 	bool probe;
-	bool has_served;    /* it has served a statement */
-	usec_t state_since; /* of the state */
-	usec_t ready_at;    /* when it was first ready */
-	usec_t sent_at;	    /* of the last request */
+	bool has_served;    /* has run at least one statement */
+	usec_t state_since; /* when the present state began */
+	usec_t ready_at;    /* when the member accepted the connection */
+	usec_t sent_at;	    /* when the last request was sent */
 	struct caller *caller;
 	variables_t variables;
-	char **prepared; /* talloc array of the names that the member knows */
+	char **prepared; /* talloc array: aliases prepared on this connection */
 	size_t prepared_count;
-	request_kind_t setup[CONN_SETUP_MAX]; /* sent and unanswered, in order */
+	request_kind_t setup[CONN_SETUP_MAX]; /* set-up requests sent, in order */
 	size_t setup_len;
 	size_t setup_done;
-	code_t setup_code; /* first error among them */
+	code_t setup_code; /* first error among the set-up replies */
 	bool in_tx;
 } conn_t;
 
@@ -113,45 +114,49 @@
 
 /* --- callers --- */
 
+/* Which members may run a statement; TARGET_NONE: the proxy answers it itself. */
 typedef enum { TARGET_NONE, TARGET_PRIMARY, TARGET_ANY } statement_target_t;
 
-/* What a caller that stands for another proxy's statement was asked for; see forward.h. */
+/* A request of another proxy to run a statement or transaction for its caller; see job.h. */
 typedef struct job {
-	char *origin; /* the proxy */
+	char *origin; /* name of the proxy that sent the request */
 	char *origin_address;
 	uint64_t origin_incarnation;
 	uint64_t request_number;
-	uint64_t tx_number; /* its number of the transaction; 0: a lone statement */
-	usec_t time_left;   /* from the job's arrival */
-	bool done;	    /* the last result was sent */
+	uint64_t tx_number; /* transaction number chosen by the origin; 0: no transaction */
+	usec_t time_left;   /* until the statement's deadline, counted from arrival here */
+	bool done;	    /* the result that ends the job was sent */
 } job_t;
 
 typedef struct caller {
 	list_t node; /* in pooler_t.callers */
 	struct pooler *pooler;
-	void *link; /* NULL: gone */
+	void *link; /* handle of the environment (env_t), or the job; NULL when closed */
 	char *database;
-	key_digest_t key; /* with which the session began */
-	char *customer;	  /* of the operation in progress; NULL: none was admitted yet */
-	customer_pool_t *customer_pool; /* of the same */
-	bool keyless;			/* its operation needs no key */
-	bool key_revoked;		/* its key is no customer's any more, or another one's */
+	key_digest_t key; /* digest of the key that the session began with */
+	char *customer;	  /* of the last admitted operation; NULL: none was admitted yet */
+	customer_pool_t *customer_pool; /* of that customer at the route's service */
+	bool keyless;			/* the route of the last operation requires no key */
+	bool key_revoked;		/* the key now belongs to no customer, or to another one */
 	list_t quota_node;		/* in allowance_t.waiting */
 	variables_t variables;
 	list_t prepared;
 	bool has_commit;
-	position_t commit; /* the session's last one */
+	position_t commit; /* log position of the session's last commit */
 	usec_t committed_at;
 	/* Transaction. */
 	tx_state_t tx;
 	bool tx_read_only;
-	bool tx_has_run; /* a statement of it has run at the member */
+	bool tx_has_run; /* a statement of the transaction has run at the member */
 	bool tx_wrote;
-	bool tx_lost;		    /* the connection was lost while the caller was thinking */
-	bool closing;		    /* close it when its transaction ends */
-	bool served_while_draining; /* a statement was answered since the shutdown began */
+	bool tx_lost;		    /* the connection was lost between two statements */
+	bool closing;		    /* the session is closed when its transaction ends */
+	bool served_while_draining; /* the last operation was answered during the shutdown */
 	conn_t *conn;
-	/* The route of the current transaction or statement, copied: a change applies later. */
+	/*
+	 * Copy of the route of the current transaction or statement: a new configuration applies
+	 * to the next one.
+	 */
 	struct service *service;
 	reads_t reads;
 	usec_t max_age;
@@ -161,30 +166,30 @@
 	/* Statement in progress. */
 	bool busy;
 	statement_t statement;
-	char *text; /* holds what statement's slices point to */
+	char *text; /* buffer that the slices of statement point into */
 	usec_t received_at;
-	usec_t placed_at; /* when it was given a connection */
+	usec_t placed_at; /* when a connection or another proxy was found for the statement */
 	usec_t deadline;
 	run_timer_t timer;
 	usec_t idle_since;
 	list_t queue_node; /* in service_t.waiting */
 	bool is_waiting;
 	statement_target_t target;
-	bool primary_only; /* a replica lacked the position */
-	/* What the log of a replica must hold, decided when the statement was placed. */
+	bool primary_only; /* a replica refused: its log lacked the position in after */
+	/* Position that a replica must have applied, set when a member is chosen. */
 	bool has_after;
 	position_t after;
 	unsigned attempts;
-	const struct member *failed_member; /* of the last attempt; for comparison only */
-	usec_t next_attempt_at;		    /* of the next attempt */
-	prepared_t *exec;		    /* of an EXEC */
+	const struct member *failed_member; /* where it last failed; only compared, never read */
+	usec_t next_attempt_at;		    /* earliest time of the next attempt */
+	prepared_t *exec;		    /* the prepared statement that an EXEC names */
 	/* While another proxy runs the statement. */
 	list_t forwarded_node;	 /* in pooler_t.forwarded */
-	uint64_t forward_number; /* 0: it is not */
+	uint64_t forward_number; /* number of the request; 0: not forwarded */
 	usec_t forwarded_at;
-	char *helper;	    /* that proxy, or the last one that did */
-	uint64_t remote_tx; /* number of the transaction that is at the helper; 0: none is */
-	job_t *job;	    /* NULL: a caller of our own */
+	char *helper;	    /* proxy that runs, or last ran, a statement of this session */
+	uint64_t remote_tx; /* number of the transaction open at the helper; 0: none */
+	job_t *job;	    /* set if the caller serves another proxy; NULL: connected here */
 } caller_t;
 
 /* --- services --- */
@@ -426,9 +431,9 @@
 } sync_t;
 
 struct pooler {
-	follow_t *config_follow; /* NULL: the directory is kept elsewhere */
+	follow_t *config_follow; /* NULL: this pooler does not follow the directory itself */
 	follow_t *members_follow;
-	int64_t newest_config_version; /* newest version that another proxy has in force */
+	int64_t newest_config_version; /* newest version that another proxy reported */
 	const run_clock_t *clock;
 	timer_set_t *timers;
 	env_t *env;
@@ -438,38 +443,37 @@
 	list_t members;
 	list_t active_services;
 	list_t active_members;
-	/* Each tick and each answer to a question looks up the primary of every service. */
+	/* Hashed, since each tick and each peer query looks up the primary of every service. */
 	service_t *services_by_name;
 	member_t *members_by_id;
-	uint64_t members_digest; /* of those that are listed, see refresh_members_digest() */
+	uint64_t members_digest; /* of the listed members; see refresh_member_digest() */
 	list_t callers;
-	list_t forwarded;     /* caller_t.forwarded */
-	uint64_t last_number; /* the last of pooler_next_number() */
+	list_t forwarded;     /* callers whose statement another proxy runs */
+	uint64_t last_number; /* last value returned by pooler_next_number() */
 	sync_t sync;
-	proof_t config_validity; /* when routes was last known to be the newest; its keys count for
-				 a time */
-	keepers_t *shard_owners; /* who counts customers' operations */
-	int64_t shard_owners_revision; /* roster_t.nodes_revision that it follows */
+	/* When routes was last confirmed as the newest; its keys are valid for a limited time. */
+	proof_t config_validity;
+	keepers_t *shard_owners;       /* proxies that count the customers' operations */
+	int64_t shard_owners_revision; /* roster_t.nodes_revision that shard_owners is made from */
 	struct quota *quota;
-	struct relay *relay; /* to the store */
+	struct relay *relay; /* access to the store, directly or through a peer */
 	outbox_t outbox;
 	run_timer_t tick;
-	run_timer_t hangup_timer; /* sessions that are still to be closed */
+	run_timer_t hangup_timer; /* closes the next batch of sessions */
 	usec_t last_tick;
-	usec_t tick_due; /* the next */
+	usec_t tick_due; /* when the next tick is due */
 	usec_t started;
-	usec_t last_permitted; /* 0: never */
-	usec_t resumed_at;     /* this process was found late at its timers; see on_tick() */
+	usec_t last_permitted; /* when a permission was last in force; 0: never */
+	usec_t resumed_at;     /* when a tick last ran late, after a stall; see on_tick() */
 	summary_t summary;
-	int64_t connected_homes_revision; /* roster_t.nodes_revision whose homes there are links to
-					   */
-	usec_t next_home_connect_at;	  /* look for homes without a link again */
-	bool sweeping;			  /* the roster is being rid of proxies that are gone */
+	int64_t connected_homes_revision; /* nodes_revision at the last connecting to homes */
+	usec_t next_home_connect_at;	  /* when to connect to homes without a link */
+	bool sweeping; /* proxies marked as gone are being removed from the roster */
 	bool draining;
 	usec_t drain_started;
-	bool accept_stopped; /* no new callers are taken */
+	bool accept_stopped; /* new connections of callers are no longer accepted */
 	bool drained_reported;
-	uint64_t random;
+	uint64_t random; /* state of pooler_random() */
 };
 
 static inline usec_t now_of(const pooler_t *pooler)
@@ -477,26 +481,26 @@
 	return clock_now(pooler->clock);
 }
 
-/* What has begun needs a look soon; see active_needs_fast_tick(). */
+/* Makes the next tick come within the short interval, since work has begun; see active.h. */
 void pooler_hasten_tick(pooler_t *pooler);
 
-/* Pseudo-random number below bound, from the pooler's seed. */
+/* Returns a pseudo-random number below bound, derived from the pooler's seed. */
 uint64_t pooler_random(pooler_t *pooler, uint64_t bound);
 
 /*
- * Number of a question to another proxy, by which its answer is known. Never one of an earlier
- * process of this name, whose answers may still come.
+ * Returns a number for a request to another proxy; the answer carries the same number. An earlier
+ * process of this name never used it, so a late answer to that process matches no request.
  */
 uint64_t pooler_next_number(pooler_t *pooler);
 
-/* The service of this name, made if there is none. */
+/* Returns the service of this name, creating it if needed. */
 service_t *service_get(pooler_t *pooler, const char *name);
 
-/* Note what the roster in use says of the service; NULL: nothing. */
+/* Sets the service's entry in the roster in use; NULL if the roster has none. */
 void service_set_group(service_t *service, roster_group_t *group);
 
-/* The customer's line at the service, made if there is none. */
+/* Returns the customer's pool at the service, creating it if needed. */
 customer_pool_t *service_customer_pool(service_t *service, const char *customer);
 
-/* The member of this id, or NULL. */
+/* Returns the member of this id, or NULL. */
 member_t *member_find(const pooler_t *pooler, const char *id);
