--- a/pooler/caller.c
+++ b/pooler/caller.c
@@ -22,22 +22,21 @@
 #include "counter.h"
 #include "log.h"
 
-/* Attempts at one statement that the caller doesn't see; each only after it certainly did not run.
- */
-#define ATTEMPTS_MAX 6
-/* Of these, how many may be for a read whose answer is overdue. */
-#define HEDGES_MAX 2
-/* Before the same member is tried again after a refusal, grows with the attempts. */
-#define RETRY_STEP (4 * USEC_PER_MSEC)
-/* When to come back if what is known of the keys is too old: questions to peers take half of it. */
-#define RETRY_KEYS (500 * USEC_PER_MSEC)
-/* After its deadline a write that is at another proxy waits so long for its refusal. */
-#define REFUSAL_PATIENCE (150 * USEC_PER_MSEC)
-/* Longest reason in an answer, bytes. */
-#define REASON_MAX 160
+/* Maximum number of retries of one statement. Writes are retried only if they did not run. */
+#define RETRIES_MAX 6
+/* Retries up to which a lone read may be sent again though its first attempt may have run. */
+#define READ_RETRIES_MAX 2
+/* Delay before a retry after a refusal, times the number of attempts so far. */
+#define RETRY_BACKOFF (4 * USEC_PER_MSEC)
+/* Retry-after if the cached keys are too old; a query to peers for newer ones takes half of it. */
+#define KEYS_RETRY_AFTER (500 * USEC_PER_MSEC)
+/* How long after its deadline a forwarded write still waits for a refusal of the other proxy. */
+#define REFUSAL_TIMEOUT (150 * USEC_PER_MSEC)
+/* Maximum size of the text of an error answer, in bytes. */
+#define ANSWER_TEXT_MAX 160
 
 COUNTER_DEFINE(retried_total, "statements_retried_total", COUNTER_SUM,
-	       "Attempts repeated without the caller seeing it.");
+	       "Retries of statements that callers did not notice.");
 COUNTER_DEFINE(transactions_total, "transactions_total", COUNTER_SUM, "Transactions begun.");
 COUNTER_DEFINE(open_callers, "callers_open", COUNTER_GAUGE, "Open sessions of callers.");
 
@@ -60,13 +59,13 @@
 
 /* --- answering --- */
 
-/* from: the member's reply if it is passed on as it is, else NULL. */
-static void finish(caller_t *caller, const caller_reply_t *reply, const reply_t *from)
+/* from: the member's reply if it is passed on unchanged, else NULL. */
+static void send_answer(caller_t *caller, const caller_reply_t *reply, const reply_t *from)
 {
 	pooler_t *pooler = caller->pooler;
 
 	caller->busy = false;
-	/* Values and names only prepare for the operation that is to come. */
+	/* SET and PREPARE only prepare a later operation, so they don't count as served. */
 	caller->served_while_draining = pooler->draining && caller->target != TARGET_NONE;
 	caller->exec = NULL;
 	caller->target = TARGET_NONE;
@@ -86,10 +85,10 @@
 {
 	caller_reply_t reply = {.kind = REPLY_DONE, .tx = caller->tx};
 
-	finish(caller, &reply, NULL);
+	send_answer(caller, &reply, NULL);
 }
 
-static void answer_raw(caller_t *caller, const reply_t *from)
+static void answer_with_reply(caller_t *caller, const reply_t *from)
 {
 	caller_reply_t reply = {.kind = REPLY_RAW, .raw = from->raw};
 
@@ -97,21 +96,21 @@
 		report_success(caller);
 	else
 		report_failure(caller, from->code, REASON_MEMBER_FAILED, code_name(from->code));
-	finish(caller, &reply, from);
+	send_answer(caller, &reply, from);
 }
 
-/* detail: more about the reason, for the log; NULL: there is no more. */
+/* detail: additional text for the log, or NULL. */
 static void answer_error(caller_t *caller, code_t code, reason_t reason, const char *detail)
 {
 	caller_reply_t reply = {
 		.kind = REPLY_ERROR, .code = code, .text = reason_text(reason), .tx = caller->tx};
 
 	report_failure(caller, code, reason, detail);
-	finish(caller, &reply, NULL);
+	send_answer(caller, &reply, NULL);
 }
 
-/* The statement has failed, and the transaction that it belongs to. */
-static void end_statement(caller_t *caller)
+/* Takes the statement out of all queues and marks its transaction, if any, as failed. */
+static void abort_statement(caller_t *caller)
 {
 	quota_leave(caller);
 	dispatch_dequeue(caller);
@@ -123,28 +122,31 @@
 	forward_end_tx(caller);
 }
 
-static void fail(caller_t *caller, code_t code, reason_t reason, const char *detail)
+static void fail_statement(caller_t *caller, code_t code, reason_t reason, const char *detail)
 {
-	end_statement(caller);
+	abort_statement(caller);
 	answer_error(caller, code, reason, detail);
 }
 
 void caller_refuse(caller_t *caller, code_t code, reason_t reason, usec_t retry_after)
 {
-	char text[REASON_MAX];
+	char text[ANSWER_TEXT_MAX];
 	caller_reply_t reply = {.kind = REPLY_ERROR, .code = code, .text = text};
 
-	/* The text is the only place on the wire that can say when to come back. */
+	/* The protocol has no field for the retry time, so the text carries it. */
 	snprintf(text, sizeof(text), "%s; retry-after-ms=%" PRIu64, reason_text(reason),
 		 retry_after / USEC_PER_MSEC);
-	end_statement(caller);
+	abort_statement(caller);
 	reply.tx = caller->tx;
 	report_failure(caller, code, reason, text);
-	finish(caller, &reply, NULL);
+	send_answer(caller, &reply, NULL);
 }
 
-/* It is at a member, or at the proxy that is its home, where it goes on without us. */
-static bool is_handed_on(const caller_t *caller)
+/*
+ * True if the statement is at a member, or was forwarded to its home: it may still run there after
+ * this process has exited.
+ */
+static bool is_in_flight(const caller_t *caller)
 {
 	return caller->conn != NULL || caller->forward_number != 0;
 }
@@ -152,14 +154,14 @@
 void caller_end_at_shutdown(caller_t *caller)
 {
 	code_t code =
-		is_handed_on(caller) && caller_may_commit(caller) ? CODE_IN_DOUBT : CODE_ABORTED;
+		is_in_flight(caller) && caller_may_commit(caller) ? CODE_IN_DOUBT : CODE_ABORTED;
 
 	caller_refuse(caller, code, REASON_SHUTTING_DOWN, 0);
 }
 
-/* --- trying again --- */
+/* --- retries --- */
 
-static void wait_again(caller_t *caller, usec_t pause)
+static void requeue(caller_t *caller, usec_t pause)
 {
 	usec_t now = now_of(caller->pooler);
 
@@ -169,20 +171,20 @@
 	dispatch_enqueue(caller);
 }
 
-/* The statement certainly did not run: try again, or say so. */
-static void not_run(caller_t *caller, code_t code, reason_t reason, const char *detail)
+/* The statement certainly did not run: retries it, or refuses it with a code that says so. */
+static void retry_or_refuse(caller_t *caller, code_t code, reason_t reason, const char *detail)
 {
 	if (code == CODE_LAGGING)
 		caller->primary_only = true;
 	if (caller->tx == TX_OPEN && caller->tx_has_run) {
-		fail(caller, CODE_ABORTED, reason, detail);
+		fail_statement(caller, CODE_ABORTED, reason, detail);
 		return;
 	}
-	if (caller->attempts >= ATTEMPTS_MAX) {
-		caller_refuse(caller, CODE_BUSY, reason, RETRY_STEP * ATTEMPTS_MAX);
+	if (caller->attempts >= RETRIES_MAX) {
+		caller_refuse(caller, CODE_BUSY, reason, RETRY_BACKOFF * RETRIES_MAX);
 		return;
 	}
-	wait_again(caller, code == CODE_LAGGING ? 0 : RETRY_STEP * caller->attempts);
+	requeue(caller, code == CODE_LAGGING ? 0 : RETRY_BACKOFF * caller->attempts);
 }
 
 void caller_on_setup_refused(caller_t *caller, code_t code)
@@ -192,30 +194,30 @@
 		caller_on_session_end(caller);
 		return;
 	}
-	not_run(caller, code, REASON_MEMBER_REFUSED, code_name(code));
+	retry_or_refuse(caller, code, REASON_MEMBER_REFUSED, code_name(code));
 }
 
 bool caller_retry_read(caller_t *caller)
 {
-	if (caller->tx != TX_NONE || is_write(caller) || caller->attempts >= HEDGES_MAX)
+	if (caller->tx != TX_NONE || is_write(caller) || caller->attempts >= READ_RETRIES_MAX)
 		return false;
 	conn_orphan(caller->conn);
-	wait_again(caller, 0);
+	requeue(caller, 0);
 	return true;
 }
 
-static void lost_while_running(caller_t *caller, const char *detail)
+static void on_lost_while_running(caller_t *caller, const char *detail)
 {
 	if (caller_may_commit(caller)) {
 		if (caller->tx == TX_OPEN)
 			caller->tx = TX_NONE;
 		answer_error(caller, CODE_IN_DOUBT, REASON_CONNECTION_LOST, detail);
 	} else if (caller->tx == TX_NONE) {
-		/* A read may run twice. */
-		not_run(caller, CODE_OTHER, REASON_CONNECTION_LOST, detail);
+		/* A read changes nothing, so it may run twice. */
+		retry_or_refuse(caller, CODE_OTHER, REASON_CONNECTION_LOST, detail);
 	} else {
-		/* What was not committed is rolled back with the connection. */
-		fail(caller, CODE_ABORTED, REASON_CONNECTION_LOST, detail);
+		/* The member rolls back the open transaction when the connection ends. */
+		fail_statement(caller, CODE_ABORTED, REASON_CONNECTION_LOST, detail);
 	}
 }
 
@@ -227,14 +229,14 @@
 		return;
 	}
 	if (sent)
-		lost_while_running(caller, detail);
+		on_lost_while_running(caller, detail);
 	else
-		not_run(caller, CODE_OTHER, REASON_CONNECTION_LOST, detail);
+		retry_or_refuse(caller, CODE_OTHER, REASON_CONNECTION_LOST, detail);
 }
 
 /* --- replies of members --- */
 
-static void remember_commit(caller_t *caller, const reply_t *reply)
+static void record_commit(caller_t *caller, const reply_t *reply)
 {
 	if (!reply->has_position)
 		return;
@@ -243,8 +245,11 @@
 	caller->committed_at = now_of(caller->pooler);
 }
 
-/* A success that the rules on superseded primaries do not let through. */
-static bool is_overtaken(const caller_t *caller, const member_t *member)
+/*
+ * True if the statement may have committed at a member that this proxy has no permission to use any
+ * more: another primary may have replaced it meanwhile.
+ */
+static bool is_permission_lost(const caller_t *caller, const member_t *member)
 {
 	return caller_may_commit(caller) && !permit_covers(member, now_of(caller->pooler));
 }
@@ -259,10 +264,10 @@
 		caller_on_conn_lost(caller, true, "unsigned answer");
 		return;
 	}
-	if (is_overtaken(caller, conn->member)) {
+	if (is_permission_lost(caller, conn->member)) {
 		/*
-		 * Committed, but perhaps by a primary that was superseded meanwhile: the caller
-		 * would believe in a write that is rolled back.
+		 * The primary that committed the statement may have been replaced meanwhile. Then
+		 * the commit is rolled back, and the caller must not see it as a success.
 		 */
 		if (caller->tx == TX_OPEN)
 			caller->tx = TX_NONE;
@@ -271,7 +276,7 @@
 		return;
 	}
 	if (caller_may_commit(caller))
-		remember_commit(caller, reply);
+		record_commit(caller, reply);
 	if (caller->tx == TX_OPEN) {
 		caller->tx_has_run = true;
 		caller->tx_wrote = caller->tx_wrote || is_write(caller);
@@ -279,18 +284,18 @@
 	}
 	conn->state = CONN_HELD;
 	conn->state_since = now_of(caller->pooler);
-	answer_raw(caller, reply);
+	answer_with_reply(caller, reply);
 	if (ends)
 		conn_release(conn);
 }
 
-/* An error inside a transaction, or of a lone statement that ran. */
-static void pass_error(caller_t *caller, conn_t *conn, const reply_t *reply)
+/* Passes on an error inside a transaction, or of a lone statement that ran. */
+static void answer_member_error(caller_t *caller, conn_t *conn, const reply_t *reply)
 {
 	caller->tx = reply->tx;
 	conn->state = CONN_HELD;
 	conn->state_since = now_of(caller->pooler);
-	answer_raw(caller, reply);
+	answer_with_reply(caller, reply);
 	if (caller->tx == TX_NONE)
 		conn_release(conn);
 }
@@ -302,11 +307,11 @@
 	if (reply->code == CODE_NO_STATEMENT)
 		conn->prepared_count = 0;
 	if (!code_means_not_run(reply->code) || !untouched) {
-		pass_error(caller, conn, reply);
+		answer_member_error(caller, conn, reply);
 		return;
 	}
 	conn_release(conn);
-	not_run(caller, reply->code, REASON_MEMBER_REFUSED, code_name(reply->code));
+	retry_or_refuse(caller, reply->code, REASON_MEMBER_REFUSED, code_name(reply->code));
 }
 
 void caller_on_reply(caller_t *caller, conn_t *conn, const reply_t *reply)
@@ -330,30 +335,33 @@
 		.raw = result->raw,
 	};
 
-	/* Whoever ran it had permission; what counts for our caller is ours. */
-	if (caller_may_commit(caller) && (member == NULL || is_overtaken(caller, member))) {
+	/*
+	 * The helper ran the statement by its own permission, which may outlast the one of this
+	 * proxy. A success is passed on only if the permission of this proxy still holds.
+	 */
+	if (caller_may_commit(caller) && (member == NULL || is_permission_lost(caller, member))) {
 		answer_error(caller, CODE_IN_DOUBT, REASON_PERMISSION_ENDED, NULL);
 		return;
 	}
 	if (caller_may_commit(caller))
-		remember_commit(caller, &reply);
+		record_commit(caller, &reply);
 	if (caller->tx == TX_OPEN) {
 		caller->tx_has_run = true;
 		caller->tx_wrote = caller->tx_wrote || is_write(caller);
 		caller->tx = result->tx;
 	}
-	answer_raw(caller, &reply);
+	answer_with_reply(caller, &reply);
 }
 
-/* The proxy that had it could not have it served: its word is ours, with its time to come back. */
-static void pass_refusal(caller_t *caller, const forward_result_t *result)
+/* Passes on the refusal of the proxy that was to run the statement, with its retry-after time. */
+static void answer_remote_refusal(caller_t *caller, const forward_result_t *result)
 {
 	caller_reply_t reply = {.kind = REPLY_ERROR, .code = result->code, .text = result->text};
 
-	end_statement(caller);
+	abort_statement(caller);
 	reply.tx = caller->tx;
 	report_failure(caller, result->code, REASON_NOT_SERVED_ELSEWHERE, result->text);
-	finish(caller, &reply, NULL);
+	send_answer(caller, &reply, NULL);
 }
 
 static void on_forwarded_error(caller_t *caller, const forward_result_t *result)
@@ -362,9 +370,9 @@
 
 	if (result->is_raw) {
 		caller->tx = result->tx;
-		answer_raw(caller, &reply);
+		answer_with_reply(caller, &reply);
 	} else {
-		pass_refusal(caller, result);
+		answer_remote_refusal(caller, result);
 	}
 }
 
@@ -372,7 +380,7 @@
 {
 	if (result->declined) {
 		caller->remote_tx = 0;
-		not_run(caller, result->code, REASON_MEMBER_REFUSED, result->text);
+		retry_or_refuse(caller, result->code, REASON_MEMBER_REFUSED, result->text);
 	} else if (result->ok) {
 		on_forwarded_success(caller, result);
 	} else {
@@ -381,7 +389,7 @@
 	hangup_after_answer(caller);
 }
 
-/* --- statements that are answered here --- */
+/* --- statements that the proxy answers itself --- */
 
 static void on_prepare(caller_t *caller)
 {
@@ -404,8 +412,8 @@
 	answer_done(caller);
 }
 
-/* The route by which the next operation goes, copied; NULL: there is none. */
-static const route_t *take_route(caller_t *caller)
+/* Copies the route of the caller's database into the caller; returns NULL if there is no route. */
+static const route_t *copy_route(caller_t *caller)
 {
 	const route_t *route = routes_find(caller->pooler->routes, caller->database);
 
@@ -430,14 +438,14 @@
 	caller->tx_wrote = false;
 	caller->tx_lost = false;
 	caller->primary_only = false;
-	take_route(caller);
+	copy_route(caller);
 }
 
 static void on_begin(caller_t *caller)
 {
 	counter_add(&transactions_total, 1);
 	caller_begin_tx(caller, caller->statement.kind == STATEMENT_BEGIN_READ);
-	/* The member's BEGIN waits for the first statement: pauses before it cost no connection. */
+	/* BEGIN goes to a member with the first statement: a pause before takes no connection. */
 	answer_done(caller);
 }
 
@@ -455,16 +463,17 @@
 static void on_deadline(run_timer_t *timer, usec_t now);
 
 /*
- * The home has refused what did not run by now, and its refusal may be late by what a busy VM takes
- * to read it. Without it a write that reached no member ends in doubt, and is not tried again.
+ * At its deadline, gives a forwarded write some more time for the home's refusal and returns true.
+ * The home refuses before the deadline what has not run, but a busy VM may read the refusal late.
+ * Without the refusal, a write that reached no member would end in doubt and not be retried.
  */
-static bool waits_for_refusal(caller_t *caller, usec_t now)
+static bool await_late_refusal(caller_t *caller, usec_t now)
 {
 	if (caller->forward_number == 0 || !caller_may_commit(caller) ||
-	    now >= caller->deadline + REFUSAL_PATIENCE ||
+	    now >= caller->deadline + REFUSAL_TIMEOUT ||
 	    home_is_suspect(caller->pooler, caller->helper, now))
 		return false;
-	timers_arm(caller->pooler->timers, &caller->timer, caller->deadline + REFUSAL_PATIENCE,
+	timers_arm(caller->pooler->timers, &caller->timer, caller->deadline + REFUSAL_TIMEOUT,
 		   on_deadline);
 	return true;
 }
@@ -474,25 +483,25 @@
 	caller_t *caller = list_entry(timer, caller_t, timer);
 	conn_t *conn = caller->conn;
 
-	if (waits_for_refusal(caller, now))
+	if (await_late_refusal(caller, now))
 		return;
 	if (caller->forward_number == 0 && (conn == NULL || conn->state != CONN_RUNNING)) {
 		caller_refuse(caller,
 			      caller->tx == TX_OPEN && caller->tx_has_run ? CODE_ABORTED
 									  : CODE_BUSY,
-			      REASON_NO_CONNECTION, RETRY_STEP);
+			      REASON_NO_CONNECTION, RETRY_BACKOFF);
 		return;
 	}
 	if (caller_may_commit(caller)) {
-		fail(caller, CODE_IN_DOUBT, REASON_NO_ANSWER, NULL);
+		fail_statement(caller, CODE_IN_DOUBT, REASON_NO_ANSWER, NULL);
 	} else if (caller->tx == TX_OPEN) {
-		fail(caller, CODE_ABORTED, REASON_NO_ANSWER, NULL);
+		fail_statement(caller, CODE_ABORTED, REASON_NO_ANSWER, NULL);
 	} else {
-		fail(caller, CODE_TIMEOUT, REASON_NO_ANSWER, NULL);
+		fail_statement(caller, CODE_TIMEOUT, REASON_NO_ANSWER, NULL);
 	}
 }
 
-static statement_target_t want_of(const caller_t *caller)
+static statement_target_t target_of(const caller_t *caller)
 {
 	if (caller->reads == READS_PRIMARY)
 		return TARGET_PRIMARY;
@@ -505,7 +514,7 @@
 {
 	pooler_t *pooler = caller->pooler;
 
-	caller->target = want_of(caller);
+	caller->target = target_of(caller);
 	caller->attempts = 0;
 	caller->next_attempt_at = 0;
 	if (caller->job != NULL && caller->job->time_left < caller->timeout)
@@ -519,7 +528,8 @@
 	}
 	if (caller->remote_tx != 0) {
 		if (!forward_next_statement(caller, caller->received_at))
-			fail(caller, CODE_ABORTED, REASON_CONNECTION_LOST, "home is out of reach");
+			fail_statement(caller, CODE_ABORTED, REASON_CONNECTION_LOST,
+				       "home can't be reached");
 		return;
 	}
 	if (caller->tx == TX_NONE)
@@ -527,7 +537,7 @@
 	dispatch_enqueue(caller);
 }
 
-/* False if there is no such prepared statement; answered then. */
+/* Returns false, with the statement answered, if no prepared statement has this name. */
 static bool find_prepared(caller_t *caller)
 {
 	caller->exec = prepared_find(&caller->prepared, caller->statement.name);
@@ -539,8 +549,8 @@
 	return true;
 }
 
-/* A statement in a transaction that is over: only its end is meaningful. */
-static void on_failed_tx(caller_t *caller)
+/* Answers a statement in a failed transaction, which accepts only COMMIT and ROLLBACK. */
+static void answer_in_failed_tx(caller_t *caller)
 {
 	if (is_commit(caller)) {
 		caller->tx = TX_NONE;
@@ -555,7 +565,7 @@
 	}
 }
 
-static void on_local(caller_t *caller)
+static void answer_locally(caller_t *caller)
 {
 	switch (caller->statement.kind) {
 	case STATEMENT_SET:
@@ -587,22 +597,25 @@
 		run_at_member(caller);
 }
 
-static code_t code_of_refusal(reason_t reason)
+static code_t refusal_code(reason_t reason)
 {
 	return reason == REASON_KEY_REVOKED ? CODE_NO_AUTH : CODE_BUSY;
 }
 
-/* An operation begins. What may not run is refused here, before any of it has. */
-static void enter(caller_t *caller)
+/*
+ * Starts a lone statement or a transaction. An operation that is not allowed is refused here,
+ * before any part of it has run.
+ */
+static void begin_operation(caller_t *caller)
 {
-	const route_t *route = take_route(caller);
+	const route_t *route = copy_route(caller);
 	reason_t reason;
 	code_t code;
 
 	if (route == NULL) {
 		code = admission_unknown_database(caller->pooler, &reason);
 		if (code == CODE_BUSY)
-			caller_refuse(caller, code, reason, RETRY_KEYS);
+			caller_refuse(caller, code, reason, KEYS_RETRY_AFTER);
 		else
 			answer_error(caller, code, reason, NULL);
 		return;
@@ -612,7 +625,7 @@
 		return;
 	}
 	if (!admission_check_operation(caller, route, &reason)) {
-		caller_refuse(caller, code_of_refusal(reason), reason, RETRY_KEYS);
+		caller_refuse(caller, refusal_code(reason), reason, KEYS_RETRY_AFTER);
 		return;
 	}
 	if (quota_enter(caller))
@@ -624,20 +637,20 @@
 	switch (caller->statement.kind) {
 	case STATEMENT_EXEC:
 		if (find_prepared(caller))
-			enter(caller);
+			begin_operation(caller);
 		break;
 	case STATEMENT_BEGIN:
 	case STATEMENT_BEGIN_READ:
 	case STATEMENT_READ:
 	case STATEMENT_WRITE:
-		enter(caller);
+		begin_operation(caller);
 		break;
 	case STATEMENT_COMMIT:
 	case STATEMENT_ROLLBACK:
 		answer_error(caller, CODE_MALFORMED, REASON_NO_TRANSACTION, NULL);
 		break;
 	default:
-		on_local(caller);
+		answer_locally(caller);
 	}
 }
 
@@ -652,11 +665,11 @@
 		return;
 	}
 	if (caller->tx == TX_FAILED) {
-		on_failed_tx(caller);
+		answer_in_failed_tx(caller);
 		return;
 	}
 	if (!admission_check_transaction(caller, &reason)) {
-		fail(caller, CODE_ABORTED, reason, NULL);
+		fail_statement(caller, CODE_ABORTED, reason, NULL);
 		return;
 	}
 	switch (caller->statement.kind) {
@@ -670,17 +683,17 @@
 			run_at_member(caller);
 		break;
 	default:
-		on_local(caller);
+		answer_locally(caller);
 	}
 }
 
-static slice_t rebase(slice_t slice, const char *from, const char *to)
+static slice_t rebase_slice(slice_t slice, const char *from, const char *to)
 {
 	return slice_of(slice.at != NULL ? to + (slice.at - from) : to, slice.len);
 }
 
-/* Keep the statement beyond the buffer that it was read into. */
-static void keep(caller_t *caller, const statement_t *statement)
+/* Copies the statement, since its input buffer is reused before the statement is answered. */
+static void copy_statement(caller_t *caller, const statement_t *statement)
 {
 	const char *start = statement->id.at;
 	size_t len = (size_t)(statement->text.at + statement->text.len - start);
@@ -691,10 +704,10 @@
 	}
 	memcpy(caller->text, start, len);
 	caller->statement = *statement;
-	caller->statement.id = rebase(statement->id, start, caller->text);
-	caller->statement.text = rebase(statement->text, start, caller->text);
-	caller->statement.name = rebase(statement->name, start, caller->text);
-	caller->statement.value = rebase(statement->value, start, caller->text);
+	caller->statement.id = rebase_slice(statement->id, start, caller->text);
+	caller->statement.text = rebase_slice(statement->text, start, caller->text);
+	caller->statement.name = rebase_slice(statement->name, start, caller->text);
+	caller->statement.value = rebase_slice(statement->value, start, caller->text);
 }
 
 void caller_on_statement(caller_t *caller, const statement_t *statement)
@@ -703,7 +716,7 @@
 	caller->received_at = now_of(caller->pooler);
 	caller->attempts = 0;
 	caller->exec = NULL;
-	keep(caller, statement);
+	copy_statement(caller, statement);
 	if (caller->tx == TX_NONE)
 		on_outside_tx(caller);
 	else
@@ -742,7 +755,7 @@
 	key_digest_t digest = key_digest(key.at, key.len);
 	caller_t *caller;
 
-	/* One whose START was read so late would be cut off by the end of the process. */
+	/* The process is about to exit and would cut off a session that begins now. */
 	if (pooler->routes == NULL || pooler->drained_reported) {
 		*code = CODE_BUSY;
 		return NULL;
@@ -767,7 +780,7 @@
 	dispatch_dequeue(caller);
 	forward_cancel(caller);
 	timers_cancel(pooler->timers, &caller->timer);
-	/* A commit or lone write that is under way is left to finish; the rest is rolled back. */
+	/* A running commit or lone write may complete; an open transaction is rolled back. */
 	if (caller->conn != NULL)
 		conn_orphan(caller->conn);
 	forward_end_tx(caller);
@@ -791,7 +804,7 @@
 		return;
 	if (routes == NULL || now < caller->idle_since + routes->tx_idle_timeout)
 		return;
-	LOG_EVENT(LOG_INFO, "idle transaction ended", LOG_STR("database", caller->database),
+	LOG_EVENT(LOG_INFO, "idle transaction timed out", LOG_STR("database", caller->database),
 		  LOG_INT("idle_ms", (int64_t)((now - caller->idle_since) / USEC_PER_MSEC)));
-	conn_close(caller->conn, "transaction idle too long");
+	conn_close(caller->conn, "idle transaction time-out");
 }
--- a/pooler/caller.h
+++ b/pooler/caller.h
@@ -1,49 +1,55 @@
 /*
- * A caller's session: its values, its prepared names, its transaction, and the
- * one statement in progress. Decides what each outcome at a member means for
- * the caller: passed on, tried again where that can't be seen, or refused with
- * a code that promises no more than is known.
+ * A caller's session: its values, its prepared statements, its transaction, and the one statement
+ * in progress. Decides what each outcome at a member means for the caller: the reply is passed on,
+ * the statement is retried where the caller can't notice that, or it is refused with a code that
+ * promises no more than is certain.
  */
 #pragma once
 
 #include "state.h"
 
-/* A caller at link, which stands for another proxy's or is checked before. */
+/*
+ * Creates a session for the link. The caller has been admitted by admission_check_session(), or
+ * serves a statement that another proxy has forwarded (job.h).
+ */
 caller_t *caller_create(pooler_t *pooler, const char *database, void *link);
 
-/* Its operation may begin. */
+/* The customer's limit allows the waiting operation: it starts. */
 void caller_on_admitted(caller_t *caller);
 
-/* The connection broke. sent: its statement was at the member, unanswered. */
+/*
+ * The caller's connection to a member is lost. sent: the statement in progress had been sent and
+ * was not answered.
+ */
 void caller_on_conn_lost(caller_t *caller, bool sent, const char *detail);
 
 /*
- * Ask for a read that is overdue once more, leaving the first answer to come or not.
- * Returns false if that can't be done unseen.
+ * Runs the read in progress once more, on another connection; a late reply to the first attempt is
+ * discarded. Returns false if the statement is no lone read or has used up its attempts.
  */
 bool caller_retry_read(caller_t *caller);
 
-/* The member refused what had to come before the statement, which did not run. */
+/* The member refused a set-up request, so the statement itself did not run. */
 void caller_on_setup_refused(caller_t *caller, code_t code);
 
 void caller_on_reply(caller_t *caller, conn_t *conn, const reply_t *reply);
 
-/* Begin a transaction; its first statement takes it to a member. */
+/* Begins a transaction; its first statement takes a connection. */
 void caller_begin_tx(caller_t *caller, bool read_only);
 
-/* What came of the statement at another proxy. */
+/* The proxy that the statement was forwarded to has sent its result. */
 void caller_on_forward_result(caller_t *caller, const forward_result_t *result);
 
-/* The statement waits for a connection and can't have one in time: refuse it now. */
+/* Refuses the waiting statement, which can't get a connection before its deadline. */
 void caller_refuse(caller_t *caller, code_t code, reason_t reason, usec_t retry_after);
 
-/* The process ends before the statement in progress can be answered. */
+/* Answers the statement in progress with an error, since the process is about to exit. */
 void caller_end_at_shutdown(caller_t *caller);
 
-/* True if the statement in progress, once sent, may leave something behind. */
+/* True if the statement in progress may leave a committed change behind once it has been sent. */
 bool caller_may_commit(const caller_t *caller);
 
-/* True if a write may still follow on the caller's connection, or is under way. */
+/* True if the caller has a write in progress, or may send one in its transaction. */
 bool caller_may_write(const caller_t *caller);
 
 void caller_tick(caller_t *caller, usec_t now);
