--- a/pooler/dispatch.c
+++ b/pooler/dispatch.c
@@ -11,76 +11,78 @@
 #include "permit.h"
 
 /*
- * Penalties of a member for a read, as time added to its expected answer.
- * Another zone: the two ways of 1.4 ms between zones on the users' sites, and its bytes cost.
+ * Penalties of a member for a read, as time added to its expected response time.
+ * Another zone: a round trip between zones takes 2.8 ms, and traffic between zones is charged.
  */
-#define OTHER_ZONE (3 * USEC_PER_MSEC)
-/* The primary has the writes to serve, which nobody else can. */
-#define IS_PRIMARY (8 * USEC_PER_MSEC)
-/* A member that failed this read a moment ago, or gets no reads, serves it if nobody else can. */
-#define LAST_CHOICE (1 * USEC_PER_SEC)
+#define OTHER_ZONE_COST (3 * USEC_PER_MSEC)
+/* The primary: it alone can serve the writes. */
+#define PRIMARY_COST (8 * USEC_PER_MSEC)
+/* A member that has just failed this read, or is ejected as an outlier: chosen if no other can. */
+#define LAST_RESORT_COST (1 * USEC_PER_SEC)
 /*
- * Who has waited for this part of its objective for members that are well is given to one that
- * fails statements: it may be served there, and nowhere else in time.
+ * A read waits for a healthy member for this part of its objective. Then a member that fails some
+ * of its statements may serve it too, since no other would answer within the objective.
  */
-#define WAIT_FOR_WELL(objective) ((objective) / 4)
-/* A connection that must first be made takes 12 ms of a slot. */
-#define NO_CONNECTION (15 * USEC_PER_MSEC)
-/* A wait that justifies a connection beyond our share: the time that one takes to make. */
-#define BORROW_AFTER (15 * USEC_PER_MSEC)
+#define HEALTHY_ONLY_WAIT(objective) ((objective) / 4)
+/* No idle connection: a new one occupies a slot of the member for 12 ms. */
+#define CONNECT_COST (15 * USEC_PER_MSEC)
+/* Wait after which a caller may use more connections than this proxy's share: one connect time. */
+#define BORROW_WAIT (15 * USEC_PER_MSEC)
 /*
- * Who has waited for so long takes the connection of another customer though that one's callers
- * would use it: or a large customer, whose callers always wait, would never leave one to the
- * others. Twice the time in which a new one is made, so that it is made where it saves time.
+ * Wait after which a caller may evict an idle connection of another customer whose own callers
+ * wait too. Otherwise a large customer, whose callers always wait, would keep all connections.
+ * Twice the connect time, so that a new connection still saves time.
  */
-#define TAKE_AFTER (30 * USEC_PER_MSEC)
+#define EVICT_WAIT (30 * USEC_PER_MSEC)
 /*
- * A transaction without a statement for so long rests, and gives way to whoever waits for its
- * connection. Ten times the pauses of the users' applications inside transactions (7 to 10 ms), and
- * short enough that who waits is still served within the strictest objectives (100 to 150 ms), or
- * soon after.
+ * Idle time after which a transaction is rolled back if other callers wait for its connection. Ten
+ * times the usual pauses of applications inside transactions (7 to 10 ms), and short enough that
+ * the waiting callers are served within the strictest objectives (100 to 150 ms) or soon after.
  */
-#define RESTS_AFTER (100 * USEC_PER_MSEC)
-/* From a caller to us and back, on the users' sites, with some room. */
-#define CALLER_WAYS (10 * USEC_PER_MSEC)
-/* After a replica lacked a position, how long its lag is believed to be what it was. */
-#define LAG_BELIEVED (300 * USEC_PER_MSEC)
-/* Added to it: the samples of the primary's position are so far apart. */
+#define TX_IDLE_RECLAIM (100 * USEC_PER_MSEC)
+/* Round trip between a caller and this proxy, with some margin. */
+#define CALLER_ROUND_TRIP (10 * USEC_PER_MSEC)
+/* How long after a refusal for lag the replica's last measured lag is taken as its present one. */
+#define LAG_CACHE_TIME (300 * USEC_PER_MSEC)
+/* Added to that lag: the interval between samples of the primary's position. */
 #define LAG_MARGIN FRESHNESS_SPACING
-/* From the first sign of a failed primary to the marking. */
-#define DETECTION_USUAL (700 * USEC_PER_MSEC)
-/* A primary that is leaving is used for this part of the users' bound: 5 of 7 s. */
-#define LEAVING_USE_PERCENT 70
+/* Usual time from the first sign of a failed primary until its replacement is announced. */
+#define DETECTION_TIME (700 * USEC_PER_MSEC)
+/* Part of the platform's bound for leaving members in which a primary is still used: 5 of 7 s. */
+#define LEAVING_USABLE_PERCENT 70
 /*
- * While the store is away a new roster is agreed on within this: a question to all and its answers,
- * over connections that may have to be made, and a tick.
+ * Usual time for the proxies to agree on a new roster while the store is unreachable: one query to
+ * all and its answers, over connections that may have to be made, and one tick.
  */
-#define AGREE_USUAL (150 * USEC_PER_MSEC)
-/* A proxy that has just started gets on the roster within this. */
-#define REGISTER_USUAL (200 * USEC_PER_MSEC)
-/* A process that has just started expects the roster with its next reading: a call, its back-off.
- */
-#define FIRST_READ_USUAL (300 * USEC_PER_MSEC)
-/* After so long without it the store is away: three such attempts and some room. */
-#define FIRST_READ_LONGEST (1200 * USEC_PER_MSEC)
-/* What is left of a change that takes longer than expected. */
-#define OVERDUE_CHANGE (300 * USEC_PER_MSEC)
-/* A link to a home is made within some ms; it is looked at again after this. */
-#define HOME_RETRY (10 * USEC_PER_MSEC)
-/* When to come back after a wait in vain: about when the queue has changed. */
-#define RETRY_LATE (50 * USEC_PER_MSEC)
-/* When to come back if the end of the trouble isn't known. */
-#define UNKNOWN_RETRY (1 * USEC_PER_SEC)
+#define AGREEMENT_TIME (150 * USEC_PER_MSEC)
+/* Usual time in which a proxy that has just started is added to the roster. */
+#define REGISTRATION_TIME (200 * USEC_PER_MSEC)
+/* Usual time to the first read of the roster after the start: one call and its back-off. */
+#define FIRST_READ_TIME (300 * USEC_PER_MSEC)
+/* Without a read in this time the store counts as unreachable: three attempts and a margin. */
+#define FIRST_READ_TIMEOUT (1200 * USEC_PER_MSEC)
+/* Assumed remaining time of a change of primary that takes longer than expected. */
+#define OVERDUE_CHANGE_TIME (300 * USEC_PER_MSEC)
+/* Delay before a home without a link is tried again; the link is made within some ms. */
+#define HOME_RETRY_INTERVAL (10 * USEC_PER_MSEC)
+/* Retry-after for callers that got no connection in time: by then the queue has changed. */
+#define QUEUE_RETRY_AFTER (50 * USEC_PER_MSEC)
+/* Retry-after if no time of recovery can be estimated. */
+#define DEFAULT_RETRY_AFTER (1 * USEC_PER_SEC)
 /*
- * A change of primary that waits for silent proxies may take 13 s, and ends at once when they are
- * back: a caller that is told to come back after its deadline gives up instead.
+ * Upper bound of the retry-after time. A change of primary that waits for unresponsive proxies may
+ * take 13 s, but ends as soon as they answer. A caller whose retry time lies after its own deadline
+ * would give up instead of retrying.
  */
-#define RETRY_MOST (1500 * USEC_PER_MSEC)
+#define RETRY_AFTER_MAX (1500 * USEC_PER_MSEC)
 
 /* --- what a replica must hold --- */
 
-/* Returns false if no position is known to be fresh enough for the caller's read. */
-static bool position_for(const caller_t *caller, sample_t *wanted)
+/*
+ * Sets the log position that a replica must have applied for the caller's read. Returns false if
+ * no sample of the primary's position is recent enough.
+ */
+static bool required_position(const caller_t *caller, sample_t *wanted)
 {
 	const freshness_t *freshness = caller->service->freshness;
 
@@ -101,46 +103,47 @@
 	usec_t cost = member->response * (1 + member_load(member));
 
 	if (strcmp(member->zone, caller->pooler->config.zone) != 0)
-		cost += OTHER_ZONE;
+		cost += OTHER_ZONE_COST;
 	if (primary)
-		cost += IS_PRIMARY;
+		cost += PRIMARY_COST;
 	if (conn_find_idle(member, caller) == NULL)
-		cost += NO_CONNECTION;
+		cost += CONNECT_COST;
 	if (!outlier_takes(&member->outlier, member_load(member), now_of(caller->pooler)) ||
 	    (caller->attempts != 0 && caller->failed_member == member))
-		cost += LAST_CHOICE;
+		cost += LAST_RESORT_COST;
 	return cost;
 }
 
-/* True if the caller may be served by members that fail part of their statements. */
-static bool takes_any(const caller_t *caller, usec_t now)
+/* True if the caller has waited long enough to accept a member that fails some statements. */
+static bool accepts_failing_member(const caller_t *caller, usec_t now)
 {
-	return now >= caller->received_at + WAIT_FOR_WELL(caller->objective);
+	return now >= caller->received_at + HEALTHY_ONLY_WAIT(caller->objective);
 }
 
-static bool may_read_at(const member_t *member, const caller_t *caller, usec_t now)
+static bool can_read_at(const member_t *member, const caller_t *caller, usec_t now)
 {
-	return outlier_takes(&member->outlier, member_load(member), now) || takes_any(caller, now);
+	return outlier_takes(&member->outlier, member_load(member), now) ||
+	       accepts_failing_member(caller, now);
 }
 
-/* True if the caller has waited long enough for a connection beyond our share. */
+/* True if the caller has waited long enough for a connection beyond this proxy's share. */
 static bool may_borrow(const caller_t *caller, usec_t now)
 {
-	return now >= caller->received_at + BORROW_AFTER;
+	return now >= caller->received_at + BORROW_WAIT;
 }
 
-/* An idle connection that may give way to one of the caller's customer, or NULL. */
-static conn_t *find_spare(const member_t *member, const caller_t *caller, usec_t now)
+/* Returns another customer's idle connection that may be closed for the caller, or NULL. */
+static conn_t *find_evictable(const member_t *member, const caller_t *caller, usec_t now)
 {
 	if (now < member->open_after || member_share(member) == 0)
 		return NULL;
-	return conn_find_evictable(member, caller, now >= caller->received_at + TAKE_AFTER);
+	return conn_find_evictable(member, caller, now >= caller->received_at + EVICT_WAIT);
 }
 
 static bool can_open(const member_t *member, const caller_t *caller, usec_t now)
 {
 	return member_can_open(member, now, may_borrow(caller, now)) ||
-	       find_spare(member, caller, now) != NULL;
+	       find_evictable(member, caller, now) != NULL;
 }
 
 static bool can_serve(const member_t *member, const caller_t *caller, usec_t now)
@@ -150,28 +153,31 @@
 }
 
 /*
- * True if the replica probably has applied what the read wants, judged by how far behind it was
- * with its last reply. A wrong guess costs a round trip; asking in vain all the time, while the
- * replicas are seconds behind, made a third of all reads that much later.
+ * True if the replica has probably applied the position that the read requires, estimated from its
+ * lag at its last reply. A wrong estimate costs one round trip. Without the estimate, while the
+ * replicas lagged by seconds, a third of all reads took that extra round trip.
  */
-static bool replica_fits(member_t *replica, const sample_t *wanted, usec_t now)
+static bool replica_probably_current(member_t *replica, const sample_t *wanted, usec_t now)
 {
 	usec_t caught_up_to;
 
 	if (position_covers(replica->applied, wanted->position) ||
-	    now >= replica->lagged_at + LAG_BELIEVED)
+	    now >= replica->lagged_at + LAG_CACHE_TIME)
 		return true;
 	caught_up_to = freshness_time_of(replica->service->freshness, replica->applied);
 	return caught_up_to != 0 &&
 	       wanted->sent_at + (replica->applied_at - caught_up_to) + LAG_MARGIN <= now;
 }
 
-/* The member to serve a read now; NULL: none can. *open: some member may serve it at all. */
-static member_t *choose_reader(caller_t *caller, usec_t now, bool *open)
+/*
+ * Returns the member that serves the caller's read now, or NULL if none can. *open is set if some
+ * member can serve it once it has a free connection.
+ */
+static member_t *choose_read_member(caller_t *caller, usec_t now, bool *open)
 {
 	member_t *primary = permit_primary(caller->service, now);
 	sample_t wanted;
-	bool fresh = position_for(caller, &wanted) && !caller->primary_only;
+	bool fresh = required_position(caller, &wanted) && !caller->primary_only;
 	member_t *best = NULL;
 	usec_t best_cost = USEC_NEVER;
 
@@ -180,10 +186,11 @@
 		member_t *member = list_entry(it, member_t, in_service);
 		usec_t cost;
 
-		if (member != primary && (!fresh || !replica_fits(member, &wanted, now)))
+		if (member != primary &&
+		    (!fresh || !replica_probably_current(member, &wanted, now)))
 			continue;
 		*open = *open || member_is_usable(member);
-		if (!may_read_at(member, caller, now) || !can_serve(member, caller, now))
+		if (!can_read_at(member, caller, now) || !can_serve(member, caller, now))
 			continue;
 		cost = cost_of(member, caller, member == primary);
 		if (cost < best_cost) {
@@ -200,7 +207,7 @@
 static member_t *choose_primary(caller_t *caller, usec_t now, bool *open)
 {
 	member_t *primary = permit_primary(caller->service, now);
-	usec_t leaving_use = caller->pooler->config.leaving_bound * LEAVING_USE_PERCENT / 100;
+	usec_t leaving_use = caller->pooler->config.leaving_bound * LEAVING_USABLE_PERCENT / 100;
 
 	caller->has_after = false;
 	*open = primary != NULL && !primary->down && now < primary->leaving_since + leaving_use;
@@ -210,8 +217,8 @@
 	return primary;
 }
 
-/* Connections that are being made there for the customer's callers. */
-static size_t opening(const member_t *member, const customer_pool_t *line)
+/* Counts the connections to the member that are being opened for the customer. */
+static size_t count_opening(const member_t *member, const customer_pool_t *line)
 {
 	size_t count = 0;
 
@@ -223,28 +230,31 @@
 	return count;
 }
 
-static member_t *choose(caller_t *caller, usec_t now, bool *open)
+static member_t *choose_member(caller_t *caller, usec_t now, bool *open)
 {
 	if (caller->target == TARGET_PRIMARY)
 		return choose_primary(caller, now, open);
-	return choose_reader(caller, now, open);
+	return choose_read_member(caller, now, open);
 }
 
-/* A connection for the caller's customer; within our share rather in place of an unused one. */
-static void open_for(member_t *member, const caller_t *caller, usec_t now)
+/*
+ * Opens a connection for the caller's customer. If this proxy's share is used up, an evictable
+ * connection is closed for it; without one, the new connection goes beyond the share.
+ */
+static void open_connection(member_t *member, const caller_t *caller, usec_t now)
 {
 	conn_t *spare;
 
 	if (!member_can_open(member, now, false)) {
-		spare = find_spare(member, caller, now);
+		spare = find_evictable(member, caller, now);
 		if (spare != NULL)
-			conn_close(spare, "another customer needs its place");
+			conn_close(spare, "evicted for another customer");
 	}
 	conn_open(member, caller->customer_pool);
 }
 
-/* Returns true if the caller is served, and waits no more. */
-static bool place(caller_t *caller, usec_t now)
+/* Sends the caller's statement to a member or to its home; returns false if it still waits. */
+static bool try_to_place(caller_t *caller, usec_t now)
 {
 	bool open;
 	member_t *member;
@@ -255,12 +265,12 @@
 		dispatch_dequeue(caller);
 		return true;
 	case FORWARD_WAIT:
-		caller->next_attempt_at = now + HOME_RETRY;
+		caller->next_attempt_at = now + HOME_RETRY_INTERVAL;
 		return false;
 	case FORWARD_LOCAL:
 		break;
 	}
-	member = choose(caller, now, &open);
+	member = choose_member(caller, now, &open);
 	if (member == NULL)
 		return false;
 	conn = conn_find_idle(member, caller);
@@ -269,9 +279,9 @@
 		conn_run(conn, caller);
 		return true;
 	}
-	/* One new connection for each that waits is enough. */
-	if (opening(member, caller->customer_pool) < caller->customer_pool->waiting)
-		open_for(member, caller, now);
+	/* Opens at most one connection for each waiting caller. */
+	if (count_opening(member, caller->customer_pool) < caller->customer_pool->waiting)
+		open_connection(member, caller, now);
 	return false;
 }
 
@@ -286,7 +296,7 @@
 	caller->is_waiting = false;
 }
 
-static void insert(service_t *service, caller_t *caller)
+static void insert_by_priority(service_t *service, caller_t *caller)
 {
 	list_t *pos = &service->waiting;
 
@@ -314,7 +324,7 @@
 	timers_arm(service->pooler->timers, &service->retry, at, on_retry);
 }
 
-/* How long the members that may serve the caller take of late. */
+/* Returns the shortest recent response time of the members that may serve the caller. */
 static usec_t expected_response(const caller_t *caller, usec_t now)
 {
 	const member_t *primary = permit_primary(caller->service, now);
@@ -331,63 +341,65 @@
 }
 
 /*
- * True if the caller will probably not be answered within its route's objective. While members
- * have more to do than they can, serving in order of arrival makes everybody late: all wait as
- * long as the queue is. Those that can still be served in time go first, the late ones get what
- * is left. With a third more than a primary can do for 4 s (test_pooler_load), 399 of 534
- * statements are served in time; in order of arrival 70.
+ * True if the caller will probably not be answered within its route's objective. Such callers are
+ * served after the others. Under overload, serving in order of arrival would make all callers wait
+ * for the whole queue and miss their objective. At 133 % of a primary's capacity for 4 s
+ * (test_pooler_load), 399 of 534 statements meet the objective, against 70 in order of arrival.
  */
-static bool is_late(const caller_t *caller, usec_t now)
+static bool will_miss_objective(const caller_t *caller, usec_t now)
 {
 	return !caller->pooler->config.serve_in_arrival_order &&
-	       now + expected_response(caller, now) + CALLER_WAYS >=
+	       now + expected_response(caller, now) + CALLER_ROUND_TRIP >=
 		       caller->received_at + caller->objective;
 }
 
 /*
- * True if there is too little time left for the caller's statement to run. A write that is sent
- * all the same ends in doubt; refused now, it has certainly not run. Half of all answers take
- * longer than usual, so a write is given twice that time: under three times the load that a primary
- * can take (test_pooler_load) 64 of 910 writes were in doubt without this, now none. Whoever has
- * most of its time left is tried in any case, or a member that was slow once would never be seen to
- * be quick again.
+ * True if the statement would probably not complete before its deadline. A write that is sent in
+ * spite of that ends in doubt, whereas a write refused now has certainly not run. Half of all
+ * responses take longer than the expected time, so a write needs twice that: at three times a
+ * primary's capacity (test_pooler_load) 64 of 910 writes ended in doubt without this check, and
+ * none with it. The check applies only in the second half of the time-out: if all callers were
+ * refused at once, a member that was slow for a while would never be measured as fast again.
  */
-static bool is_too_late(const caller_t *caller, usec_t now)
+static bool lacks_time_to_run(const caller_t *caller, usec_t now)
 {
 	usec_t needed = expected_response(caller, now) * (caller_may_commit(caller) ? 2 : 1);
 
 	return now - caller->received_at > caller->timeout / 2 && now + needed >= caller->deadline;
 }
 
-/* Serve one of the callers that are late, or are not; false if there is none that can be. */
-static bool serve_one_of(service_t *service, bool late, usec_t now, usec_t *next)
+/*
+ * Serves the first caller that can be served among those that will miss their objective (late) or
+ * those that will not. Returns false if there is none; *next is then when to try again.
+ */
+static bool serve_first(service_t *service, bool late, usec_t now, usec_t *next)
 {
 	list_for_each (it, &service->waiting) {
 		caller_t *caller = list_entry(it, caller_t, queue_node);
 
-		if (is_late(caller, now) != late || is_too_late(caller, now))
+		if (will_miss_objective(caller, now) != late || lacks_time_to_run(caller, now))
 			continue;
 		if (caller->next_attempt_at > now) {
 			*next = caller->next_attempt_at < *next ? caller->next_attempt_at : *next;
 			continue;
 		}
-		if (place(caller, now))
+		if (try_to_place(caller, now))
 			return true;
 		if (caller->next_attempt_at > now && caller->next_attempt_at < *next)
 			*next = caller->next_attempt_at;
-		if (!may_borrow(caller, now) && caller->received_at + BORROW_AFTER < *next)
-			*next = caller->received_at + BORROW_AFTER;
-		if (caller->target == TARGET_ANY && !takes_any(caller, now) &&
-		    caller->received_at + WAIT_FOR_WELL(caller->objective) < *next)
-			*next = caller->received_at + WAIT_FOR_WELL(caller->objective);
+		if (!may_borrow(caller, now) && caller->received_at + BORROW_WAIT < *next)
+			*next = caller->received_at + BORROW_WAIT;
+		if (caller->target == TARGET_ANY && !accepts_failing_member(caller, now) &&
+		    caller->received_at + HEALTHY_ONLY_WAIT(caller->objective) < *next)
+			*next = caller->received_at + HEALTHY_ONLY_WAIT(caller->objective);
 	}
 	return false;
 }
 
-static bool serve_one(service_t *service, usec_t now, usec_t *next)
+static bool serve_next(service_t *service, usec_t now, usec_t *next)
 {
 	*next = USEC_NEVER;
-	return serve_one_of(service, false, now, next) || serve_one_of(service, true, now, next);
+	return serve_first(service, false, now, next) || serve_first(service, true, now, next);
 }
 
 void dispatch_run(service_t *service)
@@ -395,7 +407,7 @@
 	usec_t now = now_of(service->pooler);
 	usec_t next = USEC_NEVER;
 
-	/* Serving one can end a connection, which calls back here. */
+	/* Serving a caller can close a connection, which calls this function again. */
 	if (service->dispatching) {
 		service->dispatch_again = true;
 		return;
@@ -403,67 +415,67 @@
 	service->dispatching = true;
 	do {
 		service->dispatch_again = false;
-		while (!list_empty(&service->waiting) && serve_one(service, now, &next))
+		while (!list_empty(&service->waiting) && serve_next(service, now, &next))
 			;
 	} while (service->dispatch_again);
 	service->dispatching = false;
 	arm_retry(service, next);
 }
 
-/* When the service's primary is expected back, USEC_NEVER if that can't be told. */
-static usec_t expected_end(const service_t *service, usec_t now)
+/* Returns when the primary is expected to be usable again; USEC_NEVER if there is no estimate. */
+static usec_t expected_recovery(const service_t *service, usec_t now)
 {
 	const sync_t *sync = &service->pooler->sync;
 	const roster_group_t *group;
 	const member_t *primary;
 
 	if (service->changing_since != USEC_NEVER)
-		return service->change_end > now ? service->change_end : now + OVERDUE_CHANGE;
-	if (sync->confirmed_at == USEC_NEVER && now < service->pooler->started + FIRST_READ_LONGEST)
-		return now + FIRST_READ_USUAL;
+		return service->change_end > now ? service->change_end : now + OVERDUE_CHANGE_TIME;
+	if (sync->confirmed_at == USEC_NEVER && now < service->pooler->started + FIRST_READ_TIMEOUT)
+		return now + FIRST_READ_TIME;
 	if (now >= permit_end(service->pooler))
-		return now < sync->adopted_at + AGREE_USUAL ? sync->adopted_at + AGREE_USUAL
-							    : USEC_NEVER;
+		return now < sync->adopted_at + AGREEMENT_TIME ? sync->adopted_at + AGREEMENT_TIME
+							       : USEC_NEVER;
 	if (!permit_is_registered(service->pooler))
-		return now + REGISTER_USUAL;
+		return now + REGISTRATION_TIME;
 	group = roster_group(sync->roster, service->name);
 	primary = group != NULL ? member_find(service->pooler, group->primary) : NULL;
 	if (primary != NULL && primary->down)
-		return primary->silent_since + DETECTION_USUAL + CHANGE_USUAL;
+		return primary->silent_since + DETECTION_TIME + CHANGE_USUAL;
 	return USEC_NEVER;
 }
 
-/* Refuse the caller if nothing can serve it before its deadline. */
-static void refuse_hopeless(caller_t *caller, usec_t now)
+/* Refuses the caller if no member is expected to serve it before its deadline. */
+static void refuse_if_unservable(caller_t *caller, usec_t now)
 {
-	usec_t end = expected_end(caller->service, now);
+	usec_t end = expected_recovery(caller->service, now);
 	bool open;
 	usec_t back;
 
-	if (is_too_late(caller, now)) {
-		caller_refuse(caller, CODE_BUSY, REASON_NO_CONNECTION, RETRY_LATE);
+	if (lacks_time_to_run(caller, now)) {
+		caller_refuse(caller, CODE_BUSY, REASON_NO_CONNECTION, QUEUE_RETRY_AFTER);
 		return;
 	}
-	choose(caller, now, &open);
+	choose_member(caller, now, &open);
 	if (open || (end != USEC_NEVER && end < caller->deadline))
 		return;
-	back = end != USEC_NEVER && end > now ? end - now : UNKNOWN_RETRY;
-	if (back > RETRY_MOST)
-		back = RETRY_MOST;
+	back = end != USEC_NEVER && end > now ? end - now : DEFAULT_RETRY_AFTER;
+	if (back > RETRY_AFTER_MAX)
+		back = RETRY_AFTER_MAX;
 	caller_refuse(caller, CODE_BUSY, REASON_NO_MEMBER, back);
 }
 
-/* --- transactions that rest --- */
+/* --- idle transactions --- */
 
-/* True if nothing but a connection to the member is missing. */
-static bool lacks_connection(const member_t *member, const caller_t *caller, usec_t now)
+/* True if the member could serve the caller now, but has no connection free for it. */
+static bool lacks_only_connection(const member_t *member, const caller_t *caller, usec_t now)
 {
 	return member_has_room(member) && conn_find_idle(member, caller) == NULL &&
 	       !can_open(member, caller, now);
 }
 
-/* The connection that has rested longest where the waiting caller may be served, or NULL. */
-static conn_t *find_resting(const caller_t *caller, usec_t now)
+/* Returns the connection with the longest idle transaction that could serve the caller, or NULL. */
+static conn_t *find_idle_tx(const caller_t *caller, usec_t now)
 {
 	const member_t *primary = permit_primary(caller->service, now);
 	conn_t *longest = NULL;
@@ -472,9 +484,9 @@
 		member_t *member = list_entry(it, member_t, in_service);
 		conn_t *conn = member_longest_held(member);
 
-		if (conn == NULL || now < conn->state_since + RESTS_AFTER ||
+		if (conn == NULL || now < conn->state_since + TX_IDLE_RECLAIM ||
 		    (caller->target == TARGET_PRIMARY && member != primary) ||
-		    !lacks_connection(member, caller, now))
+		    !lacks_only_connection(member, caller, now))
 			continue;
 		if (longest == NULL || conn->state_since < longest->state_since)
 			longest = conn;
@@ -483,11 +495,12 @@
 }
 
 /*
- * Clients that begin, write and rest could hold all connections that this proxy has to the primary,
- * and its other callers would not be served until the limit of idle transactions. One at a time is
- * enough, since one connection serves many statements; who rested is told that nothing is kept.
+ * Rolls back one idle transaction whose connection other callers wait for. Clients that begin,
+ * write and then pause could hold all connections of this proxy to the primary, and other callers
+ * would wait until the time-out of idle transactions. One at a time is enough, since a connection
+ * serves many statements; the next statement of the rolled-back transaction is refused as aborted.
  */
-static void end_resting(service_t *service, usec_t now)
+static void reclaim_idle_tx(service_t *service, usec_t now)
 {
 	list_for_each (it, &service->waiting) {
 		const caller_t *caller = list_entry(it, caller_t, queue_node);
@@ -495,9 +508,9 @@
 
 		if (!may_borrow(caller, now))
 			continue;
-		conn = find_resting(caller, now);
+		conn = find_idle_tx(caller, now);
 		if (conn != NULL) {
-			conn_reclaim(conn, "transaction rests while others wait");
+			conn_reclaim(conn, "idle transaction reclaimed for waiting callers");
 			return;
 		}
 	}
@@ -505,11 +518,11 @@
 
 void dispatch_tick(service_t *service, usec_t now)
 {
-	/* A process that was paused has not read what its callers have sent since. */
+	/* After a pause of this process, statements of these transactions may lie unread. */
 	if (now != service->pooler->resumed_at)
-		end_resting(service, now);
+		reclaim_idle_tx(service, now);
 	list_for_each_safe (it, &service->waiting)
-		refuse_hopeless(list_entry(it, caller_t, queue_node), now);
+		refuse_if_unservable(list_entry(it, caller_t, queue_node), now);
 }
 
 void dispatch_enqueue(caller_t *caller)
@@ -517,9 +530,9 @@
 	usec_t now = now_of(caller->pooler);
 	service_t *service = caller->service;
 
-	insert(service, caller);
+	insert_by_priority(service, caller);
 	active_add_service(service);
 	dispatch_run(service);
 	if (caller->is_waiting)
-		refuse_hopeless(caller, now);
+		refuse_if_unservable(caller, now);
 }
