--- a/pooler/conn.c
+++ b/pooler/conn.c
@@ -15,28 +15,27 @@
 #include "counter.h"
 #include "log.h"
 
-/* Back-off after a failed connection, before its jitter. */
-#define REOPEN_AFTER (100 * USEC_PER_MSEC)
-/* How long a member that refused a connection for its limit is not asked for more than our share.
- */
-#define FULL_FOR (1 * USEC_PER_SEC)
-/* The same for a connection inside our share. */
-#define FULL_RETRY (60 * USEC_PER_MSEC)
-/* Connections that break within this time have one cause: resets arrive some ms apart. */
-#define SAME_LOSS (50 * USEC_PER_MSEC)
-/* Names prepared on one connection before it is reset. */
+/* Back-off after a connection that failed to open, without jitter. */
+#define REOPEN_BACKOFF (100 * USEC_PER_MSEC)
+/* How long this proxy stays within its share at a member that refused a connection as full. */
+#define FULL_BACKOFF (1 * USEC_PER_SEC)
+/* After such a refusal, how long no connection is opened at all, without jitter. */
+#define FULL_RETRY_INTERVAL (60 * USEC_PER_MSEC)
+/* Connections lost within this time have one cause: the resets arrive some ms apart. */
+#define LOSS_MERGE_WINDOW (50 * USEC_PER_MSEC)
+/* Maximum number of statements prepared on a connection; more need a reset first. */
 #define PREPARED_MAX 256
 
 COUNTER_DEFINE(opened_total, "member_connections_total", COUNTER_SUM,
-	       "Connections to members that were begun.");
+	       "Attempts to open a connection to a member.");
 COUNTER_DEFINE(full_total, "member_full_total", COUNTER_SUM,
-	       "Connections that a member refused for its limit.");
+	       "Connections refused by a member at its connection limit.");
 COUNTER_DEFINE(setups_total, "member_setups_total", COUNTER_SUM,
-	       "Statements that needed a round trip before they could be sent.");
+	       "Statements that were sent only after a round trip for their set-up.");
 COUNTER_DEFINE(reclaimed_total, "transactions_reclaimed_total", COUNTER_SUM,
-	       "Transactions that were ended since others waited for their connection.");
+	       "Idle transactions rolled back for callers that waited for their connection.");
 COUNTER_DEFINE(resets_total, "member_resets_total", COUNTER_SUM,
-	       "Connections reset to serve a caller with other values.");
+	       "Connections reset before serving a caller with other session values.");
 
 static void set_state(conn_t *conn, conn_state_t state)
 {
@@ -52,8 +51,8 @@
 	env->ops->member_send(env, conn->link, requests, count);
 }
 
-/* The statement that is at the member did not go well there. */
-static void note_failure(conn_t *conn, evidence_t evidence)
+/* Records a failure of the caller's statement, or of its set-up, at the member. */
+static void record_failure(conn_t *conn, evidence_t evidence)
 {
 	if (conn->caller != NULL)
 		conn->caller->failed_member = conn->member;
@@ -61,16 +60,17 @@
 }
 
 /*
- * A link or a process that ends breaks many connections at once. Counted one by one they look like
- * a member that fails whatever it is sent, and all homes would see a primary as failing.
+ * Records a connection lost under a statement. The end of a network path or of a process breaks
+ * many connections at once. Counted one by one, these losses would look like a member that fails
+ * every statement, and all homes would report a primary as failing.
  */
-static void note_loss(conn_t *conn)
+static void record_loss(conn_t *conn)
 {
 	member_t *member = conn->member;
 	usec_t now = now_of(member->pooler);
 
 	conn->caller->failed_member = member;
-	if (now < member->lost_at + SAME_LOSS)
+	if (now < member->lost_at + LOSS_MERGE_WINDOW)
 		return;
 	member->lost_at = now;
 	member_note(member, EVIDENCE_FAILED);
@@ -78,7 +78,7 @@
 
 /* --- open and close --- */
 
-/* As whom a probe's connection introduces itself; it runs no statement of a customer. */
+/* Customer name that the connection of a probe sends; a probe runs no customer's statements. */
 #define PROBE_CUSTOMER "cyclamenspan"
 
 conn_t *conn_open(member_t *member, customer_pool_t *line)
@@ -95,7 +95,7 @@
 	conn->link = pooler->env->ops->member_connect(
 		pooler->env, member->address, member->service->name, customer, member->id, conn);
 	if (conn->link == NULL) {
-		member->open_after = now_of(pooler) + REOPEN_AFTER;
+		member->open_after = now_of(pooler) + REOPEN_BACKOFF;
 		talloc_free(conn);
 		return NULL;
 	}
@@ -108,8 +108,8 @@
 	return conn;
 }
 
-/* Unlink conn from everything but its caller, and free it. */
-static void dispose(conn_t *conn)
+/* Removes the connection from its member and frees it; the caller must be detached before. */
+static void unlink_and_free(conn_t *conn)
 {
 	member_t *member = conn->member;
 
@@ -121,14 +121,14 @@
 	talloc_free(conn);
 }
 
-static void end(conn_t *conn, const char *reason)
+static void terminate(conn_t *conn, const char *reason)
 {
 	caller_t *caller = conn->caller;
 	service_t *service = conn->member->service;
 	bool sent = conn->state == CONN_RUNNING;
 
 	conn->caller = NULL;
-	dispose(conn);
+	unlink_and_free(conn);
 	if (caller != NULL)
 		caller_on_conn_lost(caller, sent, reason);
 	dispatch_run(service);
@@ -145,7 +145,7 @@
 		member->open_after = now_of(member->pooler) + PROBE_INTERVAL;
 		member_found_down(member, reason);
 	}
-	end(conn, reason);
+	terminate(conn, reason);
 }
 
 void conn_query_status(conn_t *conn)
@@ -170,21 +170,22 @@
 	dispatch_run(member->service);
 }
 
-/* The member answered, but does not take this connection. */
+/* The member has refused the connection. */
 static void on_refused(conn_t *conn, code_t code)
 {
 	member_t *member = conn->member;
 	usec_t now = now_of(member->pooler);
 
 	if (code == CODE_MISROUTED) {
-		/* Another process has the address now; the list of members will say so. */
-		member->open_after = now + FULL_FOR;
+		/* Another process has taken over the address; the members' list will follow. */
+		member->open_after = now + FULL_BACKOFF;
 		return;
 	}
 	counter_add(&full_total, 1);
 	member_heard(member);
-	member->full_until = now + FULL_FOR;
-	member->open_after = now + FULL_RETRY + pooler_random(member->pooler, FULL_RETRY);
+	member->full_until = now + FULL_BACKOFF;
+	member->open_after =
+		now + FULL_RETRY_INTERVAL + pooler_random(member->pooler, FULL_RETRY_INTERVAL);
 }
 
 void conn_on_down(conn_t *conn, code_t code, const char *reason)
@@ -193,7 +194,7 @@
 	pooler_t *pooler = member->pooler;
 	bool opening = conn->state == CONN_OPENING;
 
-	LOG_EVENT(LOG_DBG, "connection ended", LOG_STR("member", member->id),
+	LOG_EVENT(LOG_DBG, "connection closed", LOG_STR("member", member->id),
 		  LOG_STR("reason", reason), LOG_STR("code", code_name(code)),
 		  LOG_INT("state", conn->state));
 	if (opening && code != CODE_NONE) {
@@ -202,20 +203,20 @@
 		member->open_after = now_of(pooler) + PROBE_INTERVAL;
 		member_found_down(member, reason);
 	} else {
-		member->open_after = now_of(pooler) + (opening ? REOPEN_AFTER : 0) +
+		member->open_after = now_of(pooler) + (opening ? REOPEN_BACKOFF : 0) +
 				     pooler_random(pooler, 20000);
 		if (conn->state == CONN_RUNNING)
-			note_loss(conn);
-		end(conn, reason);
+			record_loss(conn);
+		terminate(conn, reason);
 		member_suspect(member, reason);
 		return;
 	}
-	end(conn, reason);
+	terminate(conn, reason);
 }
 
-/* --- setting up --- */
+/* --- set-up --- */
 
-static bool knows(const conn_t *conn, const char *alias)
+static bool has_prepared(const conn_t *conn, const char *alias)
 {
 	for (size_t i = 0; i < conn->prepared_count; i++) {
 		if (strcmp(conn->prepared[i], alias) == 0)
@@ -230,7 +231,7 @@
 	conn->prepared[conn->prepared_count++] = talloc_strdup(conn->prepared, alias);
 }
 
-static void forget_all(conn_t *conn)
+static void clear_session_state(conn_t *conn)
 {
 	variables_clear(&conn->variables);
 	talloc_free(conn->prepared);
@@ -238,123 +239,127 @@
 	conn->prepared_count = 0;
 }
 
-/* What goes to the member in one packet. */
-typedef struct flight {
+/* Requests that are sent to the member together. */
+typedef struct batch {
 	conn_t *conn;
 	member_request_t requests[CONN_SETUP_MAX + 1];
 	size_t len;
-} flight_t;
+} batch_t;
 
-static void add(flight_t *flight, member_request_t request)
+static void add_setup_request(batch_t *batch, member_request_t request)
 {
-	conn_t *conn = flight->conn;
+	conn_t *conn = batch->conn;
 
-	flight->requests[flight->len++] = request;
+	batch->requests[batch->len++] = request;
 	conn->setup[conn->setup_len++] = request.kind;
 }
 
-static slice_t slice_from(const char *text)
+static slice_t slice_of_string(const char *text)
 {
 	return slice_of(text, strlen(text));
 }
 
-static void add_variables(flight_t *flight, const caller_t *caller)
+static void add_variables(batch_t *batch, const caller_t *caller)
 {
-	conn_t *conn = flight->conn;
+	conn_t *conn = batch->conn;
 
 	if (variables_equal(&conn->variables, &caller->variables))
 		return;
 	list_for_each (it, &caller->variables.list) {
 		const variable_t *want = list_entry(it, variable_t, node);
-		const variable_t *have = variables_find(&conn->variables, slice_from(want->name));
+		const variable_t *have =
+			variables_find(&conn->variables, slice_of_string(want->name));
 
 		if (have != NULL && strcmp(have->value, want->value) == 0)
 			continue;
-		add(flight, (member_request_t){.kind = REQUEST_SET,
-					       .name = slice_from(want->name),
-					       .value = slice_from(want->value)});
-		variables_set(&conn->variables, conn, slice_from(want->name),
-			      slice_from(want->value));
+		add_setup_request(batch, (member_request_t){.kind = REQUEST_SET,
+							    .name = slice_of_string(want->name),
+							    .value = slice_of_string(want->value)});
+		variables_set(&conn->variables, conn, slice_of_string(want->name),
+			      slice_of_string(want->value));
 	}
 }
 
-static void add_name(flight_t *flight, const prepared_t *prepared)
+static void add_prepare(batch_t *batch, const prepared_t *prepared)
 {
-	conn_t *conn = flight->conn;
+	conn_t *conn = batch->conn;
 
-	if (prepared == NULL || knows(conn, prepared->alias))
+	if (prepared == NULL || has_prepared(conn, prepared->alias))
 		return;
-	add(flight, (member_request_t){.kind = REQUEST_PREPARE,
-				       .name = slice_from(prepared->alias),
-				       .value = slice_from(prepared->shape),
-				       .writes = prepared->writes});
+	add_setup_request(batch, (member_request_t){.kind = REQUEST_PREPARE,
+						    .name = slice_of_string(prepared->alias),
+						    .value = slice_of_string(prepared->shape),
+						    .writes = prepared->writes});
 	add_prepared(conn, prepared->alias);
 }
 
-static void add_begin(flight_t *flight, const caller_t *caller)
+static void add_begin(batch_t *batch, const caller_t *caller)
 {
 	member_request_t request = {.kind = caller->tx_read_only ? REQUEST_BEGIN_READ
 								 : REQUEST_BEGIN};
 
-	if (caller->tx != TX_OPEN || flight->conn->in_tx)
+	if (caller->tx != TX_OPEN || batch->conn->in_tx)
 		return;
 	if (caller->tx_read_only) {
 		request.has_after = caller->has_after;
 		request.after = caller->after;
 	}
-	add(flight, request);
+	add_setup_request(batch, request);
 }
 
-static void add_statement(flight_t *flight, const caller_t *caller)
+static void add_statement(batch_t *batch, const caller_t *caller)
 {
 	member_request_t request = {.kind = REQUEST_FORWARD, .statement = &caller->statement};
 
 	if (caller->exec != NULL) {
 		request.kind = REQUEST_EXEC;
-		request.name = slice_from(caller->exec->alias);
+		request.name = slice_of_string(caller->exec->alias);
 	}
 	if (caller->tx == TX_NONE && caller->target == TARGET_ANY) {
 		request.has_after = caller->has_after;
 		request.after = caller->after;
 	}
-	flight->requests[flight->len++] = request;
+	batch->requests[batch->len++] = request;
 }
 
-static void send_flight(flight_t *flight, conn_state_t state)
+static void send_batch(batch_t *batch, conn_state_t state)
 {
-	set_state(flight->conn, state);
-	send_requests(flight->conn, flight->requests, flight->len);
+	set_state(batch->conn, state);
+	send_requests(batch->conn, batch->requests, batch->len);
 }
 
 static void send_statement(conn_t *conn)
 {
-	flight_t flight = {.conn = conn};
+	batch_t batch = {.conn = conn};
 
 	conn->setup_len = 0;
 	conn->setup_done = 0;
-	add_statement(&flight, conn->caller);
-	send_flight(&flight, CONN_RUNNING);
+	add_statement(&batch, conn->caller);
+	send_batch(&batch, CONN_RUNNING);
 }
 
-/* Set up what the statement needs; flight holds what must be sent for that. */
-static void prepare(flight_t *flight)
+/*
+ * Puts into the batch the set-up requests that the connection needs for its caller's statement:
+ * RESET, values, PREPARE and BEGIN.
+ */
+static void build_setup(batch_t *batch)
 {
-	conn_t *conn = flight->conn;
+	conn_t *conn = batch->conn;
 	caller_t *caller = conn->caller;
 
 	conn->setup_len = 0;
 	conn->setup_done = 0;
 	conn->setup_code = CODE_NONE;
-	/* A value that the caller does not have can only be taken away by a reset. */
+	/* A value that the caller has not set can only be removed by a reset. */
 	if (!conn->in_tx && (!variables_is_subset(&conn->variables, &caller->variables) ||
 			     conn->prepared_count >= PREPARED_MAX)) {
 		counter_add(&resets_total, 1);
-		forget_all(conn);
-		add(flight, (member_request_t){.kind = REQUEST_RESET});
+		clear_session_state(conn);
+		add_setup_request(batch, (member_request_t){.kind = REQUEST_RESET});
 	}
-	add_variables(flight, caller);
-	add_name(flight, caller->exec);
-	add_begin(flight, caller);
+	add_variables(batch, caller);
+	add_prepare(batch, caller->exec);
+	add_begin(batch, caller);
 }
 
 void conn_run(conn_t *conn, caller_t *caller)
@@ -368,23 +373,23 @@
 
 void conn_run_in_tx(conn_t *conn)
 {
-	flight_t flight = {.conn = conn};
-	bool only_name;
+	batch_t batch = {.conn = conn};
+	bool only_prepare;
 
-	prepare(&flight);
-	only_name = conn->setup_len == 1 && conn->setup[0] == REQUEST_PREPARE;
+	build_setup(&batch);
+	only_prepare = conn->setup_len == 1 && conn->setup[0] == REQUEST_PREPARE;
 	/*
-	 * The statement waits for the replies to what it rests on: in one flight a failed BEGIN
-	 * would let a write of a transaction run and commit by itself. Only a name may go along:
-	 * without it the statement does not run.
+	 * The statement is sent only after the replies to its set-up. If it were sent together with
+	 * BEGIN and that failed, a write would run and commit outside its transaction. Only a
+	 * PREPARE may be sent together with its EXEC, which does not run if the PREPARE fails.
 	 */
-	if (conn->setup_len != 0 && !only_name) {
+	if (conn->setup_len != 0 && !only_prepare) {
 		counter_add(&setups_total, 1);
-		send_flight(&flight, CONN_PREPARING);
+		send_batch(&batch, CONN_PREPARING);
 		return;
 	}
-	add_statement(&flight, conn->caller);
-	send_flight(&flight, CONN_RUNNING);
+	add_statement(&batch, conn->caller);
+	send_batch(&batch, CONN_RUNNING);
 }
 
 /* --- replies --- */
@@ -406,26 +411,26 @@
 		return;
 	}
 	if (conn->setup_code == CODE_BUSY)
-		note_failure(conn, EVIDENCE_REFUSED);
-	/* Only BEGIN can be refused without leaving the connection in an unknown state. */
+		record_failure(conn, EVIDENCE_REFUSED);
+	/* After a refused BEGIN the connection's state is known; after any other it is not. */
 	conn->caller = NULL;
 	code = conn->setup_code;
 	if (kind == REQUEST_BEGIN || kind == REQUEST_BEGIN_READ)
 		set_state(conn, CONN_IDLE);
 	else
-		conn_close(conn, "setting up failed");
+		conn_close(conn, "set-up failed");
 	caller_on_setup_refused(caller, code);
 }
 
-/* The reply to a name that went along with its statement, whose own reply is next. */
-static void on_name_reply(conn_t *conn, const reply_t *reply)
+/* Handles the reply to a PREPARE that was sent together with its EXEC, whose reply is next. */
+static void on_prepare_reply(conn_t *conn, const reply_t *reply)
 {
 	conn->setup_done++;
 	if (!reply->ok)
 		conn->prepared_count = 0;
 }
 
-static void take_sample(conn_t *conn, const reply_t *reply, usec_t now)
+static void record_position(conn_t *conn, const reply_t *reply, usec_t now)
 {
 	member_t *member = conn->member;
 	service_t *service = member->service;
@@ -462,11 +467,11 @@
 	duty_tick(member->pooler, now_of(member->pooler));
 }
 
-/* The member is done with what nobody waits for. */
+/* Handles a reply that no caller waits for: to an abandoned statement or to a ROLLBACK. */
 static void on_late_reply(conn_t *conn, const reply_t *reply)
 {
 	if (conn->setup_done < conn->setup_len) {
-		on_name_reply(conn, reply);
+		on_prepare_reply(conn, reply);
 		return;
 	}
 	conn->in_tx = reply->tx != TX_NONE;
@@ -477,23 +482,26 @@
 	conn_release(conn);
 }
 
-/* What the reply to a statement tells of the member; a refusal by position or role is no fault. */
-static void note_outcome(conn_t *conn, const reply_t *reply)
+/*
+ * Records the outcome of a statement for outlier detection. A refusal because of the log position
+ * or the role is not a fault of the member.
+ */
+static void record_outcome(conn_t *conn, const reply_t *reply)
 {
 	if (reply->ok && reply->is_signed)
 		member_note(conn->member, EVIDENCE_GOOD);
 	else if (reply->ok || reply->code == CODE_FAILED || reply->code == CODE_TIMEOUT)
-		note_failure(conn, EVIDENCE_FAILED);
+		record_failure(conn, EVIDENCE_FAILED);
 	else if (reply->code == CODE_BUSY)
-		note_failure(conn, EVIDENCE_REFUSED);
+		record_failure(conn, EVIDENCE_REFUSED);
 }
 
 /*
- * Callers would see a read fail that any other member would serve. It changes nothing, so it is run
- * again, elsewhere if possible; not more than twice, since a read that is itself at fault fails
- * everywhere.
+ * Runs a failed read again, on another member if possible, since one faulty member must not fail
+ * reads that others would serve. A read changes nothing, so that is safe. caller_retry_read()
+ * allows two retries: a read that is itself faulty fails everywhere.
  */
-static bool read_again(conn_t *conn, const reply_t *reply)
+static bool retry_failed_read(conn_t *conn, const reply_t *reply)
 {
 	if (reply->ok || reply->code != CODE_FAILED || !caller_retry_read(conn->caller))
 		return false;
@@ -501,17 +509,17 @@
 	return true;
 }
 
-/* The reply to the caller's statement itself. */
+/* Handles the reply to the caller's statement, after those to its set-up. */
 static void on_statement_reply(conn_t *conn, const reply_t *reply, usec_t now)
 {
-	/* A refusal is quick and says nothing of how long work takes. */
+	/* Errors are not measured: a quick refusal says nothing about the response time. */
 	if (reply->ok)
 		member_measure(conn->member, now - conn->sent_at);
 	else if (reply->code == CODE_LAGGING)
 		conn->member->lagged_at = now;
 	conn->in_tx = reply->tx != TX_NONE;
-	note_outcome(conn, reply);
-	if (!read_again(conn, reply))
+	record_outcome(conn, reply);
+	if (!retry_failed_read(conn, reply))
 		caller_on_reply(conn->caller, conn, reply);
 }
 
@@ -524,20 +532,20 @@
 		on_status(conn, reply, status);
 		return;
 	}
-	take_sample(conn, reply, now);
+	record_position(conn, reply, now);
 	switch (conn->state) {
 	case CONN_PREPARING:
 		if (conn->caller == NULL) {
-			/* Its caller left; replies to the rest of the flight are still to come. */
+			/* The caller is gone; the remaining set-up replies still arrive. */
 			if (++conn->setup_done == conn->setup_len)
-				conn_close(conn, "caller left while setting up");
+				conn_close(conn, "caller gone during set-up");
 			return;
 		}
 		on_setup_reply(conn, reply);
 		break;
 	case CONN_RUNNING:
 		if (conn->setup_done < conn->setup_len) {
-			on_name_reply(conn, reply);
+			on_prepare_reply(conn, reply);
 			return;
 		}
 		on_statement_reply(conn, reply, now);
@@ -551,7 +559,7 @@
 	}
 }
 
-/* --- giving back --- */
+/* --- release --- */
 
 void conn_release(conn_t *conn)
 {
@@ -577,7 +585,7 @@
 {
 	caller_t *caller = conn->caller;
 
-	LOG_EVENT(LOG_INFO, "transaction ended", LOG_STR("member", conn->member->id),
+	LOG_EVENT(LOG_INFO, "transaction reclaimed", LOG_STR("member", conn->member->id),
 		  LOG_STR("reason", reason), LOG_STR("database", caller->database),
 		  LOG_INT("idle_ms", (int64_t)((now_of(conn->member->pooler) - conn->state_since) /
 					       USEC_PER_MSEC)));
@@ -615,11 +623,12 @@
 }
 
 /*
- * True if its own customer's callers can do without it, or have to. One that has served nobody yet
- * was made for a caller that waits for it: taken now it would be made again, and taken again, and
- * under load nobody would be served.
+ * True if the connection may be evicted: no caller of its own customer waits, or the other caller
+ * takes precedence (waited). A connection that has served no statement yet was opened for a waiting
+ * caller. If it were evicted too, connections would be opened and evicted in turn under load, and
+ * no caller would be served.
  */
-static bool is_spare(const conn_t *conn, bool waited)
+static bool is_evictable(const conn_t *conn, bool waited)
 {
 	return conn->customer_pool->waiting == 0 || (waited && conn->has_served);
 }
@@ -632,7 +641,7 @@
 		conn_t *conn = list_entry(it, conn_t, node);
 
 		if (conn->state != CONN_IDLE || conn->probe ||
-		    conn->customer_pool == caller->customer_pool || !is_spare(conn, waited))
+		    conn->customer_pool == caller->customer_pool || !is_evictable(conn, waited))
 			continue;
 		if (longest == NULL || conn->state_since < longest->state_since)
 			longest = conn;
--- a/pooler/conn.h
+++ b/pooler/conn.h
@@ -1,44 +1,48 @@
 /*
- * A connection to a member. It serves one caller at a time, for a statement or
- * for a transaction, with exactly that caller's values; what is unsure about it
- * closes it.
+ * A connection to a member. It serves one caller at a time, for one statement or one transaction,
+ * with exactly the session values of that caller. A connection whose state at the member is
+ * uncertain is closed.
  */
 #pragma once
 
 #include "state.h"
 
 /*
- * For a customer's callers; line NULL: a probe, which only asks for the status. NULL if the member
- * can't be reached at once.
+ * Opens a connection for a customer's callers. customer_pool NULL: a probe, which only queries the
+ * member's status. Returns NULL if the connection fails at once.
  */
-conn_t *conn_open(member_t *member, customer_pool_t *line);
+conn_t *conn_open(member_t *member, customer_pool_t *customer_pool);
 
-/* Close it; a caller on it learns what became of its statement. */
+/* Closes the connection; its caller, if any, is notified with caller_on_conn_lost(). */
 void conn_close(conn_t *conn, const char *reason);
 
-/* Ask an idle connection's member for its status. */
+/* Queries the member's status over an idle connection. */
 void conn_query_status(conn_t *conn);
 
-/* Set the connection up for its caller's statement and send it. */
+/* Assigns the connection to the caller, sets it up for the caller's statement and sends that. */
 void conn_run(conn_t *conn, caller_t *caller);
 
-/* Send the statement of the caller whose transaction the connection holds. */
+/* Sends the next statement of the caller whose transaction holds the connection. */
 void conn_run_in_tx(conn_t *conn);
 
-/* The caller is done with it: roll back what is open, then serve others. */
+/* Takes the connection from its caller, rolls back an open transaction and serves other callers. */
 void conn_release(conn_t *conn);
 
-/* End the transaction of a caller that sends nothing; its next statement learns of it. */
+/* Rolls back the caller's idle transaction; the caller is informed at its next statement. */
 void conn_reclaim(conn_t *conn, const char *reason);
 
-/* The caller no longer waits for the reply to what is running. */
+/* Detaches the caller, which no longer waits for the reply to the running statement. */
 void conn_orphan(conn_t *conn);
 
 /*
- * An idle connection of another customer that may be closed to make room for one of the caller's:
- * the one unused for longest, or NULL. waited: the caller goes before those that would use it.
+ * Returns the connection of another customer that has been idle for longest and may be closed to
+ * make room for one of the caller's customer, or NULL. waited: the caller has waited so long that
+ * it takes precedence over waiting callers of that other customer.
  */
 conn_t *conn_find_evictable(const member_t *member, const caller_t *caller, bool waited);
 
-/* An idle connection of member for the caller's customer, whose values fit best; or NULL. */
+/*
+ * Returns an idle connection of the caller's customer to the member, preferably one whose session
+ * values need no reset; NULL if there is none.
+ */
 conn_t *conn_find_idle(const member_t *member, const caller_t *caller);
