--- a/pooler/forward.c
+++ b/pooler/forward.c
@@ -15,17 +15,17 @@
 #include "counter.h"
 #include "log.h"
 
-/* Of a result from its proxy to us, with what both need to get to it under load. */
-#define RESULT_WAYS (60 * USEC_PER_MSEC)
+/* Time for a result to get from the helper to this proxy, with scheduling delays of both. */
+#define RESULT_TRANSIT_TIME (60 * USEC_PER_MSEC)
 
 COUNTER_DEFINE(forwarded_total, "statements_forwarded_total", COUNTER_SUM,
-	       "Statements handed to another proxy.");
+	       "Statements forwarded to another proxy.");
 COUNTER_DEFINE(unanswered_total, "statements_forwarded_unanswered_total", COUNTER_SUM,
-	       "Of these, reads that were tried again without an answer.");
+	       "Forwarded reads that got no answer and were retried.");
 
-/* --- handing on --- */
+/* --- sending --- */
 
-static size_t count_at(const pooler_t *pooler, const char *helper)
+static size_t count_forwarded_to(const pooler_t *pooler, const char *helper)
 {
 	size_t count = 0;
 
@@ -34,7 +34,7 @@
 	return count;
 }
 
-/* False if it was certainly not sent. */
+/* Sends the statement to the helper; returns false if it was certainly not sent. */
 static bool send_request(caller_t *caller, const roster_node_t *helper,
 			 const statement_t *statement, usec_t now)
 {
@@ -44,8 +44,11 @@
 		.number = caller->forward_number,
 		.database = caller->database,
 		.customer = caller->customer,
-		/* So that a refusal, which promises something, comes before we give up. */
-		.left = left > RESULT_WAYS ? left - RESULT_WAYS : left,
+		/*
+		 * The helper's deadline is earlier, so that its refusal, which promises that the
+		 * statement did not run, arrives before the caller's own deadline.
+		 */
+		.left = left > RESULT_TRANSIT_TIME ? left - RESULT_TRANSIT_TIME : left,
 		.statement = statement,
 		.variables = &caller->variables,
 		.has_commit = caller->has_commit,
@@ -62,8 +65,8 @@
 	return pooler->env->ops->peer_send(pooler->env, helper->name, helper->address, &message);
 }
 
-/* The statement is at the helper from now on; false if there is no link to that one yet. */
-static bool hand_over(caller_t *caller, const roster_node_t *helper, usec_t now)
+/* Forwards the caller's statement to the helper; returns false if there is no link to it yet. */
+static bool forward_to(caller_t *caller, const roster_node_t *helper, usec_t now)
 {
 	pooler_t *pooler = caller->pooler;
 
@@ -102,9 +105,12 @@
 	if (caller->tx == TX_OPEN)
 		caller->remote_tx = pooler_next_number(pooler);
 	set_helper(caller, home->name);
-	if (hand_over(caller, home, now))
+	if (forward_to(caller, home, now))
 		return FORWARD_SENT;
-	/* Its link is being made, or it is gone: unanswered, it is passed over soon. */
+	/*
+	 * The link to the home is being made, or the home is gone. In the latter case the request
+	 * stays unanswered, and the next candidate is chosen soon.
+	 */
 	caller->remote_tx = 0;
 	home_on_sent(pooler, home->name, now);
 	return FORWARD_WAIT;
@@ -117,7 +123,7 @@
 
 	if (helper == NULL || helper->gone || home_is_suspect(pooler, caller->helper, now))
 		return false;
-	return hand_over(caller, helper, now);
+	return forward_to(caller, helper, now);
 }
 
 void forward_end_tx(caller_t *caller)
@@ -132,7 +138,7 @@
 	if (caller->remote_tx == 0)
 		return;
 	helper = roster_node(caller->pooler->sync.roster, caller->helper);
-	/* If this is lost, the transaction ends by the limit for idle ones. */
+	/* If this message is lost, the time-out of idle transactions ends the transaction. */
 	if (helper != NULL)
 		send_request(caller, helper, &rollback, now_of(caller->pooler));
 	caller->remote_tx = 0;
@@ -161,7 +167,7 @@
 {
 	caller_t *caller = find_forwarded(pooler, message->result->number);
 
-	/* Given up meanwhile, or asked of somebody else since. */
+	/* No caller waits for this result any more, or it waits for another proxy now. */
 	if (caller != NULL && strcmp(caller->helper, message->from) == 0)
 		forward_cancel(caller);
 	else
@@ -178,11 +184,14 @@
 	const peer_report_t *report = exchange_report(pooler, peer);
 
 	if (report != NULL && report->unanswered_since != 0)
-		home_on_heard(pooler, peer, count_at(pooler, peer), now_of(pooler));
+		home_on_heard(pooler, peer, count_forwarded_to(pooler, peer), now_of(pooler));
 }
 
-/* Nothing more is expected of the home for what the caller has asked. */
-static bool is_given_up(const caller_t *caller, usec_t now)
+/*
+ * True if the helper is suspected to be dead and the statement may be retried. Statements that may
+ * commit wait for their deadline instead.
+ */
+static bool is_unanswered(const caller_t *caller, usec_t now)
 {
 	if (caller_may_commit(caller))
 		return false;
@@ -194,10 +203,10 @@
 	list_for_each_safe (it, &pooler->forwarded) {
 		caller_t *caller = list_entry(it, caller_t, forwarded_node);
 
-		if (!is_given_up(caller, now))
+		if (!is_unanswered(caller, now))
 			continue;
 		forward_cancel(caller);
 		counter_add(&unanswered_total, 1);
-		caller_on_conn_lost(caller, true, "no answer of the proxy that helps");
+		caller_on_conn_lost(caller, true, "no answer from the helper");
 	}
 }
--- a/pooler/forward.h
+++ b/pooler/forward.h
@@ -1,41 +1,46 @@
 /*
- * Statements that another proxy runs for one of our callers: the home of the service in a fleet
- * that is larger than the members' connections (home.h).
+ * Statements of this proxy's callers that another proxy runs: the home of the service. In a fleet
+ * with more proxies than a member accepts connections, only homes connect to members (home.h).
  *
- * The home gets the statement with all that it needs of its session, and serves it as if its own
- * caller had sent it (job.h), by its own permission and its own queue. It hands the answer back,
- * which is passed on only if our permission for that member still holds.
+ * The home receives the statement with all that it needs of its session, and serves it like one of
+ * its own callers (job.h), by its own permission and in its own queue. It sends back the result,
+ * which is passed on only if this proxy's permission for that member still holds.
  *
- * A statement is handed on once. Without an answer a read is tried again, a write is in doubt.
- * A transaction stays where its first statement was taken, and is over if that proxy loses it:
- * its connection to the member is gone then, and what was not committed with it.
+ * A statement is forwarded once. If no result comes, a read is retried and a write ends in doubt.
+ * A transaction stays at the proxy that its first statement was sent to. If that proxy loses it,
+ * the transaction has failed: its connection to the member is closed, and the member has rolled
+ * back.
  */
 #pragma once
 
 #include "state.h"
 
 typedef enum {
-	FORWARD_LOCAL, /* it is ours to serve: we are the home, or none answers */
-	FORWARD_SENT,  /* the home has it */
-	FORWARD_WAIT,  /* the home can't be reached yet */
+	FORWARD_LOCAL, /* this proxy serves the statement itself: it is the home, or none answers */
+	FORWARD_SENT,  /* the statement was sent to the home */
+	FORWARD_WAIT,  /* the link to the home is not up yet */
 } forward_status_t;
 
-/* Hand the waiting caller's statement to its service's home. */
+/* Forwards the waiting caller's statement to the home of its service. */
 forward_status_t forward_to_home(caller_t *caller, usec_t now);
 
-/* The next statement of a transaction that another proxy has; false if that is out of reach. */
+/*
+ * Forwards the next statement of a transaction to the proxy that runs it. Returns false if that
+ * proxy can't be reached.
+ */
 bool forward_next_statement(caller_t *caller, usec_t now);
 
-/* The caller's transaction is not needed any more where it is. */
+/* Rolls back the caller's transaction at the proxy that runs it, if there is one. */
 void forward_end_tx(caller_t *caller);
 
-/* The caller's statement is not waited for any more. */
+/* Stops waiting for the result of the caller's forwarded statement, if there is one. */
 void forward_cancel(caller_t *caller);
 
-/* The answer to one of our statements. */
+/* Handles the result of a forwarded statement. */
 void forward_on_result(pooler_t *pooler, const peer_message_t *message);
 
-/* Any message of that peer has come. */
+/* Any message has arrived from that proxy, so it is alive. */
 void forward_on_peer_message(pooler_t *pooler, const char *peer);
 
+/* Gives up the wait for homes that do not answer. */
 void forward_tick(pooler_t *pooler, usec_t now);
