--- a/pooler/job.c
+++ b/pooler/job.c
@@ -14,7 +14,7 @@
 COUNTER_DEFINE(jobs_total, "statements_run_for_others_total", COUNTER_SUM,
 	       "Statements run for another proxy.");
 
-/* The statement is not taken: its proxy may do otherwise with it. */
+/* Declines the statement, which has not run: the origin may run it elsewhere. */
 static void decline(pooler_t *pooler, const peer_message_t *message)
 {
 	forward_result_t result = {
@@ -29,10 +29,10 @@
 }
 
 /*
- * Its transaction is not known here: the connection that it had is gone, by a restart or since it
- * rested too long, and with it all that was not committed.
+ * Answers a statement of a transaction that this proxy does not have. The transaction's connection
+ * was closed, by a restart or by the time-out of idle transactions, so the member has rolled back.
  */
-static void tell_lost(pooler_t *pooler, const peer_message_t *message)
+static void answer_lost_tx(pooler_t *pooler, const peer_message_t *message)
 {
 	forward_result_t result = {
 		.number = message->request->number,
@@ -45,8 +45,8 @@
 	outbox_send_result(&pooler->outbox, message->from, message->address, &result);
 }
 
-/* The session as far as its statement needs it. */
-static void give_session(caller_t *caller, const forward_request_t *request)
+/* Sets up the parts of the origin's session that the statement needs. */
+static void restore_session(caller_t *caller, const forward_request_t *request)
 {
 	const statement_t *statement = request->statement;
 
@@ -65,7 +65,7 @@
 	caller->committed_at = now_of(caller->pooler);
 }
 
-static caller_t *find(const pooler_t *pooler, const peer_message_t *message)
+static caller_t *find_tx(const pooler_t *pooler, const peer_message_t *message)
 {
 	list_for_each (it, &pooler->callers) {
 		caller_t *caller = list_entry(it, caller_t, node);
@@ -80,14 +80,14 @@
 	return NULL;
 }
 
-/* NULL if it can't be taken. */
-static caller_t *open(pooler_t *pooler, const peer_message_t *message)
+/* Creates a caller for the request; returns NULL if this proxy can't run it. */
+static caller_t *open_job(pooler_t *pooler, const peer_message_t *message)
 {
 	const forward_request_t *request = message->request;
 	caller_t *caller;
 	job_t *job;
 
-	/* By an older configuration the sender would fall back behind what it has shown. */
+	/* The origin's callers must not be served by an older configuration than its own. */
 	if (pooler->draining || pooler->routes == NULL ||
 	    pooler->routes->version != message->config_version ||
 	    routes_find(pooler->routes, request->database) == NULL)
@@ -95,7 +95,7 @@
 	job = talloc_zero(pooler, job_t);
 	caller = caller_create(pooler, request->database, job);
 	caller->job = talloc_steal(caller, job);
-	/* Whoever took the statement has looked at its key. */
+	/* The origin has checked the caller's key. */
 	caller->customer = talloc_strdup(caller, request->customer);
 	job->origin = talloc_strdup(job, message->from);
 	job->origin_address = talloc_strdup(job, message->address);
@@ -106,8 +106,8 @@
 	return caller;
 }
 
-/* Who is asked to serve keeps connections for it. */
-static void mark_served(const caller_t *caller)
+/* Notes that other proxies use the service here: a home in use keeps its connections open. */
+static void mark_service_used(const caller_t *caller)
 {
 	const route_t *route = routes_find(caller->pooler->routes, caller->database);
 
@@ -115,20 +115,20 @@
 		service_get(caller->pooler, route->service)->served_others = now_of(caller->pooler);
 }
 
-static void run(caller_t *caller, const forward_request_t *request)
+static void run_job(caller_t *caller, const forward_request_t *request)
 {
 	counter_add(&jobs_total, 1);
 	caller->job->request_number = request->number;
 	caller->job->time_left = request->left;
-	give_session(caller, request);
-	mark_served(caller);
+	restore_session(caller, request);
+	mark_service_used(caller);
 	caller_on_statement(caller, request->statement);
 }
 
 void job_on_request(pooler_t *pooler, const peer_message_t *message)
 {
 	const forward_request_t *request = message->request;
-	caller_t *caller = request->session != 0 ? find(pooler, message) : NULL;
+	caller_t *caller = request->session != 0 ? find_tx(pooler, message) : NULL;
 
 	if (request->statement->kind == STATEMENT_ROLLBACK) {
 		if (caller != NULL)
@@ -136,15 +136,15 @@
 		return;
 	}
 	if (caller == NULL && (request->session == 0 || request->begins)) {
-		caller = open(pooler, message);
+		caller = open_job(pooler, message);
 		if (caller == NULL)
 			decline(pooler, message);
 	} else if (caller == NULL || caller->busy) {
-		tell_lost(pooler, message);
+		answer_lost_tx(pooler, message);
 		return;
 	}
 	if (caller != NULL)
-		run(caller, request);
+		run_job(caller, request);
 }
 
 void job_send_result(caller_t *caller, const caller_reply_t *reply, const reply_t *from)
@@ -170,7 +170,7 @@
 	outbox_send_result(&caller->pooler->outbox, job->origin, job->origin_address, &result);
 }
 
-/* The proxy that it stands for has left the fleet, or is another process now. */
+/* True if the origin of the transaction has left the fleet or was restarted. */
 static bool is_abandoned(const caller_t *caller)
 {
 	const job_t *job = caller->job;
--- a/pooler/job.h
+++ b/pooler/job.h
@@ -1,16 +1,20 @@
 /*
- * Statements that this proxy runs for others: a caller of ours stands for each, or for each
- * transaction, and is served like one that has connected here.
+ * Statements that this proxy runs for other proxies, which have forwarded them (forward.h). A
+ * caller_t with a job_t represents each such statement, or each transaction, and is served like a
+ * caller that has connected here.
  */
 #pragma once
 
 #include "state.h"
 
-/* Another proxy's statement, or the end of its transaction. */
+/* Runs a statement that another proxy has forwarded, or ends its transaction. */
 void job_on_request(pooler_t *pooler, const peer_message_t *message);
 
-/* What came of it; from is the member's reply if it is passed on as it is, else NULL. */
+/*
+ * Sends the result of the job's statement to the proxy that forwarded it. from: the member's reply
+ * if it is passed on unchanged, else NULL.
+ */
 void job_send_result(caller_t *job, const caller_reply_t *reply, const reply_t *from);
 
-/* True if the job is over and its caller can be freed. */
+/* True if the caller's job, if it has one, is done, so that the caller can be freed. */
 bool job_is_done(const caller_t *job);
