--- a/pooler/admission.c
+++ b/pooler/admission.c
@@ -10,15 +10,15 @@
 #include "counter.h"
 #include "log.h"
 
-/* As whom a member knows callers that need no key. */
-#define NO_CUSTOMER "public"
+/* Customer name that members are sent for callers without a key. */
+#define PUBLIC_CUSTOMER "public"
 
 COUNTER_DEFINE(unknown_total, "keys_unknown_total", COUNTER_SUM,
-	       "Sessions refused since no customer has their key.");
+	       "Sessions refused because no customer has their key.");
 COUNTER_DEFINE(no_database_total, "databases_unknown_total", COUNTER_SUM,
-	       "Sessions refused since the configuration names no such database.");
+	       "Sessions refused because the configuration has no such database.");
 COUNTER_DEFINE(barred_total, "sessions_barred_total", COUNTER_SUM,
-	       "Open sessions whose key was taken from their customer.");
+	       "Open sessions whose key was revoked.");
 
 static const customer_t *customer_of(const pooler_t *pooler, const key_digest_t *key)
 {
@@ -40,8 +40,9 @@
 }
 
 /*
- * True if what the configuration lacks is unknown: no newer one is heard of, and none can have been
- * in force for its bound.
+ * True if a key or database that is missing in the configuration does not exist: no newer version
+ * has been reported, and the store has confirmed this one as the newest within the bound in which a
+ * new configuration must be in force.
  */
 static bool is_current(const pooler_t *pooler)
 {
@@ -71,7 +72,7 @@
 	}
 	if (route->keyless)
 		return true;
-	/* What is too old does not show that a key is unknown either. */
+	/* A configuration that is not current does not prove that a key is unknown. */
 	if (!proof_holds(&pooler->config_validity, now_of(pooler)) ||
 	    (customer_of(pooler, key) == NULL && !is_current(pooler))) {
 		*code = CODE_BUSY;
@@ -103,7 +104,7 @@
 
 	caller->keyless = route->keyless;
 	if (route->keyless) {
-		admission_set_customer(caller, customer != NULL ? customer->name : NO_CUSTOMER);
+		admission_set_customer(caller, customer != NULL ? customer->name : PUBLIC_CUSTOMER);
 		return true;
 	}
 	if (!proof_holds(&pooler->config_validity, now_of(pooler))) {
@@ -118,8 +119,8 @@
 	return true;
 }
 
-/* True if the session's operations would run by the same name as the last one. */
-static bool is_same(const caller_t *caller)
+/* True if the session's key still belongs to the customer of its last operation. */
+static bool has_same_customer(const caller_t *caller)
 {
 	const customer_t *customer = customer_of(caller->pooler, &caller->key);
 
@@ -129,45 +130,46 @@
 
 bool admission_check_transaction(const caller_t *caller, reason_t *reason)
 {
-	/* The proxy that it stands for has looked. */
+	/* The proxy that has forwarded the statement has checked the key. */
 	if (caller->job != NULL || caller->keyless)
 		return true;
 	if (!proof_holds(&caller->pooler->config_validity, now_of(caller->pooler)))
 		*reason = REASON_KEYS_TOO_OLD;
-	else if (!is_same(caller))
+	else if (!has_same_customer(caller))
 		*reason = REASON_KEY_REVOKED;
 	else
 		return true;
 	return false;
 }
 
-static bool is_barred(const caller_t *caller)
+static bool is_key_revoked(const caller_t *caller)
 {
 	const route_t *route = routes_find(caller->pooler->routes, caller->database);
 
 	if (caller->job != NULL || route == NULL || route->keyless)
 		return false;
-	return caller->customer != NULL ? !is_same(caller)
+	return caller->customer != NULL ? !has_same_customer(caller)
 					: customer_of(caller->pooler, &caller->key) == NULL;
 }
 
 /*
- * A transaction of a key that was taken would hold its connection, and keep its locks, until its
- * client sends the next statement. One that is under way is looked at when its client sends again.
+ * Marks a session whose key was revoked and rolls back its idle transaction, which would otherwise
+ * keep its connection and its locks until the client sends the next statement. A session with a
+ * statement in progress is checked at the next statement.
  */
-static void bar(caller_t *caller)
+static void revoke_session(caller_t *caller)
 {
 	char label[KEY_LABEL_TEXT];
 
 	caller->key_revoked = true;
 	counter_add(&barred_total, 1);
 	key_label(&caller->key, label);
-	LOG_EVENT(LOG_INFO, "key was taken", LOG_STR("database", caller->database),
+	LOG_EVENT(LOG_INFO, "key of a session revoked", LOG_STR("database", caller->database),
 		  LOG_STR("customer", caller->customer != NULL ? caller->customer : ""),
 		  LOG_STR("key", label), LOG_INT("config", caller->pooler->routes->version),
 		  LOG_INT("in_transaction", caller->tx == TX_OPEN), LOG_INT("busy", caller->busy));
 	if (caller->tx == TX_OPEN && !caller->busy && caller->conn != NULL)
-		conn_reclaim(caller->conn, "its key was taken");
+		conn_reclaim(caller->conn, "key revoked");
 }
 
 void admission_on_keys_changed(pooler_t *pooler)
@@ -175,9 +177,9 @@
 	list_for_each (it, &pooler->callers) {
 		caller_t *caller = list_entry(it, caller_t, node);
 
-		if (!caller->key_revoked && is_barred(caller))
-			bar(caller);
-		else if (caller->key_revoked && !is_barred(caller))
+		if (!caller->key_revoked && is_key_revoked(caller))
+			revoke_session(caller);
+		else if (caller->key_revoked && !is_key_revoked(caller))
 			caller->key_revoked = false;
 	}
 }
--- a/pooler/admission.h
+++ b/pooler/admission.h
@@ -1,38 +1,43 @@
 /*
- * Whether an operation of a session may run, and for which customer. The key with which the session
- * began is looked up anew for each statement: a session may be open for hours, and its key may be
- * taken away or passed on to another customer meanwhile.
+ * Checks whether an operation of a session may run, and for which customer. The session's key is
+ * looked up again for each statement: a session may be open for hours, and meanwhile its key may be
+ * revoked or given to another customer.
  *
- * The look is made when a statement has been read, and that is enough, however long it waits
- * afterwards: it was sent before it was read, and what counts is when it was sent. So the statement
- * may go on to a home or a queue with the customer's name alone.
+ * The check is made when a statement has been read, and is not repeated however long the statement
+ * waits afterwards: what counts is when the statement was sent, and that was before. So only the
+ * customer's name goes along with a statement that is queued or forwarded to a home.
  */
 #pragma once
 
 #include "state.h"
 
 /*
- * True if a session with the database may begin by the caller's key; else *code says why not.
- * Counts and logs who is turned away.
+ * Returns true if a session with the database may begin with this key; else sets *code to the
+ * reason. Counts and logs refused sessions.
  */
 bool admission_check_session(const pooler_t *pooler, const char *database, const key_digest_t *key,
 			     code_t *code);
 
 /*
- * What a caller is told whose database the configuration in force does not name: that there is
- * none, or to come back if a newer configuration may have it.
+ * Returns the code for a caller whose database is not in the configuration in force: no such
+ * database, or busy (retry later) if a newer configuration may have it. Sets *reason.
  */
 code_t admission_unknown_database(const pooler_t *pooler, reason_t *reason);
 
-/* True if an operation on the caller's route may begin; sets its customer. Else *reason tells why.
+/*
+ * Returns true, and sets the caller's customer, if an operation on the caller's route may begin;
+ * else sets *reason.
  */
 bool admission_check_operation(caller_t *caller, const route_t *route, reason_t *reason);
 
-/* True if a transaction that began so may go on by the same customer's name. */
+/*
+ * Returns true if the caller's open transaction may go on, since its key still belongs to the same
+ * customer; else sets *reason.
+ */
 bool admission_check_transaction(const caller_t *caller, reason_t *reason);
 
-/* Whose statements run there now; line and name follow. */
+/* Sets the customer that the caller's statements run for, and the customer pool. */
 void admission_set_customer(caller_t *caller, const char *customer);
 
-/* Another table of keys is in force: end what rests on keys that are gone. */
+/* Another set of keys is in force: rolls back idle transactions whose keys were revoked. */
 void admission_on_keys_changed(pooler_t *pooler);
