--- a/pooler/pooler.c
+++ b/pooler/pooler.c
@@ -28,57 +28,59 @@
 #include "histogram.h"
 #include "log.h"
 
-/* How often time-outs that need no precision are looked at. */
+/* Interval of the tick, which checks time-outs that need no precision. */
 #define TICK_INTERVAL (50 * USEC_PER_MSEC)
-/* The same while nothing is under way: as often as the fleet is asked for news. */
-#define TICK_IDLE (250 * USEC_PER_MSEC)
+/* Interval of the tick while the proxy is idle: the interval of its queries for updates. */
+#define IDLE_TICK_INTERVAL (250 * USEC_PER_MSEC)
 /*
- * A tick that comes so late means that the process had no processor. Answers may lie unread in its
- * buffers, so nobody is held to be silent before they were looked at: on a VM with an eighth of
- * a core the holder of the duty would call all primaries down, and replace them, at the start of a
+ * A tick that is this late shows that the process was not scheduled. Answers may lie unread in its
+ * buffers, so no member counts as unresponsive before they are read. Otherwise, on a VM with an
+ * eighth of a core, the leader would take all primaries for down and replace them at the start of a
  * large fleet.
  */
-#define STALL_NOTICED (60 * USEC_PER_MSEC)
-/* One that comes so late means that it was stopped. */
-#define PAUSE_NOTICED (500 * USEC_PER_MSEC)
-/* Numbers of questions that a process may use for each millisecond between its start and the next.
+#define STALL_THRESHOLD (60 * USEC_PER_MSEC)
+/* A tick that is this late is logged as a pause of the process. */
+#define PAUSE_THRESHOLD (500 * USEC_PER_MSEC)
+/*
+ * Request numbers start at the incarnation (start time in ms) shifted by this many bits, so that
+ * no process reuses the numbers of an earlier one: some 1,000,000 numbers for each millisecond.
  */
 #define INCARNATION_SHIFT 20
-/* Commits under way at a primary that is about to change may still be answered for so long. */
+/* Time for running commits to complete at a primary that is being replaced. */
 #define COMMIT_GRACE (200 * USEC_PER_MSEC)
-/* A member without an entry is forgotten after this. */
-#define FORGET_MEMBER (30 * USEC_PER_SEC)
-/* The balancer asks once a second and believes the second "not ready"; with some room. */
-#define NOTICE_TIME (2300 * USEC_PER_MSEC)
+/* Time after which a member without a directory entry is freed. */
+#define GONE_MEMBER_RETENTION (30 * USEC_PER_SEC)
+/* The load balancer checks once a second and acts on the second "not ready"; with a margin. */
+#define BALANCER_NOTICE_TIME (2300 * USEC_PER_MSEC)
 /*
- * Entries that lapsed with the store are back within 2 s of its return; a process that starts then
- * is not ready before it knows the primaries, or this has passed.
+ * Directory entries that expired during an outage of the store are back within 2 s after it. A
+ * process that starts then is not ready until all primaries are listed or this time has passed.
  */
-#define LISTED_TIME (3 * USEC_PER_SEC)
+#define RELISTING_TIME (3 * USEC_PER_SEC)
 /*
- * Callers of a process that has just started are kept waiting for its first reading of the store
- * for so long; they give up a session without an answer after 2 s.
+ * Time after the start in which new sessions wait for the first configuration. Callers time out
+ * after 2 s without an answer.
  */
-#define START_PATIENCE (1500 * USEC_PER_MSEC)
-/* Without permission for so long sessions are let go; a new roster is agreed on in less. */
-#define LET_GO_AFTER (500 * USEC_PER_MSEC)
+#define CONFIG_WAIT_TIMEOUT (1500 * USEC_PER_MSEC)
+/* Time without permission after which sessions are closed; agreeing on a new roster takes less. */
+#define NO_PERMISSION_TIMEOUT (500 * USEC_PER_MSEC)
 /*
- * Sessions closed before other sockets have their turn again. A proxy may have 4,400; if all were
- * closed in one go, no other caller would be read until the last one was.
+ * Number of sessions closed in one iteration of the event loop. A proxy may have 4,400 sessions; if
+ * all were closed in one iteration, no socket would be read until the last one was closed.
  */
-#define HANGUPS_AT_ONCE 16
-/* Waiting callers are refused in good time before the process ends. */
-#define END_MARGIN (300 * USEC_PER_MSEC)
+#define HANGUPS_PER_ITERATION 16
+/* Time before the end of the grace time at which the remaining statements are refused. */
+#define SHUTDOWN_MARGIN (300 * USEC_PER_MSEC)
 
 COUNTER_DEFINE(config_version, "config_version", COUNTER_GAUGE,
 	       "Version of the operators' configuration in force.");
-COUNTER_DEFINE(pauses_total, "pauses_total", COUNTER_SUM, "Times this process was found stopped.");
+COUNTER_DEFINE(pauses_total, "pauses_total", COUNTER_SUM, "Detected pauses of this process.");
 HISTOGRAM_DEFINE(late_seconds, "tick_late_seconds", "",
-		 "How late the clock tick came: what the process has not looked at may be as old.");
+		 "Delay of the periodic tick; unread input may be as old.");
 
 uint64_t pooler_random(pooler_t *pooler, uint64_t bound)
 {
-	/* xorshift64*: jitter only, so quality hardly matters. */
+	/* xorshift64*; used only for jitter, so its quality hardly matters. */
 	pooler->random ^= pooler->random >> 12;
 	pooler->random ^= pooler->random << 25;
 	pooler->random ^= pooler->random >> 27;
@@ -136,14 +138,14 @@
 	member_t *primary = group != NULL ? member_find(service->pooler, group->primary) : NULL;
 
 	service->group = group;
-	/* An entry that names another service is no member of this one. */
+	/* The roster may name a member that its directory entry assigns to another service. */
 	service->primary = primary != NULL && primary->service == service ? primary : NULL;
 }
 
 /* --- the clock --- */
 
-/* Commits at a primary that is changing get a little time; then their outcome is in doubt. */
-static void end_commits(service_t *service, usec_t now)
+/* Closes connections whose commit does not complete in time at a primary being replaced. */
+static void close_late_commits(service_t *service, usec_t now)
 {
 	if (service->changing_since == USEC_NEVER)
 		return;
@@ -162,7 +164,7 @@
 	}
 }
 
-static void forget_member(pooler_t *pooler, member_t *member)
+static void free_member(pooler_t *pooler, member_t *member)
 {
 	if (pooler->members_by_id != NULL)
 		HASH_DEL(pooler->members_by_id, member);
@@ -178,20 +180,21 @@
 
 		member_tick(member, now);
 		if (member->gone && list_empty(&member->conns) &&
-		    now >= member->gone_since + FORGET_MEMBER)
-			forget_member(pooler, member);
+		    now >= member->gone_since + GONE_MEMBER_RETENTION)
+			free_member(pooler, member);
 	}
 }
 
 /*
- * Without permission, when others probably have it: a client keeps its session, and would come
- * here to be refused for as long as we are cut off.
+ * True if this proxy has had no permission for a while, or its keys are too old: other proxies can
+ * probably serve its callers. Clients keep their sessions, so they would be refused here for as
+ * long as this proxy is cut off.
  */
-static bool serves_nobody(pooler_t *pooler, usec_t now)
+static bool cannot_serve(pooler_t *pooler, usec_t now)
 {
 	if (now < permit_end(pooler))
 		pooler->last_permitted = now;
-	if (pooler->last_permitted != 0 && now >= pooler->last_permitted + LET_GO_AFTER)
+	if (pooler->last_permitted != 0 && now >= pooler->last_permitted + NO_PERMISSION_TIMEOUT)
 		return true;
 	return proof_is_old(&pooler->config_validity, now);
 }
@@ -200,14 +203,14 @@
 {
 	usec_t grace = pooler->config.grace;
 
-	if (now >= pooler->drain_started + grace - END_MARGIN)
+	if (now >= pooler->drain_started + grace - SHUTDOWN_MARGIN)
 		return DRAIN_ALL;
 	return now >= pooler->drain_started + grace / 2 ? DRAIN_TRANSACTIONS : DRAIN_IDLE;
 }
 
 static void tick_callers(pooler_t *pooler, usec_t now);
 
-static void on_more_hangups(run_timer_t *timer, usec_t now)
+static void on_hangup_timer(run_timer_t *timer, usec_t now)
 {
 	tick_callers(list_entry(timer, pooler_t, hangup_timer), now);
 }
@@ -215,8 +218,8 @@
 static void tick_callers(pooler_t *pooler, usec_t now)
 {
 	drain_phase_t phase = drain_phase(pooler, now);
-	bool end = pooler->draining && phase == DRAIN_ALL;
-	bool let_go = serves_nobody(pooler, now);
+	bool at_end = pooler->draining && phase == DRAIN_ALL;
+	bool close_idle = cannot_serve(pooler, now);
 	size_t closed = 0;
 
 	list_for_each_safe (it, &pooler->callers) {
@@ -227,37 +230,37 @@
 			continue;
 		}
 		caller_tick(caller, now);
-		if (end && caller->busy)
+		if (at_end && caller->busy)
 			caller_end_at_shutdown(caller);
-		if (closed == HANGUPS_AT_ONCE)
+		if (closed == HANGUPS_PER_ITERATION)
 			continue;
 		if (pooler->draining)
 			closed += hangup_drain(caller, phase);
 		else if (caller->key_revoked)
 			closed += hangup_key_revoked(caller);
-		else if (let_go)
+		else if (close_idle)
 			closed += hangup_without_permission(caller, now);
 	}
-	/* Not at once, or it would expire with the timers that are due now. */
-	if (closed == HANGUPS_AT_ONCE)
+	/* 1 us later: a timer that is due now would expire in this same iteration. */
+	if (closed == HANGUPS_PER_ITERATION)
 		timers_arm(pooler->timers, &pooler->hangup_timer, now_of(pooler) + 1,
-			   on_more_hangups);
+			   on_hangup_timer);
 }
 
 /*
- * Callers keep coming until the balancer has noticed: a process that ended as soon as it had
- * none would cut off the next one.
+ * Stops accepting connections, once the load balancer has noticed the shutdown. Until then it sends
+ * new callers, and if the process exited as soon as it had none, the next caller would be cut off.
  */
 static void stop_accepting(pooler_t *pooler, usec_t now)
 {
 	if (!pooler->draining || pooler->accept_stopped ||
-	    now < pooler->drain_started + NOTICE_TIME)
+	    now < pooler->drain_started + BALANCER_NOTICE_TIME)
 		return;
 	pooler->accept_stopped = true;
 	pooler->env->ops->stop_accepting(pooler->env);
 }
 
-static void tell_drained(pooler_t *pooler)
+static void report_drained(pooler_t *pooler)
 {
 	if (!pooler->accept_stopped || pooler->drained_reported || !list_empty(&pooler->callers))
 		return;
@@ -277,7 +280,7 @@
 {
 	usec_t soon = now_of(pooler) + TICK_INTERVAL;
 
-	/* Not armed: before the start, or in the middle of a tick. */
+	/* The timer is not armed before the start and during a tick. */
 	if (timer_is_armed(&pooler->tick) && pooler->tick_due > soon)
 		arm_tick(pooler, soon);
 }
@@ -286,12 +289,12 @@
 {
 	pooler_t *pooler = list_entry(timer, pooler_t, tick);
 
-	if (now > pooler->tick_due + PAUSE_NOTICED) {
+	if (now > pooler->tick_due + PAUSE_THRESHOLD) {
 		counter_add(&pauses_total, 1);
-		LOG_EVENT(LOG_WARN, "process was stopped",
+		LOG_EVENT(LOG_WARN, "process was paused",
 			  LOG_INT("ms", (int64_t)((now - pooler->last_tick) / USEC_PER_MSEC)));
 	}
-	if (now > pooler->tick_due + STALL_NOTICED)
+	if (now > pooler->tick_due + STALL_THRESHOLD)
 		pooler->resumed_at = now;
 	if (now > pooler->tick_due)
 		histogram_add(&late_seconds, now - pooler->tick_due);
@@ -311,15 +314,15 @@
 	list_for_each (it, &pooler->active_services) {
 		service_t *service = list_entry(it, service_t, active);
 
-		end_commits(service, now);
+		close_late_commits(service, now);
 		dispatch_run(service);
 		dispatch_tick(service, now);
 	}
 	tick_callers(pooler, now);
 	stop_accepting(pooler, now);
-	tell_drained(pooler);
+	report_drained(pooler);
 	if (!active_needs_fast_tick(pooler, now))
-		arm_tick(pooler, now + TICK_IDLE);
+		arm_tick(pooler, now + IDLE_TICK_INTERVAL);
 }
 
 /* --- start and end --- */
@@ -358,7 +361,7 @@
 	pooler->config.address = talloc_strdup(pooler, config->address);
 	pooler->config.prefix = talloc_strdup(pooler, config->prefix);
 	pooler->random = config->seed | 1;
-	/* Positive: messages carry numbers with a sign. */
+	/* Messages carry signed numbers, so the numbers must stay positive. */
 	pooler->last_number = (config->incarnation << INCARNATION_SHIFT) & INT64_MAX;
 	list_init(&pooler->services);
 	list_init(&pooler->members);
@@ -390,8 +393,8 @@
 	return relay_kv(pooler->relay);
 }
 
-/* True if every primary of the roster is listed, so that this proxy has its address. */
-static bool knows_primaries(const pooler_t *pooler)
+/* True if every primary on the roster is listed in the directory, which gives its address. */
+static bool has_primary_addresses(const pooler_t *pooler)
 {
 	list_for_each (it, &pooler->sync.roster->groups) {
 		if (member_find(pooler, list_entry(it, roster_group_t, node)->primary) == NULL)
@@ -404,28 +407,28 @@
 {
 	usec_t now = now_of(pooler);
 
-	/* Getting on the roster takes some ms more; statements wait for it. */
+	/* The registration on the roster takes some ms more; statements wait for it. */
 	if (pooler->routes == NULL || pooler->draining || now >= permit_end(pooler) ||
 	    proof_is_old(&pooler->config_validity, now))
 		return false;
-	return knows_primaries(pooler) || now >= pooler->started + LISTED_TIME;
+	return has_primary_addresses(pooler) || now >= pooler->started + RELISTING_TIME;
 }
 
 /*
- * Without this callers of a fleet that starts while the store is away are turned away within a
- * millisecond, use up their attempts, and are lost though the fleet serves a moment later:
- * 648 of 1,732 in the four seconds around such a start (Welsh site, all killed 0.8 s before the
- * end of an outage of the store).
+ * If a fleet starts while the store is unreachable, callers that are refused at once use up their
+ * attempts within milliseconds and fail although the fleet serves a moment later. Without the wait,
+ * 648 of 1,732 callers failed in the four seconds around such a start (all proxies killed 0.8 s
+ * before the end of an outage of the store).
  */
 bool pooler_awaits_config(const pooler_t *pooler)
 {
 	return pooler->routes == NULL && !pooler->draining &&
-	       now_of(pooler) < pooler->started + START_PATIENCE;
+	       now_of(pooler) < pooler->started + CONFIG_WAIT_TIMEOUT;
 }
 
 void pooler_set_grace(pooler_t *pooler, usec_t grace)
 {
-	/* Its end is fixed once a shutdown has begun. */
+	/* Once a shutdown has begun, the time of its end is fixed. */
 	if (!pooler->draining)
 		pooler->config.grace = grace;
 }
@@ -437,7 +440,7 @@
 	pooler->draining = true;
 	pooler->drain_started = now_of(pooler);
 	LOG_EVENT(LOG_INFO, "draining", LOG_INT("callers", (int64_t)list_length(&pooler->callers)));
-	/* Another proxy can take the duty at once. */
+	/* Releases the leader lease, so that another proxy can acquire it at once. */
 	hold_release(pooler);
 	tick_callers(pooler, pooler->drain_started);
 }
@@ -473,14 +476,14 @@
 
 		service_get(pooler, limits->name)->max_connections = limits->max_connections;
 	}
-	/* Which services have homes depends on the limits. */
+	/* The limits decide which services have homes, so connect to homes again. */
 	pooler->next_home_connect_at = 0;
 	admission_on_keys_changed(pooler);
 }
 
 void pooler_on_config_confirmed(pooler_t *pooler, usec_t asked_at)
 {
-	/* A store that came back from a copy may hold an older one than the fleet knows. */
+	/* A store restored from a backup may hold an older configuration than the fleet. */
 	if (pooler->routes != NULL && pooler->routes->version >= pooler->newest_config_version)
 		proof_extend(&pooler->config_validity, asked_at);
 }
--- a/pooler/pooler.h
+++ b/pooler/pooler.h
@@ -1,8 +1,8 @@
 /*
- * Pooling of statements: sessions of callers in front, connections to the
- * members of the services behind, and in between who may use which member when.
- * No I/O and no clock of its own: links call in, effects go through env_t, time
- * comes from the run-time's clock and timers. Many poolers can live in one process.
+ * The statement pooler: it accepts sessions of callers, keeps connections to the members (backend
+ * servers) of the services, and decides which caller may use which member when. The pooler does no
+ * I/O itself: links call its functions, it acts through env_t, and time comes from the given clock
+ * and timers. A process may contain many poolers.
  */
 #pragma once
 
@@ -18,27 +18,27 @@
 typedef struct pooler pooler_t;
 
 typedef struct pooler_config {
-	const char *name; /* of this proxy, unique in the fleet */
+	const char *name; /* name of this proxy, unique in the fleet */
 	const char *zone;
-	const char *address; /* for messages of other proxies */
-	const char *prefix;  /* of our keys in the store */
+	const char *address; /* where this proxy receives messages of other proxies */
+	const char *prefix;  /* prefix of the fleet's keys in the store */
 	int64_t capacity;    /* processor share in percent of a core; 0: unknown */
-	int64_t link_rate;   /* bytes a second that the VM can send */
+	int64_t link_rate;   /* network bandwidth of the VM in bytes per second */
 	uint64_t incarnation;
 	uint64_t seed;
-	usec_t grace; /* from the request to stop to the end */
-	/* The platform's bounds. */
-	usec_t config_bound;  /* within which a configuration must be in force */
-	usec_t leaving_bound; /* within which a leaving member must be left alone */
+	usec_t grace; /* time from the request to stop until the process exits */
+	/* Bounds set by the platform. */
+	usec_t config_bound;  /* time within which a new configuration must be in force */
+	usec_t leaving_bound; /* time within which a leaving member must no longer be used */
 	usec_t min_lease;     /* shortest lease that the store grants */
-	usec_t revoke_bound;  /* within which a key that was taken must be refused; 0: at leisure */
-	limit_slack_t slack;  /* by which customers' limits may be exceeded */
-	/* Without the safeguards that are measured against this: ./dev/measure pooler. */
-	bool serve_in_arrival_order; /* the queue serves in order of arrival, whoever is late */
-	bool no_homes;		     /* no homes: every proxy has connections of its own */
+	usec_t revoke_bound;  /* time within which a revoked key must be refused; 0: no bound */
+	limit_slack_t slack;  /* tolerance by which customers' limits may be exceeded */
+	/* Switch off safeguards, to measure what they achieve (./dev/measure pooler). */
+	bool serve_in_arrival_order; /* callers that will miss their objective are not put last */
+	bool no_homes;		     /* every proxy has its own connections to the members */
 } pooler_config_t;
 
-/* A backend server as the platform lists it. */
+/* A member (backend server of a service) as the platform's directory lists it. */
 typedef struct member_entry {
 	const char *id;
 	const char *service;
@@ -46,58 +46,61 @@
 	const char *zone;
 	int64_t slots;
 	bool leaving;
-	bool primary;	 /* how it sees itself */
-	int64_t started; /* when its process started, in ms since 1970; 0: not told */
+	bool primary;	 /* the member reports that it is the primary */
+	int64_t started; /* start of its process in ms since 1970; 0: unknown */
 } member_entry_t;
 
 pooler_t *pooler_create(void *parent, const pooler_config_t *config, env_t *env,
 			const run_clock_t *clock, timer_set_t *timers);
 void pooler_start(pooler_t *pooler);
 
-/* The platform's store, by our own access or through a peer. */
+/* Returns the access to the platform's store, directly or through another proxy. */
 kv_t *pooler_store(pooler_t *pooler);
 
-/* True once the configuration is known and statements can be served. */
+/* True once a configuration is in force and statements can be served. */
 bool pooler_is_ready(const pooler_t *pooler);
 
 /* --- callers --- */
 
 /*
- * True while the configuration is not known, but may come any moment since the process has just
- * started: sessions are better kept waiting than refused.
+ * True shortly after the start, while the first configuration has not arrived: new sessions should
+ * wait for it rather than be refused.
  */
 bool pooler_awaits_config(const pooler_t *pooler);
 
-/* A session with database, by a customer's key; NULL with *code set if it is refused. */
+/* Opens a session with the database by a customer's key; returns NULL and sets *code if refused. */
 struct caller *pooler_caller_open(pooler_t *pooler, const char *database, slice_t key, void *link,
 				  code_t *code);
 
-/* True while a statement is unanswered; the next one must wait. */
+/* True while a statement is unanswered; the next one must wait until it is answered. */
 bool caller_is_busy(const struct caller *caller);
 void caller_on_statement(struct caller *caller, const statement_t *statement);
 
-/* All answers to the caller have left. */
+/* The link has sent all answers to the caller. */
 void caller_on_sent(struct caller *caller);
 
-/* The session has ended; frees the caller. */
+/* The session has ended, from either side; frees the caller. */
 void caller_on_session_end(struct caller *caller);
 
 /* --- members --- */
 
 void conn_on_ready(struct conn *conn);
-/* The connection was not made, or is gone; code tells why a member refused it. */
+/* The connection failed to open or was lost; code: the member's reason if it has refused it. */
 void conn_on_down(struct conn *conn, code_t code, const char *reason);
 void conn_on_reply(struct conn *conn, const reply_t *reply, const member_status_t *status);
 
 /* --- the platform --- */
 
-/* Who follows the configuration and the members, so that proxies can tell each other; not owned. */
+/*
+ * Sets the followers of the configuration and of the members' list in the platform's directory, so
+ * that proxies can send each other updates. They are not owned by the pooler.
+ */
 void pooler_set_directory(pooler_t *pooler, follow_t *config, follow_t *members);
 
-/* A configuration, taken over if newer, else freed. */
+/* Applies a configuration if it is newer than the one in force, else frees it. */
 void pooler_on_routes(pooler_t *pooler, routes_t *routes);
 
-/* The store was asked then for the configuration, and held none newer than the one in force. */
+/* A query sent to the store at asked_at found no configuration newer than the one in force. */
 void pooler_on_config_confirmed(pooler_t *pooler, usec_t asked_at);
 void pooler_on_member(pooler_t *pooler, const member_entry_t *entry);
 void pooler_on_member_gone(pooler_t *pooler, const char *id);
@@ -109,11 +112,11 @@
 
 /* --- operators --- */
 
-/* Finish what is open within the grace time, take nothing that can go elsewhere. */
+/* Begins the shutdown: open operations may complete within the grace time, sessions are closed. */
 void pooler_drain(pooler_t *pooler);
 
-/* The operators have changed how long that may take; ignored once a shutdown has begun. */
+/* Sets the grace time of the shutdown; ignored once a shutdown has begun. */
 void pooler_set_grace(pooler_t *pooler, usec_t grace);
 
-/* The state for operators. The caller owns it. */
+/* Returns the pooler's state for operators. The caller owns the reference. */
 json_t *pooler_dump(const pooler_t *pooler);
