--- a/pooler/outbox.c
+++ b/pooler/outbox.c
@@ -10,25 +10,25 @@
 #include "counter.h"
 #include "log.h"
 
-/* Between two tries: a link within a region is there after 5 to 15 ms. */
+/* Interval between attempts to send; a link within a region takes 5 to 15 ms to set up. */
 #define RETRY_INTERVAL (4 * USEC_PER_MSEC)
-/* By then the proxy has been passed over as not answering, or is gone. */
-#define KEPT_FOR (500 * USEC_PER_MSEC)
+/* Time after which a result is dropped: the proxy is then gone, or has given up on this one. */
+#define PENDING_TIMEOUT (500 * USEC_PER_MSEC)
 
 COUNTER_DEFINE(late_total, "results_sent_late_total", COUNTER_SUM,
-	       "Results for another proxy that waited for the link to it.");
+	       "Results for other proxies that were sent once their link was up.");
 COUNTER_DEFINE(lost_total, "results_unsent_total", COUNTER_SUM,
-	       "Results for another proxy that never had a link.");
+	       "Results for other proxies that were dropped for want of a link.");
 
-typedef struct unsent {
-	list_t node; /* in outbox_t.results */
+typedef struct pending {
+	list_t node; /* in outbox_t.pending */
 	char *to;
 	char *address;
 	bool is_answer;
 	forward_result_t result;
-	quota_answer_t answer; /* if is_answer */
+	quota_answer_t answer; /* valid if is_answer, else result is */
 	usec_t since;
-} unsent_t;
+} pending_t;
 
 void outbox_init(outbox_t *outbox, pooler_t *pooler)
 {
@@ -41,8 +41,8 @@
 	timers_cancel(outbox->pooler->timers, &outbox->timer);
 }
 
-static bool send_now(const outbox_t *outbox, const char *to, const char *address,
-		     peer_message_t *message)
+static bool fill_and_send(const outbox_t *outbox, const char *to, const char *address,
+			  peer_message_t *message)
 {
 	const pooler_t *pooler = outbox->pooler;
 
@@ -55,7 +55,7 @@
 {
 	peer_message_t message = {.kind = PEER_RESULT, .result = result};
 
-	return send_now(outbox, to, address, &message);
+	return fill_and_send(outbox, to, address, &message);
 }
 
 static bool send_answer(const outbox_t *outbox, const char *to, const char *address,
@@ -63,20 +63,20 @@
 {
 	peer_message_t message = {.kind = PEER_TAKEN, .taken = answer};
 
-	return send_now(outbox, to, address, &message);
+	return fill_and_send(outbox, to, address, &message);
 }
 
-static bool send_again(const outbox_t *outbox, const unsent_t *unsent)
+static bool resend(const outbox_t *outbox, const pending_t *entry)
 {
-	if (unsent->is_answer)
-		return send_answer(outbox, unsent->to, unsent->address, &unsent->answer);
-	return send_result(outbox, unsent->to, unsent->address, &unsent->result);
+	if (entry->is_answer)
+		return send_answer(outbox, entry->to, entry->address, &entry->answer);
+	return send_result(outbox, entry->to, entry->address, &entry->result);
 }
 
-static void forget(unsent_t *unsent)
+static void remove_pending(pending_t *entry)
 {
-	list_del(&unsent->node);
-	talloc_free(unsent);
+	list_del(&entry->node);
+	talloc_free(entry);
 }
 
 static void on_retry(run_timer_t *timer, usec_t now)
@@ -84,62 +84,61 @@
 	outbox_t *outbox = list_entry(timer, outbox_t, timer);
 
 	list_for_each_safe (it, &outbox->pending) {
-		unsent_t *unsent = list_entry(it, unsent_t, node);
+		pending_t *entry = list_entry(it, pending_t, node);
 
-		if (send_again(outbox, unsent)) {
+		if (resend(outbox, entry)) {
 			counter_add(&late_total, 1);
-			forget(unsent);
-		} else if (now >= unsent->since + KEPT_FOR) {
+			remove_pending(entry);
+		} else if (now >= entry->since + PENDING_TIMEOUT) {
 			counter_add(&lost_total, 1);
-			LOG_EVENT(LOG_WARN, "result could not be sent",
-				  LOG_STR("proxy", unsent->to),
+			LOG_EVENT(LOG_WARN, "result could not be sent", LOG_STR("proxy", entry->to),
 				  LOG_INT("kept_ms",
-					  (int64_t)((now - unsent->since) / USEC_PER_MSEC)));
-			forget(unsent);
+					  (int64_t)((now - entry->since) / USEC_PER_MSEC)));
+			remove_pending(entry);
 		}
 	}
 	if (!list_empty(&outbox->pending))
 		timers_arm(outbox->pooler->timers, timer, now + RETRY_INTERVAL, on_retry);
 }
 
-static unsent_t *keep(outbox_t *outbox, const char *to, const char *address)
+static pending_t *add_pending(outbox_t *outbox, const char *to, const char *address)
 {
-	unsent_t *unsent = talloc_zero(outbox->pooler, unsent_t);
+	pending_t *entry = talloc_zero(outbox->pooler, pending_t);
 
-	unsent->to = talloc_strdup(unsent, to);
-	unsent->address = talloc_strdup(unsent, address);
-	unsent->since = now_of(outbox->pooler);
-	list_add_tail(&outbox->pending, &unsent->node);
+	entry->to = talloc_strdup(entry, to);
+	entry->address = talloc_strdup(entry, address);
+	entry->since = now_of(outbox->pooler);
+	list_add_tail(&outbox->pending, &entry->node);
 	if (!timer_is_armed(&outbox->timer))
-		timers_arm(outbox->pooler->timers, &outbox->timer, unsent->since + RETRY_INTERVAL,
+		timers_arm(outbox->pooler->timers, &outbox->timer, entry->since + RETRY_INTERVAL,
 			   on_retry);
-	return unsent;
+	return entry;
 }
 
 void outbox_send_result(outbox_t *outbox, const char *to, const char *address,
 			const forward_result_t *result)
 {
-	unsent_t *unsent;
+	pending_t *entry;
 
 	if (send_result(outbox, to, address, result))
 		return;
-	unsent = keep(outbox, to, address);
-	unsent->result = *result;
-	unsent->result.raw =
-		slice_of(talloc_strndup(unsent, result->raw.at, result->raw.len), result->raw.len);
-	unsent->result.member = talloc_strdup(unsent, result->member);
-	unsent->result.text = talloc_strdup(unsent, result->text);
+	entry = add_pending(outbox, to, address);
+	entry->result = *result;
+	entry->result.raw =
+		slice_of(talloc_strndup(entry, result->raw.at, result->raw.len), result->raw.len);
+	entry->result.member = talloc_strdup(entry, result->member);
+	entry->result.text = talloc_strdup(entry, result->text);
 }
 
 void outbox_send_quota_answer(outbox_t *outbox, const char *to, const char *address,
 			      const quota_answer_t *answer)
 {
-	unsent_t *unsent;
+	pending_t *entry;
 
 	if (send_answer(outbox, to, address, answer))
 		return;
-	unsent = keep(outbox, to, address);
-	unsent->is_answer = true;
-	unsent->answer = *answer;
-	unsent->answer.customer = talloc_strdup(unsent, answer->customer);
+	entry = add_pending(outbox, to, address);
+	entry->is_answer = true;
+	entry->answer = *answer;
+	entry->answer.customer = talloc_strdup(entry, answer->customer);
 }
