--- a/pooler/reason.h
+++ b/pooler/reason.h
@@ -1,8 +1,8 @@
-/* Why a statement was not served, for the caller, the log and the metrics. */
+/* Reasons for which a statement was not served, for the caller, the log and the metrics. */
 #pragma once
 
 typedef enum {
-	/* Refused before anything ran. */
+	/* Refused before any part of the statement ran. */
 	REASON_NO_MEMBER,
 	REASON_NO_CONNECTION,
 	REASON_MEMBER_REFUSED,
@@ -14,13 +14,13 @@
 	REASON_CONFIG_TOO_OLD,
 	REASON_LIMIT_REACHED,
 	REASON_LIMIT_UNKNOWN,
-	/* On its way. */
+	/* Failed while the statement was in flight or running. */
 	REASON_NO_ANSWER,
 	REASON_CONNECTION_LOST,
 	REASON_PERMISSION_ENDED,
 	REASON_MEMBER_FAILED,
 	REASON_ROLLED_BACK,
-	/* The statement itself. */
+	/* The statement itself is invalid in this session. */
 	REASON_TRANSACTION_FAILED,
 	REASON_NO_TRANSACTION,
 	REASON_UNKNOWN_NAME,
@@ -30,8 +30,8 @@
 	REASON_COUNT,
 } reason_t;
 
-/* Short, for metrics: "no_member". */
+/* Label values of metrics, such as "no_member". */
 extern const char *const reason_names[REASON_COUNT];
 
-/* A sentence, for callers and the log. */
+/* Returns the text for callers and the log. */
 const char *reason_text(reason_t reason);
--- a/pooler/report.c
+++ b/pooler/report.c
@@ -8,20 +8,20 @@
 COUNTER_DEFINE(done_total, "statements_done_total", COUNTER_SUM,
 	       "Statements answered with success.");
 COUNTER_DEFINE(late_total, "statements_late_total", COUNTER_SUM,
-	       "Statements answered with success, but after the objective of their route.");
+	       "Statements answered with success, but later than their route's objective.");
 COUNTER_DEFINE(refused_total, "statements_refused_total", COUNTER_SUM,
-	       "Statements refused with a promise that nothing was kept.");
+	       "Statements refused with a code that promises that they had no effect.");
 COUNTER_DEFINE(unsure_total, "statements_unsure_total", COUNTER_SUM,
-	       "Statements that ended in doubt or timed out.");
+	       "Statements whose outcome is in doubt or that timed out.");
 COUNTER_DEFINE(failed_total, "statements_failed_total", COUNTER_SUM,
 	       "Statements that failed at the member, or were malformed.");
 
 COUNTER_GRID_DEFINE(not_served_total, "statements_not_served_total", "reason", reason_names,
 		    "outcome", code_names,
-		    "Statements answered with an error, by why and with which outcome.");
+		    "Statements answered with an error, by reason and outcome.");
 
 #define STATEMENT_SECONDS "statement_seconds"
-#define STATEMENT_HELP	  "Time from a statement to its answer, by kind of reads and outcome."
+#define STATEMENT_HELP	  "Time from a statement to its answer, by the route's reads and outcome."
 
 HISTOGRAM_DEFINE(primary_done, STATEMENT_SECONDS, "reads=\"primary\",outcome=\"done\"",
 		 STATEMENT_HELP);
@@ -50,23 +50,23 @@
 	[READS_SESSION] = &session_failed,
 };
 
-static int64_t msec_since(usec_t now, usec_t then)
+static int64_t elapsed_msec(usec_t now, usec_t then)
 {
 	return then <= now ? (int64_t)((now - then) / USEC_PER_MSEC) : -1;
 }
 
-/* -1: nothing has proved them yet. */
-static int64_t keys_age(const caller_t *caller, usec_t now)
+/* Age of the cached keys in ms; -1: not confirmed yet. */
+static int64_t keys_age_msec(const caller_t *caller, usec_t now)
 {
 	return usec_age_ms(proof_age(&caller->pooler->config_validity, now));
 }
 
-/* -1: the store was never heard. */
-static int64_t roster_age(const caller_t *caller, usec_t now)
+/* Age of the roster in ms; -1: not confirmed by the store yet. */
+static int64_t roster_age_msec(const caller_t *caller, usec_t now)
 {
 	usec_t confirmed = caller->pooler->sync.confirmed_at;
 
-	return confirmed != USEC_NEVER ? msec_since(now, confirmed) : -1;
+	return confirmed != USEC_NEVER ? elapsed_msec(now, confirmed) : -1;
 }
 
 void report_success(const caller_t *caller)
@@ -75,7 +75,7 @@
 	usec_t took = now - caller->received_at;
 	const conn_t *conn = caller->conn;
 
-	/* The proxy that the caller is connected to counts it. */
+	/* The proxy that the caller is connected to counts the statement. */
 	if (caller->job != NULL)
 		return;
 
@@ -85,14 +85,14 @@
 	if (took <= caller->objective)
 		return;
 	counter_add(&late_total, 1);
-	LOG_EVENT(LOG_INFO, "statement served late",
+	LOG_EVENT(LOG_INFO, "statement missed its objective",
 		  LOG_SLICE("request", caller->statement.id.at, caller->statement.id.len),
 		  LOG_STR("database", caller->database), LOG_STR("service", caller->service->name),
 		  LOG_STR("customer", caller->customer != NULL ? caller->customer : ""),
 		  LOG_INT("took_ms", took / USEC_PER_MSEC),
-		  LOG_INT("waited_ms", msec_since(caller->placed_at, caller->received_at)),
+		  LOG_INT("waited_ms", elapsed_msec(caller->placed_at, caller->received_at)),
 		  LOG_INT("ran_ms",
-			  msec_since(now, conn != NULL ? conn->sent_at : caller->forwarded_at)),
+			  elapsed_msec(now, conn != NULL ? conn->sent_at : caller->forwarded_at)),
 		  LOG_INT("attempts", caller->attempts),
 		  LOG_STR("member", conn != NULL ? conn->member->id : ""),
 		  LOG_INT("member_usual_ms",
@@ -101,7 +101,7 @@
 		  LOG_INT("waiting", list_length(&caller->service->waiting)));
 }
 
-static counter_t *counter_of(code_t code)
+static counter_t *outcome_counter(code_t code)
 {
 	switch (code) {
 	case CODE_IN_DOUBT:
@@ -122,7 +122,7 @@
 	usec_t now = now_of(caller->pooler);
 
 	if (caller->job == NULL) {
-		counter_add(counter_of(code), 1);
+		counter_add(outcome_counter(code), 1);
 		counter_grid_add(&not_served_total, reason, code);
 		histogram_add(failed_seconds[caller->reads], now - caller->received_at);
 	}
@@ -134,12 +134,12 @@
 		  LOG_STR("outcome", code_name(code)), LOG_STR("reason", reason_text(reason)),
 		  LOG_STR("detail", detail != NULL ? detail : ""),
 		  LOG_INT("attempts", caller->attempts),
-		  LOG_INT("waited_ms", msec_since(now, caller->received_at)),
+		  LOG_INT("waited_ms", elapsed_msec(now, caller->received_at)),
 		  LOG_STR("member", caller->conn != NULL ? caller->conn->member->id : ""),
 		  LOG_STR("helper", caller->helper != NULL ? caller->helper : ""),
 		  LOG_STR("for", caller->job != NULL ? caller->job->origin : ""),
 		  LOG_INT("config", caller->pooler->routes->version),
 		  LOG_INT("roster", caller->pooler->sync.roster->revision),
-		  LOG_INT("roster_age_ms", roster_age(caller, now)),
-		  LOG_INT("keys_age_ms", keys_age(caller, now)));
+		  LOG_INT("roster_age_ms", roster_age_msec(caller, now)),
+		  LOG_INT("keys_age_ms", keys_age_msec(caller, now)));
 }
--- a/pooler/report.h
+++ b/pooler/report.h
@@ -1,13 +1,13 @@
 /*
- * Telling what became of statements: counters and histograms for all, a log
- * line for each that failed, was refused or came late.
+ * Reports the outcome of statements: counters and histograms for all of them, and a log line for
+ * each that failed, was refused or missed its objective.
  */
 #pragma once
 
 #include "state.h"
 
-/* Answered with success. */
+/* The statement was answered with success. */
 void report_success(const caller_t *caller);
 
-/* Answered with an error of the member's or of our own. */
+/* The statement was answered with an error, of a member or of this proxy. */
 void report_failure(const caller_t *caller, code_t code, reason_t reason, const char *detail);
