--- a/pooler/routes.c
+++ b/pooler/routes.c
@@ -22,7 +22,10 @@
 	return routes;
 }
 
-/* One allocation with its names behind it: a large configuration has thousands of routes. */
+/*
+ * A route and its two names share one allocation, since a large configuration has thousands of
+ * routes.
+ */
 route_t *routes_add(routes_t *routes, const char *database, const char *service)
 {
 	size_t database_size = strlen(database) + 1;
--- a/pooler/statement.h
+++ b/pooler/statement.h
@@ -1,6 +1,6 @@
 /*
- * Statements of callers and the replies of members, decoded. The text of a
- * statement is kept beside it, since members must get it unchanged.
+ * Decoded statements of callers and replies of members. A statement keeps its original text, which
+ * must reach the member unchanged.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 #include "clock.h"
 #include "position.h"
 
-/* A piece of text owned by somebody else; not terminated. */
+/* A piece of text that is owned elsewhere and is not terminated by a zero byte. */
 typedef struct slice {
 	const char *at;
 	size_t len;
@@ -32,10 +32,10 @@
 
 typedef struct statement {
 	statement_kind_t kind;
-	bool writes;   /* WRITE; PREPARE and EXEC of a write */
+	bool writes;   /* true for WRITE, and for PREPARE and EXEC of a write */
 	slice_t id;    /* chosen by the caller, unique to this attempt */
-	slice_t text;  /* whole, as it came */
-	slice_t name;  /* of the value or the prepared statement */
+	slice_t text;  /* the whole statement as received */
+	slice_t name;  /* name of the value or of the prepared statement */
 	slice_t value; /* SET: the value; PREPARE: the shape; EXEC: the arguments */
 } statement_t;
 
@@ -43,14 +43,14 @@
 
 typedef enum {
 	CODE_NONE,
-	/* Promises: nothing of the attempt is kept. */
+	/* These codes promise that the attempt had no effect. */
 	CODE_BUSY,
 	CODE_ABORTED,
 	CODE_LAGGING,
 	CODE_READONLY,
 	CODE_MISROUTED,
 	CODE_TOO_MANY,
-	/* No promise. */
+	/* These codes promise nothing about the effect. */
 	CODE_IN_DOUBT,
 	CODE_TIMEOUT,
 	CODE_FAILED, /* the member ran the statement and it failed */
@@ -62,28 +62,27 @@
 	CODE_COUNT,
 } code_t;
 
-/* The names of all codes. */
+/* Lower-case names of all codes, for logs and metrics. */
 extern const char *const code_names[CODE_COUNT];
 
-/* Lower-case name of a code for logs and counters. */
 const char *code_name(code_t code);
 
-/* True if a member that answers with code has not run the statement. */
+/* True if a member that answers with this code has not run the statement. */
 bool code_means_not_run(code_t code);
 
-/* A member's whole reply. raw holds it as it came and is valid for the call only. */
+/* A complete reply of a member. raw is the reply as received, valid only during the call. */
 typedef struct reply {
 	bool ok;
-	bool is_signed; /* the member vouches for having run the statement */
+	bool is_signed; /* the reply names the member that has run the statement */
 	code_t code;
 	tx_state_t tx;
 	bool has_position;
 	position_t position;
 	slice_t raw;
-	slice_t row; /* of the last row, without its word */
+	slice_t row; /* content of the last row, without the keyword */
 } reply_t;
 
-/* What a member says of itself when asked. */
+/* A member's answer to a status query. */
 typedef struct member_status {
 	bool primary;
 	uint64_t term;
--- a/pooler/variables.h
+++ b/pooler/variables.h
@@ -1,7 +1,7 @@
 /*
- * The named values of a session. A caller has the ones that were acknowledged
- * to it, a connection the ones that its member holds; before a statement runs
- * the second are made equal to the first.
+ * The named values that a session has set. A caller_t holds the values that were acknowledged to
+ * the caller, a conn_t those that are set at its member. Before a statement runs, the values of the
+ * connection are made equal to those of the caller.
  */
 #pragma once
 
@@ -17,13 +17,13 @@
 typedef struct variables {
 	list_t list;
 	size_t count;
-	/* Order-free hash of all names and values: equal sets are found without a walk. */
+	/* Hash of all names and values in any order, to compare sets without walking them. */
 	uint64_t fingerprint;
 } variables_t;
 
 void variables_init(variables_t *set);
 
-/* Set name to value; memory hangs on parent. */
+/* Sets name to value; the memory is allocated under the talloc parent. */
 void variables_set(variables_t *set, void *parent, slice_t name, slice_t value);
 void variables_clear(variables_t *set);
 const variable_t *variables_find(const variables_t *set, slice_t name);
@@ -33,5 +33,5 @@
 	return a->count == b->count && a->fingerprint == b->fingerprint;
 }
 
-/* True if every name in have is in want too, so that setting the rest makes them equal. */
+/* True if every name in have is in want, so that setting values suffices to make them equal. */
 bool variables_is_subset(const variables_t *have, const variables_t *want);
