--- a/pooler/hangup.h
+++ b/pooler/hangup.h
@@ -1,35 +1,39 @@
 /*
- * Ends sessions of callers from our side: at shutdown, and while this proxy can serve nobody. A
- * session is closed only while nothing of the caller is under way, which the link sees.
+ * Closes sessions of callers from the side of the proxy: at shutdown, when their key was revoked,
+ * and while this proxy has no permission and can serve no caller. A session is closed only if no
+ * request or answer of the caller is in flight, which the link (env_t) checks.
  */
 #pragma once
 
 #include "state.h"
 
-/* How far a shutdown has come; each phase ends more than the one before. */
+/* Phases of a shutdown; each closes more sessions than the one before. */
 typedef enum {
-	DRAIN_IDLE,	    /* sessions that rest outside a transaction */
-	DRAIN_TRANSACTIONS, /* and inside of one */
-	DRAIN_ALL, /* and whose caller does not read its answer or stops within a statement */
+	DRAIN_IDLE,	    /* idle sessions outside a transaction */
+	DRAIN_TRANSACTIONS, /* also idle sessions inside a transaction */
+	DRAIN_ALL, /* also sessions whose caller does not read its answer or finish its request */
 } drain_phase_t;
 
 /*
- * For the shutdown: close the session unless it has a statement in progress. True if it is closed,
- * and the caller freed.
+ * During the shutdown: closes the session unless it has a statement in progress or the phase spares
+ * it. Returns true if the session was closed and the caller freed.
  */
 bool hangup_drain(caller_t *caller, drain_phase_t phase);
 
 /*
- * While shutting down: close the session if its last statement has just been answered. The caller
- * may be freed.
+ * During the shutdown: closes the session if its last statement has been answered. The caller may
+ * be freed.
  */
 void hangup_after_answer(caller_t *caller);
 
 /*
- * While this proxy has no permission: close the session if it rests outside a transaction, so that
- * its client goes elsewhere. True if it is closed, and the caller freed.
+ * While this proxy has no permission: closes the session if it is idle outside a transaction, so
+ * that its client connects to another proxy. Returns true if it was closed and the caller freed.
  */
 bool hangup_without_permission(caller_t *caller, usec_t now);
 
-/* Close the session of a caller whose key was taken, unless something of it is under way. */
+/*
+ * Closes the session of a caller whose key was revoked, unless a statement or a transaction is
+ * open. Returns true if it was closed and the caller freed.
+ */
 bool hangup_key_revoked(caller_t *caller);
