--- a/pooler/active.c
+++ b/pooler/active.c
@@ -6,12 +6,12 @@
 #include "upstream.h"
 
 /*
- * A service stays active for so long after its last use: longer than a reply proves its member
- * alive, and than a member is believed to fail statements.
+ * Time for which a service stays active after its last use. It must exceed the time for which a
+ * reply proves a member alive, and that for which a report of failing statements counts.
  */
-#define ACTIVE_FOR (4 * USEC_PER_SEC)
-/* News of the roster is usually no older than this, by way of a hub. */
-#define NEWS_USUAL (900 * USEC_PER_MSEC)
+#define ACTIVE_TIME (4 * USEC_PER_SEC)
+/* Usual maximum age of the roster at a proxy that receives its updates through a hub. */
+#define ROSTER_AGE_USUAL (900 * USEC_PER_MSEC)
 
 void active_init(pooler_t *pooler)
 {
@@ -21,7 +21,7 @@
 
 void active_add_service(service_t *service)
 {
-	service->active_until = now_of(service->pooler) + ACTIVE_FOR;
+	service->active_until = now_of(service->pooler) + ACTIVE_TIME;
 	if (list_empty(&service->active))
 		list_add_tail(&service->pooler->active_services, &service->active);
 	pooler_hasten_tick(service->pooler);
@@ -57,7 +57,7 @@
 	return false;
 }
 
-static bool any_is_busy(const pooler_t *pooler)
+static bool is_any_busy(const pooler_t *pooler)
 {
 	list_for_each (it, &pooler->active_services) {
 		const service_t *service = list_entry(it, service_t, active);
@@ -72,21 +72,21 @@
 	return false;
 }
 
-/* Work for the fleet, or not in order with it. */
+/* True if this proxy works for the fleet (leader, hub) or is not in regular contact with it. */
 static bool is_fleet_busy(pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
 
 	return sync->holding || upstream_is_hub(pooler) || !upstream_applies(pooler) ||
 	       !permit_is_registered(pooler) || sync->joiner_count != 0 ||
-	       relay_is_cut_off(pooler->relay) || now >= sync->confirmed_at + NEWS_USUAL;
+	       relay_is_cut_off(pooler->relay) || now >= sync->confirmed_at + ROSTER_AGE_USUAL;
 }
 
 bool active_needs_fast_tick(pooler_t *pooler, usec_t now)
 {
 	return pooler->draining || pooler->routes == NULL || !list_empty(&pooler->forwarded) ||
 	       !list_empty(&pooler->sync.awaited) || is_fleet_busy(pooler, now) ||
-	       any_is_busy(pooler);
+	       is_any_busy(pooler);
 }
 
 void active_tick(pooler_t *pooler, usec_t now)
