--- a/pooler/metrics.c
+++ b/pooler/metrics.c
@@ -6,12 +6,12 @@
 #include "permit.h"
 #include "state.h"
 
-static void head(FILE *out, const char *name, const char *help)
+static void write_header(FILE *out, const char *name, const char *help)
 {
 	fprintf(out, "# HELP cyclamenspan_%s %s\n# TYPE cyclamenspan_%s gauge\n", name, help, name);
 }
 
-static double seconds(usec_t time)
+static double to_seconds(usec_t time)
 {
 	return (double)time / (double)USEC_PER_SEC;
 }
@@ -21,34 +21,37 @@
 	const sync_t *sync = &pooler->sync;
 	usec_t end = permit_end(pooler);
 
-	head(out, "roster_proxies", "Proxies on the roster.");
+	write_header(out, "roster_proxies", "Proxies on the roster.");
 	fprintf(out, "cyclamenspan_roster_proxies %zu\n", sync->proxies);
-	head(out, "permission_seconds", "Time for which primaries may still be used.");
-	fprintf(out, "cyclamenspan_permission_seconds %g\n", now < end ? seconds(end - now) : 0.0);
-	/* Without a first confirmation there is no age. */
+	write_header(out, "permission_seconds", "Remaining time in which primaries may be used.");
+	fprintf(out, "cyclamenspan_permission_seconds %g\n",
+		now < end ? to_seconds(end - now) : 0.0);
+	/* Before the first confirmation the roster has no age. */
 	if (sync->confirmed_at != USEC_NEVER) {
-		head(out, "roster_age_seconds", "Since the store was known to hold this roster.");
+		write_header(out, "roster_age_seconds",
+			     "Time since the store was last confirmed to hold this roster.");
 		fprintf(out, "cyclamenspan_roster_age_seconds %g\n",
-			seconds(now - sync->confirmed_at));
+			to_seconds(now - sync->confirmed_at));
 	}
 	if (proof_age(&pooler->config_validity, now) != USEC_NEVER) {
-		head(out, "config_age_seconds",
-		     "Since the configuration in force was known to be the newest.");
+		write_header(
+			out, "config_age_seconds",
+			"Time since the configuration in force was last confirmed to be the newest.");
 		fprintf(out, "cyclamenspan_config_age_seconds %g\n",
-			seconds(proof_age(&pooler->config_validity, now)));
+			to_seconds(proof_age(&pooler->config_validity, now)));
 	}
 }
 
 static void write_services(const pooler_t *pooler, FILE *out)
 {
-	head(out, "service_waiting", "Statements that wait for a connection.");
+	write_header(out, "service_waiting", "Statements waiting for a connection to a member.");
 	list_for_each (it, &pooler->services) {
 		const service_t *service = list_entry(it, service_t, node);
 
 		fprintf(out, "cyclamenspan_service_waiting{service=\"%s\"} %zu\n", service->name,
 			list_length(&service->waiting));
 	}
-	head(out, "service_changing", "1 while the primary is being replaced.");
+	write_header(out, "service_changing", "1 while the primary is being replaced.");
 	list_for_each (it, &pooler->services) {
 		const service_t *service = list_entry(it, service_t, node);
 
@@ -57,38 +60,38 @@
 	}
 }
 
-typedef double (*figure_t)(const member_t *member);
+typedef double (*member_value_t)(const member_t *member);
 
-static double connections(const member_t *member)
+static double connection_count(const member_t *member)
 {
 	return (double)member->conn_count;
 }
 
-static double busy(const member_t *member)
+static double running_statements(const member_t *member)
 {
 	return (double)member_load(member);
 }
 
-static double response(const member_t *member)
+static double response_seconds(const member_t *member)
 {
-	return seconds(member->response);
+	return to_seconds(member->response);
 }
 
-static double down(const member_t *member)
+static double is_down(const member_t *member)
 {
 	return member->down;
 }
 
 static void write_members(const pooler_t *pooler, FILE *out, const char *name, const char *help,
-			  figure_t figure)
+			  member_value_t value)
 {
-	head(out, name, help);
+	write_header(out, name, help);
 	list_for_each (it, &pooler->members) {
 		const member_t *member = list_entry(it, member_t, node);
 
 		if (!list_empty(&member->conns) || member->down)
 			fprintf(out, "cyclamenspan_%s{service=\"%s\",member=\"%s\"} %g\n", name,
-				member->service->name, member->id, figure(member));
+				member->service->name, member->id, value(member));
 	}
 }
 
@@ -97,9 +100,10 @@
 	write_fleet(pooler, out, now_of(pooler));
 	write_services(pooler, out);
 	write_members(pooler, out, "member_connections_open", "Connections to the member.",
-		      connections);
-	write_members(pooler, out, "member_statements_running", "Statements at the member.", busy);
+		      connection_count);
+	write_members(pooler, out, "member_statements_running", "Statements running at the member.",
+		      running_statements);
 	write_members(pooler, out, "member_response_seconds",
-		      "Usual time from a statement to the member's answer.", response);
-	write_members(pooler, out, "member_down", "1 if the member does not answer.", down);
+		      "Smoothed time from a statement to the member's reply.", response_seconds);
+	write_members(pooler, out, "member_down", "1 if the member does not answer.", is_down);
 }
--- a/pooler/metrics.h
+++ b/pooler/metrics.h
@@ -1,6 +1,6 @@
 /*
- * Figures of a pooler that depend on what there is: services and members, with a label each. Only
- * members that this proxy has connections to are told, so that a large fleet's metrics stay small.
+ * Metrics of a pooler with a label for each service and member. Only members that are down or have
+ * connections from this proxy are written, so that the metrics of a large fleet stay small.
  */
 #pragma once
 
@@ -8,5 +8,5 @@
 
 #include "pooler.h"
 
-/* Write them to out in the Prometheus text format. */
+/* Writes the metrics to out in the Prometheus text format. */
 void metrics_write(const pooler_t *pooler, FILE *out);
