--- a/pooler/admission.c
+++ b/pooler/admission.c
@@ -157,7 +157,7 @@
  * keep its connection and its locks until the client sends the next statement. A session with a
  * statement in progress is checked at the next statement.
  */
-static void revoke_session(caller_t *caller)
+static void mark_key_revoked(caller_t *caller)
 {
 	char label[KEY_LABEL_TEXT];
 
@@ -178,7 +178,7 @@
 		caller_t *caller = list_entry(it, caller_t, node);
 
 		if (!caller->key_revoked && is_key_revoked(caller))
-			revoke_session(caller);
+			mark_key_revoked(caller);
 		else if (caller->key_revoked && !is_key_revoked(caller))
 			caller->key_revoked = false;
 	}
--- a/pooler/caller.c
+++ b/pooler/caller.c
@@ -88,6 +88,7 @@
 	send_answer(caller, &reply, NULL);
 }
 
+/* Passes a member's reply on unchanged. */
 static void answer_with_reply(caller_t *caller, const reply_t *from)
 {
 	caller_reply_t reply = {.kind = REPLY_RAW, .raw = from->raw};
@@ -260,8 +261,8 @@
 
 	if (!reply->is_signed) {
 		conn->caller = NULL;
-		conn_close(conn, "unsigned answer");
-		caller_on_conn_lost(caller, true, "unsigned answer");
+		conn_close(conn, "unsigned reply");
+		caller_on_conn_lost(caller, true, "unsigned reply");
 		return;
 	}
 	if (is_permission_lost(caller, conn->member)) {
--- a/pooler/dispatch.c
+++ b/pooler/dispatch.c
@@ -12,7 +12,7 @@
 
 /*
  * Penalties of a member for a read, as time added to its expected response time.
- * Another zone: a round trip between zones takes 2.8 ms, and traffic between zones is charged.
+ * Another zone: a message between zones takes 1.4 ms each way, and the traffic is charged.
  */
 #define OTHER_ZONE_COST (3 * USEC_PER_MSEC)
 /* The primary: it alone can serve the writes. */
@@ -27,7 +27,7 @@
 /* No idle connection: a new one occupies a slot of the member for 12 ms. */
 #define CONNECT_COST (15 * USEC_PER_MSEC)
 /* Wait after which a caller may use more connections than this proxy's share: one connect time. */
-#define BORROW_WAIT (15 * USEC_PER_MSEC)
+#define EXCEED_SHARE_WAIT (15 * USEC_PER_MSEC)
 /*
  * Wait after which a caller may evict an idle connection of another customer whose own callers
  * wait too. Otherwise a large customer, whose callers always wait, would keep all connections.
@@ -76,7 +76,7 @@
  */
 #define RETRY_AFTER_MAX (1500 * USEC_PER_MSEC)
 
-/* --- what a replica must hold --- */
+/* --- log position that a replica must have applied --- */
 
 /*
  * Sets the log position that a replica must have applied for the caller's read. Returns false if
@@ -127,9 +127,9 @@
 }
 
 /* True if the caller has waited long enough for a connection beyond this proxy's share. */
-static bool may_borrow(const caller_t *caller, usec_t now)
+static bool can_exceed_share(const caller_t *caller, usec_t now)
 {
-	return now >= caller->received_at + BORROW_WAIT;
+	return now >= caller->received_at + EXCEED_SHARE_WAIT;
 }
 
 /* Returns another customer's idle connection that may be closed for the caller, or NULL. */
@@ -142,7 +142,7 @@
 
 static bool can_open(const member_t *member, const caller_t *caller, usec_t now)
 {
-	return member_can_open(member, now, may_borrow(caller, now)) ||
+	return member_can_open(member, now, can_exceed_share(caller, now)) ||
 	       find_evictable(member, caller, now) != NULL;
 }
 
@@ -387,8 +387,9 @@
 			return true;
 		if (caller->next_attempt_at > now && caller->next_attempt_at < *next)
 			*next = caller->next_attempt_at;
-		if (!may_borrow(caller, now) && caller->received_at + BORROW_WAIT < *next)
-			*next = caller->received_at + BORROW_WAIT;
+		if (!can_exceed_share(caller, now) &&
+		    caller->received_at + EXCEED_SHARE_WAIT < *next)
+			*next = caller->received_at + EXCEED_SHARE_WAIT;
 		if (caller->target == TARGET_ANY && !accepts_failing_member(caller, now) &&
 		    caller->received_at + HEALTHY_ONLY_WAIT(caller->objective) < *next)
 			*next = caller->received_at + HEALTHY_ONLY_WAIT(caller->objective);
@@ -506,7 +507,7 @@
 		const caller_t *caller = list_entry(it, caller_t, queue_node);
 		conn_t *conn;
 
-		if (!may_borrow(caller, now))
+		if (!can_exceed_share(caller, now))
 			continue;
 		conn = find_idle_tx(caller, now);
 		if (conn != NULL) {
--- a/pooler/pooler.c
+++ b/pooler/pooler.c
@@ -142,7 +142,7 @@
 	service->primary = primary != NULL && primary->service == service ? primary : NULL;
 }
 
-/* --- the clock --- */
+/* --- tick --- */
 
 /* Closes connections whose commit does not complete in time at a primary being replaced. */
 static void close_late_commits(service_t *service, usec_t now)
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -52,7 +52,7 @@
 	list_t node; /* in member_t.conns */
 	struct member *member;
 	customer_pool_t *customer_pool; /* NULL for a probe, which runs no statements */
-	void *link;			/* handle of the environment (env_t); NULL when closed */
+	void *link;			/* connection handle of the environment (env_t) */
 	conn_state_t state;
 	bool probe;
 	bool has_served;    /* has run at least one statement */
@@ -131,7 +131,7 @@
 typedef struct caller {
 	list_t node; /* in pooler_t.callers */
 	struct pooler *pooler;
-	void *link; /* handle of the environment (env_t), or the job; NULL when closed */
+	void *link; /* connection handle of the environment (env_t), or the job */
 	char *database;
 	key_digest_t key; /* digest of the key that the session began with */
 	char *customer;	  /* of the last admitted operation; NULL: none was admitted yet */
--- a/pooler/variables.c
+++ b/pooler/variables.c
@@ -12,13 +12,13 @@
 	set->fingerprint = 0;
 }
 
-static uint64_t hash_of(const variable_t *variable)
+static uint64_t variable_hash(const variable_t *variable)
 {
 	return XXH64(variable->value, strlen(variable->value),
 		     XXH64(variable->name, strlen(variable->name), 0));
 }
 
-static variable_t *find(const variables_t *set, slice_t name)
+static variable_t *find_variable(const variables_t *set, slice_t name)
 {
 	list_for_each (it, &set->list) {
 		variable_t *variable = list_entry(it, variable_t, node);
@@ -32,12 +32,12 @@
 
 const variable_t *variables_find(const variables_t *set, slice_t name)
 {
-	return find(set, name);
+	return find_variable(set, name);
 }
 
 void variables_set(variables_t *set, void *parent, slice_t name, slice_t value)
 {
-	variable_t *variable = find(set, name);
+	variable_t *variable = find_variable(set, name);
 
 	if (variable == NULL) {
 		variable = talloc_zero(parent, variable_t);
@@ -45,11 +45,11 @@
 		list_add_tail(&set->list, &variable->node);
 		set->count++;
 	} else {
-		set->fingerprint ^= hash_of(variable);
+		set->fingerprint ^= variable_hash(variable);
 		talloc_free(variable->value);
 	}
 	variable->value = talloc_strndup(variable, value.at, value.len);
-	set->fingerprint ^= hash_of(variable);
+	set->fingerprint ^= variable_hash(variable);
 }
 
 void variables_clear(variables_t *set)
@@ -64,7 +64,7 @@
 	list_for_each (it, &have->list) {
 		const variable_t *variable = list_entry(it, variable_t, node);
 
-		if (find(want, slice_of(variable->name, strlen(variable->name))) == NULL)
+		if (find_variable(want, slice_of(variable->name, strlen(variable->name))) == NULL)
 			return false;
 	}
 	return true;
