--- a/pooler/admission.h
+++ b/pooler/admission.h
@@ -39,5 +39,8 @@
 /* Sets the customer that the caller's statements run for, and the customer pool. */
 void admission_set_customer(caller_t *caller, const char *customer);
 
-/* Another set of keys is in force: rolls back idle transactions whose keys were revoked. */
+/*
+ * To be called when another configuration is in force: marks the sessions whose key it has revoked,
+ * and rolls back their idle transactions.
+ */
 void admission_on_keys_changed(pooler_t *pooler);
