--- a/pooler/conn.c
+++ b/pooler/conn.c
@@ -177,7 +177,7 @@
 	usec_t now = now_of(member->pooler);
 
 	if (code == CODE_MISROUTED) {
-		/* Another process has taken over the address; the members' list will follow. */
+		/* Another process has the address now; the directory will list the change. */
 		member->open_after = now + FULL_BACKOFF;
 		return;
 	}
--- a/pooler/hangup.c
+++ b/pooler/hangup.c
@@ -42,7 +42,7 @@
 static void report_close(const caller_t *caller, end_reason_t reason, close_result_t result)
 {
 	counter_grid_add(&ended_total, reason, result);
-	/* Usual after each answer during a shutdown; the session is closed once that is sent. */
+	/* Not logged: normal after each answer of a shutdown, until the answer has been sent. */
 	if (result == CLOSE_UNSENT)
 		return;
 	LOG_EVENT(LOG_INFO, "closing session", LOG_STR("reason", reasons[reason]),
