--- a/links/adapter.h
+++ b/links/adapter.h
@@ -38,7 +38,7 @@
 /* Give core an event, then carry out what it decides. */
 void adapter_submit(adapter_t *adapter, const event_t *event);
 
-static inline adapter_t *adapter_of(const kernel_t *kernel)
+static inline adapter_t *adapter_from_kernel(const kernel_t *kernel)
 {
 	return ((context_t *)kernel->context)->adapter;
 }
--- a/links/bounds.c
+++ b/links/bounds.c
@@ -76,7 +76,7 @@
 	return true;
 }
 
-bool bounds_are_kept(const void *data, size_t len)
+bool bounds_are_valid(const void *data, size_t len)
 {
 	const uint8_t *at = data;
 	uint64_t missing = 1; /* objects still to come, of a byte or more each */
--- a/links/bounds.h
+++ b/links/bounds.h
@@ -9,4 +9,4 @@
  * is there as long as it says. The library sets aside memory for what a header
  * says before it looks for the elements: five bytes could ask for 64 GB.
  */
-bool bounds_are_kept(const void *data, size_t len);
+bool bounds_are_valid(const void *data, size_t len);
--- a/links/callers.c
+++ b/links/callers.c
@@ -395,7 +395,7 @@
 
 	counter_add(&requests_total, 1);
 	for (size_t i = 0; i < sizeof(verbs) / sizeof(verbs[0]); i++) {
-		if (httpd_is(req, "POST", verbs[i].path)) {
+		if (httpd_request_matches(req, "POST", verbs[i].path)) {
 			handle_verb(self, req, &verbs[i]);
 			return 0;
 		}
@@ -411,7 +411,7 @@
 	callers_t *self = (callers_t *)plugin;
 	const conf_t *conf = kernel->settings;
 
-	self->adapter = adapter_of(kernel);
+	self->adapter = adapter_from_kernel(kernel);
 	self->loop = &kernel->loop;
 	adapter_register(self->adapter, ACTION_ANSWER, on_answer, self);
 	return httpd_start(&self->httpd, &kernel->loop, conf->callers_listen,
@@ -435,7 +435,7 @@
 {
 	callers_t *self = (callers_t *)plugin;
 
-	return self->waiting == NULL && httpd_settle(&self->httpd);
+	return self->waiting == NULL && httpd_close_idle(&self->httpd);
 }
 
 static void destroy(plugin_t *plugin)
--- a/links/control.c
+++ b/links/control.c
@@ -279,7 +279,7 @@
 	control_t *self = (control_t *)plugin;
 	int rc;
 
-	self->adapter = adapter_of(kernel);
+	self->adapter = adapter_from_kernel(kernel);
 	self->loop = &kernel->loop;
 	self->conf = kernel->settings;
 	self->all = talloc_new(NULL);
--- a/links/etcd.c
+++ b/links/etcd.c
@@ -11,7 +11,7 @@
 /* Lines of history kept in the store. */
 #define KEPT_HISTORY 1000
 
-json_t *etcd_key(const char *prefix, const char *key)
+json_t *etcd_encode_key(const char *prefix, const char *key)
 {
 	char *full = talloc_asprintf(NULL, "%s%s", prefix, key);
 	gchar *base64 = g_base64_encode((const guchar *)full, strlen(full));
@@ -32,7 +32,7 @@
 }
 
 /* The decoded field as a child of parent, NULL if there is none. */
-char *etcd_text(void *parent, const json_t *field)
+char *etcd_decode_text(void *parent, const json_t *field)
 {
 	const char *text = json_string_value(field);
 	gsize len;
@@ -48,7 +48,7 @@
 }
 
 /* etcd's gateway writes 64-bit numbers as strings. */
-int64_t etcd_number(const json_t *object, const char *key)
+int64_t etcd_read_number(const json_t *object, const char *key)
 {
 	const json_t *field = json_object_get(object, key);
 
@@ -59,11 +59,11 @@
 
 void etcd_read_head(const json_t *kv, etcd_head_t *head)
 {
-	char *text = etcd_text(NULL, json_object_get(kv, "value"));
+	char *text = etcd_decode_text(NULL, json_object_get(kv, "value"));
 	json_t *value = text != NULL ? json_loads(text, 0, NULL) : NULL;
 
-	head->revision = etcd_number(kv, "mod_revision");
-	head->version = (uint64_t)etcd_number(value, "version");
+	head->revision = etcd_read_number(kv, "mod_revision");
+	head->version = (uint64_t)etcd_read_number(value, "version");
 	head->edits = json_incref(json_object_get(value, "edits"));
 	json_decref(value);
 	talloc_free(text);
@@ -72,8 +72,8 @@
 /* One stored entry; false if it can't be read. */
 static bool read_entry(const char *prefix, void *parent, const json_t *kv, table_entry_t *out)
 {
-	char *key = etcd_text(parent, json_object_get(kv, "key"));
-	char *text = etcd_text(parent, json_object_get(kv, "value"));
+	char *key = etcd_decode_text(parent, json_object_get(kv, "key"));
+	char *text = etcd_decode_text(parent, json_object_get(kv, "value"));
 	json_t *stored = text != NULL ? json_loads(text, 0, NULL) : NULL;
 	size_t skip = strlen(prefix) + strlen("item/");
 	const json_t *value = json_object_get(stored, "value");
@@ -83,7 +83,7 @@
 	if (readable) {
 		dumped = json_is_object(value) ? json_dumps(value, JSON_COMPACT) : NULL;
 		out->key = talloc_strdup(parent, key + skip);
-		out->version = (uint64_t)etcd_number(stored, "version");
+		out->version = (uint64_t)etcd_read_number(stored, "version");
 		out->value = talloc_strdup(parent, dumped);
 		free(dumped);
 	}
@@ -107,8 +107,8 @@
 static json_t *put(const char *prefix, const char *key, json_t *value)
 {
 	char *text = json_dumps(value, JSON_COMPACT);
-	json_t *request = json_pack("{s:{s:o, s:o}}", "requestPut", "key", etcd_key(prefix, key),
-				    "value", encode_text(text));
+	json_t *request = json_pack("{s:{s:o, s:o}}", "requestPut", "key",
+				    etcd_encode_key(prefix, key), "value", encode_text(text));
 
 	free(text);
 	json_decref(value);
@@ -147,10 +147,10 @@
 			 "edit", commit->edit_id, "author", commit->author, "changes", changes);
 }
 
-json_t *etcd_commit(const char *prefix, const commit_action_t *commit, const json_t *edits)
+json_t *etcd_commit_request(const char *prefix, const commit_action_t *commit, const json_t *edits)
 {
 	json_t *success = json_array();
-	json_t *compare = json_pack("{s:o, s:s, s:s, s:s}", "key", etcd_key(prefix, "head"),
+	json_t *compare = json_pack("{s:o, s:s, s:s, s:s}", "key", etcd_encode_key(prefix, "head"),
 				    "target", "MOD", "result", "EQUAL", "mod_revision", "0");
 	char key[600];
 
@@ -166,7 +166,7 @@
 		snprintf(key, sizeof(key), "history/%012llu",
 			 (unsigned long long)(commit->table_version - KEPT_HISTORY));
 		json_array_append_new(success, json_pack("{s:{s:o}}", "requestDeleteRange", "key",
-							 etcd_key(prefix, key)));
+							 etcd_encode_key(prefix, key)));
 	}
 	return json_pack("{s:[o], s:o}", "compare", compare, "success", success);
 }
--- a/links/etcd.h
+++ b/links/etcd.h
@@ -19,13 +19,13 @@
 } etcd_head_t;
 
 /* A key under the prefix, encoded. */
-json_t *etcd_key(const char *prefix, const char *key);
+json_t *etcd_encode_key(const char *prefix, const char *key);
 
 /* A decoded field as a child of parent, NULL if there is none. */
-char *etcd_text(void *parent, const json_t *field);
+char *etcd_decode_text(void *parent, const json_t *field);
 
 /* A number, which the gateway writes as a string when it has 64 bits. */
-int64_t etcd_number(const json_t *object, const char *key);
+int64_t etcd_read_number(const json_t *object, const char *key);
 
 void etcd_read_head(const json_t *kv, etcd_head_t *head);
 
@@ -33,4 +33,4 @@
 size_t etcd_read_entries(const char *prefix, void *parent, const json_t *kvs, table_entry_t **out);
 
 /* The transaction that puts an edit on top of the head that the action names. */
-json_t *etcd_commit(const char *prefix, const commit_action_t *commit, const json_t *edits);
+json_t *etcd_commit_request(const char *prefix, const commit_action_t *commit, const json_t *edits);
--- a/links/httpd.c
+++ b/links/httpd.c
@@ -14,7 +14,7 @@
 #define JSON_TYPE	"application/json"
 #define HTTP2		0x200 /* h2o_req_t.version from HTTP/2 on */
 /*
- * How often httpd_settle() looks for connections with something to read or
+ * How often httpd_close_idle() looks for connections with something to read or
  * write before it closes all. Each look follows a turn of the loop, which serves
  * 256 connections, so this suffices for 25,000 of them; who is left then doesn't
  * take its answer, and the process doesn't wait for it. Looks are counted, not
@@ -149,7 +149,7 @@
 	return ioctl(h2o_socket_get_fd(conn->sock), FIONREAD, &bytes) == 0 && bytes > 0;
 }
 
-bool httpd_settle(httpd_t *httpd)
+bool httpd_close_idle(httpd_t *httpd)
 {
 	bool settled = true;
 	bool last_look = ++httpd->looks >= LOOKS_MAX;
@@ -218,7 +218,7 @@
 	free(text);
 }
 
-bool httpd_is(const h2o_req_t *req, const char *method, const char *path)
+bool httpd_request_matches(const h2o_req_t *req, const char *method, const char *path)
 {
 	return h2o_memis(req->method.base, req->method.len, method, strlen(method)) &&
 	       h2o_memis(req->path_normalized.base, req->path_normalized.len, path, strlen(path));
--- a/links/httpd.h
+++ b/links/httpd.h
@@ -19,7 +19,7 @@
 	h2o_accept_ctx_t accept;
 	h2o_socket_t *listener;
 	list_t conns; /* open connections, each until h2o closes it */
-	int looks;    /* of httpd_settle() */
+	int looks;    /* of httpd_close_idle() */
 	httpd_handler_t handle;
 	void *data;
 } httpd_t;
@@ -35,9 +35,9 @@
  * Drain, close the connections that have nothing to read or write, and return
  * true if there are no others. Requests must not be waiting for their answers.
  */
-bool httpd_settle(httpd_t *httpd);
+bool httpd_close_idle(httpd_t *httpd);
 
 /* Answer with a JSON body, which is taken over. retry_after_ms 0: none. */
 void httpd_send_json(h2o_req_t *req, int status, json_t *body, uint64_t retry_after_ms);
 
-bool httpd_is(const h2o_req_t *req, const char *method, const char *path);
+bool httpd_request_matches(const h2o_req_t *req, const char *method, const char *path);
--- a/links/operators.c
+++ b/links/operators.c
@@ -161,7 +161,7 @@
 
 	wait->self = self;
 	wait->id = wait_for_store(self, req)->id;
-	platform_history(((context_t *)self->kernel->context)->platform, on_history, wait);
+	platform_read_history(((context_t *)self->kernel->context)->platform, on_history, wait);
 }
 
 static size_t read_entries(void *parent, const json_t *object, table_entry_t **out)
@@ -253,7 +253,7 @@
 		return 0;
 	}
 	for (size_t i = 0; i < sizeof(endpoints) / sizeof(endpoints[0]); i++) {
-		if (httpd_is(req, endpoints[i].method, endpoints[i].path)) {
+		if (httpd_request_matches(req, endpoints[i].method, endpoints[i].path)) {
 			endpoints[i].handle(self, req);
 			return 0;
 		}
@@ -269,7 +269,7 @@
 	const conf_t *conf = kernel->settings;
 
 	self->kernel = kernel;
-	self->adapter = adapter_of(kernel);
+	self->adapter = adapter_from_kernel(kernel);
 	self->token = conf_read_secret(NULL, conf->operators_token_file, err);
 	if (self->token == NULL)
 		return -ENOENT;
@@ -285,7 +285,7 @@
 {
 	operators_t *self = (operators_t *)plugin;
 
-	return self->pending == NULL && httpd_settle(&self->httpd);
+	return self->pending == NULL && httpd_close_idle(&self->httpd);
 }
 
 static void destroy(plugin_t *plugin)
--- a/links/peerlink.c
+++ b/links/peerlink.c
@@ -72,7 +72,7 @@
 	peerlink_t *self = (peerlink_t *)plugin;
 	int rc;
 
-	self->adapter = adapter_of(kernel);
+	self->adapter = adapter_from_kernel(kernel);
 	self->conf = kernel->settings;
 	self->zmq.on_frame = on_frame;
 	rc = read_keys(self, err);
@@ -94,7 +94,7 @@
 /* Messages that have come but were not read would be lost with the process. */
 static bool settle(plugin_t *plugin)
 {
-	zmqlink_receive(&((peerlink_t *)plugin)->zmq);
+	zmqlink_receive_all(&((peerlink_t *)plugin)->zmq);
 	return true;
 }
 
--- a/links/platform.c
+++ b/links/platform.c
@@ -159,9 +159,10 @@
 static void load_entries(op_t *op)
 {
 	platform_t *self = op->platform;
-	json_t *body = json_pack("{s:o, s:o, s:I}", "key", etcd_key(prefix_of(self), "item/"),
-				 "range_end", etcd_key(prefix_of(self), "item0"), "revision",
-				 (json_int_t)op->head.revision);
+	json_t *body =
+		json_pack("{s:o, s:o, s:I}", "key", etcd_encode_key(prefix_of(self), "item/"),
+			  "range_end", etcd_encode_key(prefix_of(self), "item0"), "revision",
+			  (json_int_t)op->head.revision);
 
 	if (op->since_revision > 0)
 		json_object_set_new(body, "min_mod_revision", json_integer(op->since_revision + 1));
@@ -190,7 +191,7 @@
 
 static void start_load(op_t *op)
 {
-	json_t *body = json_pack("{s:o}", "key", etcd_key(prefix_of(op->platform), "head"));
+	json_t *body = json_pack("{s:o}", "key", etcd_encode_key(prefix_of(op->platform), "head"));
 
 	post(op->platform, "/v3/kv/range", body, on_head, NULL, op);
 }
@@ -228,7 +229,7 @@
 		return;
 	}
 	if (json_is_true(json_object_get(answer, "succeeded"))) {
-		op->head.revision = etcd_number(json_object_get(answer, "header"), "revision");
+		op->head.revision = etcd_read_number(json_object_get(answer, "header"), "revision");
 		op->head.version = op->version;
 		json_decref(answer);
 		tell(op, op->entries, op->entry_count);
@@ -274,7 +275,7 @@
 	}
 	if (kv != NULL)
 		etcd_read_head(kv, &head);
-	post(self, "/v3/kv/txn", etcd_commit(prefix_of(self), &commit->action, head.edits),
+	post(self, "/v3/kv/txn", etcd_commit_request(prefix_of(self), &commit->action, head.edits),
 	     on_commit_done, NULL, op);
 	json_decref(head.edits);
 	json_decref(answer);
@@ -287,7 +288,7 @@
 	const commit_action_t *from = &action->commit;
 	op_t *op = op_create(self, action->id, EVENT_STORE_DONE);
 	commit_t *commit = talloc_zero(op, commit_t);
-	json_t *body = json_pack("{s:o}", "key", etcd_key(prefix_of(self), "head"));
+	json_t *body = json_pack("{s:o}", "key", etcd_encode_key(prefix_of(self), "head"));
 
 	copy_entries(op, from);
 	op->since = from->table_version - 1;
@@ -320,7 +321,8 @@
 	json_t *edits = json_array();
 
 	for (size_t i = 0; i < json_array_size(kvs); i++) {
-		char *text = etcd_text(NULL, json_object_get(json_array_get(kvs, i), "value"));
+		char *text =
+			etcd_decode_text(NULL, json_object_get(json_array_get(kvs, i), "value"));
 		json_t *edit = text != NULL ? json_loads(text, 0, NULL) : NULL;
 
 		if (edit != NULL)
@@ -342,13 +344,13 @@
 	talloc_free(history);
 }
 
-void platform_history(struct platform *self, platform_history_cb_t done, void *data)
+void platform_read_history(struct platform *self, platform_history_cb_t done, void *data)
 {
 	history_t *history = talloc_zero(NULL, history_t);
-	json_t *body =
-		json_pack("{s:o, s:o, s:s, s:s, s:i}", "key", etcd_key(prefix_of(self), "history/"),
-			  "range_end", etcd_key(prefix_of(self), "history0"), "sort_order",
-			  "DESCEND", "sort_target", "KEY", "limit", HISTORY_SHOWN);
+	json_t *body = json_pack("{s:o, s:o, s:s, s:s, s:i}", "key",
+				 etcd_encode_key(prefix_of(self), "history/"), "range_end",
+				 etcd_encode_key(prefix_of(self), "history0"), "sort_order",
+				 "DESCEND", "sort_target", "KEY", "limit", HISTORY_SHOWN);
 
 	history->platform = self;
 	history->done = done;
@@ -394,7 +396,7 @@
 
 	for (size_t i = 0; i < json_array_size(events); i++) {
 		json_t *kv = json_object_get(json_array_get(events, i), "kv");
-		char *key = etcd_text(scratch, json_object_get(kv, "key"));
+		char *key = etcd_decode_text(scratch, json_object_get(kv, "key"));
 
 		if (key == NULL || !is_under(key, prefix))
 			continue;
@@ -444,9 +446,9 @@
 static void on_watch(void *data, action_t *action)
 {
 	platform_t *self = data;
-	json_t *create = json_pack("{s:o, s:o, s:I}", "key", etcd_key(prefix_of(self), ""),
-				   "range_end", etcd_key(prefix_of(self), "\x7f"), "start_revision",
-				   (json_int_t)action->load.head_revision + 1);
+	json_t *create = json_pack("{s:o, s:o, s:I}", "key", etcd_encode_key(prefix_of(self), ""),
+				   "range_end", etcd_encode_key(prefix_of(self), "\x7f"),
+				   "start_revision", (json_int_t)action->load.head_revision + 1);
 
 	talloc_free(self->watch_buffer);
 	self->watch_buffer = talloc_strdup(NULL, "");
@@ -510,7 +512,7 @@
 	platform_t *self = (platform_t *)plugin;
 	int rc;
 
-	self->adapter = adapter_of(kernel);
+	self->adapter = adapter_from_kernel(kernel);
 	self->loop = &kernel->loop;
 	self->conf = kernel->settings;
 	((context_t *)kernel->context)->platform = self;
--- a/links/platform.h
+++ b/links/platform.h
@@ -9,4 +9,4 @@
 typedef void (*platform_history_cb_t)(void *data, json_t *edits);
 
 /* Read the last edits of the table from the store. */
-void platform_history(struct platform *platform, platform_history_cb_t done, void *data);
+void platform_read_history(struct platform *platform, platform_history_cb_t done, void *data);
--- a/links/run.c
+++ b/links/run.c
@@ -9,7 +9,7 @@
 
 #include "sql.h"
 
-static const step_t part_steps[][RUN_STEPS_MAX] = {
+static const run_step_t part_steps[][RUN_STEPS_MAX] = {
 	[PART_READ] = {STEP_BEGIN_READ, STEP_REPORT_BEFORE, STEP_STATEMENT, STEP_REPORT_AFTER,
 		       STEP_COMMIT},
 	[PART_WRITE] = {STEP_BEGIN, STEP_INSERT_ID, STEP_STATEMENT},
@@ -22,13 +22,13 @@
 	[PART_FIND_ANSWER] = {STEP_FIND_ANSWER, STEP_REPORT_AFTER},
 };
 
-static const part_t first_part[RUN_COUNT] = {
+static const run_part_t first_part[RUN_COUNT] = {
 	[RUN_READ] = PART_READ,	    [RUN_WRITE] = PART_WRITE,
 	[RUN_BEGIN] = PART_BEGIN,   [RUN_STATEMENT] = PART_STATEMENT,
 	[RUN_COMMIT] = PART_COMMIT, [RUN_ROLLBACK] = PART_ROLLBACK,
 };
 
-part_t run_first_part(run_kind_t kind)
+run_part_t run_first_part(run_kind_t kind)
 {
 	return first_part[kind];
 }
@@ -93,7 +93,7 @@
 	return talloc_asprintf_append(fingerprint(parent, run->query), "%s", rows);
 }
 
-static void send_step(pgio_t *io, run_t *run, step_t step)
+static void send_step(pgio_t *io, run_t *run, run_step_t step)
 {
 	const char *id_and_answer[] = {run->query->request_id, NULL};
 
@@ -134,19 +134,19 @@
 	run->sent[run->sent_len++] = step;
 }
 
-static bool needs_id(step_t step)
+static bool needs_id(run_step_t step)
 {
 	return step == STEP_INSERT_ID || step == STEP_STORE_ANSWER;
 }
 
-void run_send(run_t *run, pgio_t *io, part_t part)
+void run_send_part(run_t *run, pgio_t *io, run_part_t part)
 {
 	run->part = part;
 	run->sent_len = 0;
 	run->next_result = 0;
 	run->failed = false;
 	for (size_t i = 0; i < RUN_STEPS_MAX && part_steps[part][i] != STEP_END; i++) {
-		step_t step = part_steps[part][i];
+		run_step_t step = part_steps[part][i];
 
 		if (needs_id(step) && run->query->request_id == NULL)
 			continue;
@@ -163,7 +163,7 @@
 		run->result.detail = talloc_strdup(run, detail);
 }
 
-static void take_report(run_t *run, step_t step, const PGresult *result)
+static void take_report(run_t *run, run_step_t step, const PGresult *result)
 {
 	report_t *out = step == STEP_REPORT_BEFORE ? &run->result.before : &run->result.after;
 	bool accepted;
@@ -199,22 +199,22 @@
 	run->result.repeated = true;
 }
 
-static void take_error(run_t *run, step_t step, const PGresult *result)
+static void take_error(run_t *run, run_step_t step, const PGresult *result)
 {
 	run->failed = true;
 	if (PQresultStatus(result) == PGRES_PIPELINE_ABORTED)
 		return; /* an earlier step has said why */
-	if (step == STEP_INSERT_ID && sql_has_state(result, SQLSTATE_UNIQUE_VIOLATION)) {
+	if (step == STEP_INSERT_ID && sql_has_sqlstate(result, SQLSTATE_UNIQUE_VIOLATION)) {
 		run->id_is_known = true;
 		return;
 	}
-	run->not_primary = sql_has_state(result, SQLSTATE_READ_ONLY) && run->part != PART_READ;
+	run->not_primary = sql_has_sqlstate(result, SQLSTATE_READ_ONLY) && run->part != PART_READ;
 	run->commit_in_doubt = step == STEP_COMMIT && sql_is_fatal(result);
 	talloc_free(run->result.detail);
 	run->result.detail = sql_error_text(run, result);
 }
 
-static void take_step(run_t *run, step_t step, const PGresult *result)
+static void take_step(run_t *run, run_step_t step, const PGresult *result)
 {
 	if (sql_is_error(result)) {
 		take_error(run, step, result);
@@ -244,7 +244,7 @@
 	}
 }
 
-void run_take(run_t *run, const PGresult *result)
+void run_handle_result(run_t *run, const PGresult *result)
 {
 	if (run->next_result < run->sent_len)
 		take_step(run, run->sent[run->next_result++], result);
--- a/links/run.h
+++ b/links/run.h
@@ -23,7 +23,7 @@
 	STEP_FIND_ANSWER,
 	STEP_REPORT_BEFORE,
 	STEP_REPORT_AFTER,
-} step_t;
+} run_step_t;
 
 /* Parts of a run, each sent as one pipeline and judged at its end. */
 typedef enum {
@@ -36,12 +36,12 @@
 	PART_ROLLBACK,
 	PART_CLEAN_UP, /* roll back after an error */
 	PART_FIND_ANSWER,
-} part_t;
+} run_part_t;
 
 typedef struct run {
 	query_t *query;
-	part_t part;
-	step_t sent[RUN_STEPS_MAX]; /* steps of this part, in the order of their results */
+	run_part_t part;
+	run_step_t sent[RUN_STEPS_MAX]; /* steps of this part, in the order of their results */
 	size_t sent_len;
 	size_t next_result;
 	bool commit_sent;
@@ -54,13 +54,13 @@
 } run_t;
 
 /* The part that a run of this kind begins with. */
-part_t run_first_part(run_kind_t kind);
+run_part_t run_first_part(run_kind_t kind);
 
-/* Send the steps of a part as one pipeline; its results go to run_take(). */
-void run_send(run_t *run, pgio_t *io, part_t part);
+/* Send the steps of a part as one pipeline; its results go to run_handle_result(). */
+void run_send_part(run_t *run, pgio_t *io, run_part_t part);
 
 /* Take up the next result of the part; further ones than steps are ignored. */
-void run_take(run_t *run, const PGresult *result);
+void run_handle_result(run_t *run, const PGresult *result);
 
 /* Note why the run failed; the first reason stays. */
 void run_set_detail(run_t *run, const char *detail);
--- a/links/runner.c
+++ b/links/runner.c
@@ -111,11 +111,11 @@
 
 	switch (run->part) {
 	case PART_WRITE:
-		run_send(conn->run, &conn->io, PART_WRITE_COMMIT);
+		run_send_part(conn->run, &conn->io, PART_WRITE_COMMIT);
 		break;
 	case PART_CLEAN_UP:
 		if (run->id_is_known)
-			run_send(conn->run, &conn->io, PART_FIND_ANSWER);
+			run_send_part(conn->run, &conn->io, PART_FIND_ANSWER);
 		else
 			finish(conn, run->not_primary ? RUN_NOT_PRIMARY : RUN_REJECTED);
 		break;
@@ -157,7 +157,7 @@
 		return;
 	}
 	run->commit_sent = false; /* answered: it did not take */
-	run_send(conn->run, &conn->io, PART_CLEAN_UP);
+	run_send_part(conn->run, &conn->io, PART_CLEAN_UP);
 }
 
 static void part_done(runner_conn_t *conn)
@@ -176,7 +176,7 @@
 	const char *params[] = {conn->row, limit};
 
 	snprintf(limit, sizeof(limit), "%lld", (long long)conn->limit);
-	pgio_send(&conn->io, SQL_CLAIM, 2, params);
+	pgio_send(&conn->io, SQL_CLAIM_SLOT, 2, params);
 	pgio_sync(&conn->io);
 }
 
@@ -188,7 +188,7 @@
 	conn->evict = false;
 	conn->skip_result = true;
 	counter_add(&evictions_total, 1);
-	pgio_send(&conn->io, SQL_EVICT, 1, params);
+	pgio_send(&conn->io, SQL_EVICT_SESSION, 1, params);
 	send_claim(conn);
 }
 
@@ -243,7 +243,7 @@
 	if (result == NULL)
 		part_done(conn);
 	else
-		run_take(run, result);
+		run_handle_result(run, result);
 }
 
 static void on_lost(pgio_t *io, bool refused, const char *why)
@@ -299,7 +299,7 @@
 	}
 	conn->run = talloc_zero(conn, run_t);
 	conn->run->query = talloc_steal(conn->run, action->run.query);
-	run_send(conn->run, &conn->io, run_first_part(action->run.kind));
+	run_send_part(conn->run, &conn->io, run_first_part(action->run.kind));
 }
 
 static void on_close(void *data, action_t *action)
@@ -315,7 +315,7 @@
 	runner_t *self = (runner_t *)plugin;
 	int rc;
 
-	self->adapter = adapter_of(kernel);
+	self->adapter = adapter_from_kernel(kernel);
 	self->loop = &kernel->loop;
 	self->conf = kernel->settings;
 	rc = conf_read_password(NULL, self->conf, &self->password, err);
--- a/links/sql.c
+++ b/links/sql.c
@@ -87,7 +87,7 @@
 			       message != NULL ? message : "no message");
 }
 
-bool sql_has_state(const PGresult *result, const char *state)
+bool sql_has_sqlstate(const PGresult *result, const char *state)
 {
 	const char *have = PQresultErrorField(result, PG_DIAG_SQLSTATE);
 
--- a/links/sql.h
+++ b/links/sql.h
@@ -21,12 +21,12 @@
  * Claims one of the row's slots for this connection. An advisory lock belongs
  * to its connection, so the server frees the slot however the proxy ends.
  */
-#define SQL_CLAIM                                                                                  \
+#define SQL_CLAIM_SLOT                                                                             \
 	"SELECT slot FROM generate_series(0, $2::int - 1) AS slot "                                \
 	"WHERE pg_try_advisory_lock(hashtext($1), slot) LIMIT 1"
 
 /* Ends one session that holds a slot of the row; what it had open is rolled back. */
-#define SQL_EVICT                                                                                  \
+#define SQL_EVICT_SESSION                                                                          \
 	"SELECT pg_terminate_backend(pid) FROM pg_locks WHERE locktype = 'advisory' "              \
 	"AND classid = hashtext($1)::oid AND pid <> pg_backend_pid() AND granted LIMIT 1"
 
@@ -52,4 +52,4 @@
 /* The first line of the error, with its SQLSTATE, as a child of parent. */
 char *sql_error_text(void *parent, const PGresult *result);
 
-bool sql_has_state(const PGresult *result, const char *state);
+bool sql_has_sqlstate(const PGresult *result, const char *state);
--- a/links/wire.c
+++ b/links/wire.c
@@ -317,7 +317,7 @@
 	msgpack_unpacked unpacked;
 
 	msgpack_unpacked_init(&unpacked);
-	if (bounds_are_kept(data, len) &&
+	if (bounds_are_valid(data, len) &&
 	    msgpack_unpack_next(&unpacked, data, len, NULL) == MSGPACK_UNPACK_SUCCESS &&
 	    unpacked.data.type == MSGPACK_OBJECT_MAP)
 		message = unpack_message(parent, &unpacked.data, from);
--- a/links/zmqlink.c
+++ b/links/zmqlink.c
@@ -146,7 +146,7 @@
 	return true;
 }
 
-void zmqlink_receive(zmqlink_t *self)
+void zmqlink_receive_all(zmqlink_t *self)
 {
 	while (receive_some(self))
 		;
--- a/links/zmqlink.h
+++ b/links/zmqlink.h
@@ -35,7 +35,7 @@
 void zmqlink_stop(zmqlink_t *link);
 
 /* Handle every message that has come, without waiting for the loop to report it. */
-void zmqlink_receive(zmqlink_t *link);
+void zmqlink_receive_all(zmqlink_t *link);
 
 /* Returns 0, or -EHOSTUNREACH if it was certainly not sent. address may be NULL for a known peer.
  */
--- a/tests/standin_platform.c
+++ b/tests/standin_platform.c
@@ -499,19 +499,19 @@
 
 static void serve_store(h2o_req_t *req, json_t *body)
 {
-	if (httpd_is(req, "POST", "/v3/kv/range"))
+	if (httpd_request_matches(req, "POST", "/v3/kv/range"))
 		answer(req, do_range(body));
-	else if (httpd_is(req, "POST", "/v3/kv/put"))
+	else if (httpd_request_matches(req, "POST", "/v3/kv/put"))
 		answer(req, do_put(body));
-	else if (httpd_is(req, "POST", "/v3/kv/txn"))
+	else if (httpd_request_matches(req, "POST", "/v3/kv/txn"))
 		answer(req, do_txn(body));
-	else if (httpd_is(req, "POST", "/v3/lease/grant"))
+	else if (httpd_request_matches(req, "POST", "/v3/lease/grant"))
 		answer(req, do_grant(body));
-	else if (httpd_is(req, "POST", "/v3/lease/keepalive"))
+	else if (httpd_request_matches(req, "POST", "/v3/lease/keepalive"))
 		answer(req, do_keepalive(body));
-	else if (httpd_is(req, "POST", "/v3/watch"))
+	else if (httpd_request_matches(req, "POST", "/v3/watch"))
 		start_watch(req, body);
-	else if (httpd_is(req, "GET", "/v1/vms"))
+	else if (httpd_request_matches(req, "GET", "/v1/vms"))
 		answer(req, json_incref(me.vms));
 	else
 		httpd_send_json(req, 404, json_object(), 0);
@@ -524,9 +524,10 @@
 			       : NULL;
 
 	(void)httpd;
-	if (httpd_is(req, "POST", "/control/vms")) {
+	if (httpd_request_matches(req, "POST", "/control/vms")) {
 		set_vms(req, body);
-	} else if (httpd_is(req, "POST", "/control") || httpd_is(req, "GET", "/control")) {
+	} else if (httpd_request_matches(req, "POST", "/control") ||
+		   httpd_request_matches(req, "GET", "/control")) {
 		control(req, body);
 	} else {
 		me.calls++;
--- a/tests/test_zmqlink.c
+++ b/tests/test_zmqlink.c
@@ -166,7 +166,7 @@
 	pair_start(&pair);
 	g_assert_cmpint(pair_send(&pair, 1), ==, 1);
 	while (pair.receiver.received < 2 && g_get_monotonic_time() < end)
-		zmqlink_receive(&pair.receiver.link);
+		zmqlink_receive_all(&pair.receiver.link);
 	g_assert_cmpint(pair.receiver.received, ==, 2);
 	zmqlink_stop(&pair.sender);
 	zmqlink_stop(&pair.receiver.link);
