--- a/links/adapter.c
+++ b/links/adapter.c
@@ -55,11 +55,11 @@
 	counter_add(&events_total, 1);
 	core_handle(adapter->core, clock_now(adapter->loop->clock), event);
 	/* A handler may submit events itself; the outermost call carries out all actions. */
-	if (adapter->draining_actions)
+	if (adapter->running_actions)
 		return;
-	adapter->draining_actions = true;
+	adapter->running_actions = true;
 	carry_out(adapter);
-	adapter->draining_actions = false;
+	adapter->running_actions = false;
 	timers_arm(&adapter->loop->timers, &adapter->timer, core_next_wake(adapter->core),
 		   on_timer);
 }
--- a/links/adapter.h
+++ b/links/adapter.h
@@ -25,7 +25,7 @@
 	core_t *core;
 	loop_t *loop;
 	run_timer_t timer;
-	bool draining_actions;
+	bool running_actions;
 	struct {
 		action_handler_t handle;
 		void *data;
--- a/links/httpc.c
+++ b/links/httpc.c
@@ -207,7 +207,7 @@
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MSEC);
-	set_keepalive(easy, request->probe);
+	set_keepalive(easy, request->fast_keepalive);
 	if (request->timeout_ms != 0)
 		curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)request->timeout_ms);
 	if (request->method != NULL || request->body != NULL)
--- a/links/httpc.h
+++ b/links/httpc.h
@@ -51,7 +51,7 @@
 	const char *body;	    /* JSON, or NULL for none */
 	const char *const *headers; /* "Name: value", NULL at the end; or NULL for none */
 	int64_t timeout_ms;	    /* 0: a stream without an end */
-	bool probe;		    /* a silent connection is noticed within seconds */
+	bool fast_keepalive;	    /* a silent connection is noticed within seconds */
 	httpc_done_t on_done;
 	httpc_data_t on_data; /* set for a stream */
 	void *data;
--- a/links/httpd.c
+++ b/links/httpd.c
@@ -152,7 +152,7 @@
 bool httpd_close_idle(httpd_t *httpd)
 {
 	bool settled = true;
-	bool last_look = ++httpd->looks >= LOOKS_MAX;
+	bool last_look = ++httpd->close_attempts >= LOOKS_MAX;
 
 	httpd_drain(httpd);
 	list_for_each (it, &httpd->conns) {
--- a/links/httpd.h
+++ b/links/httpd.h
@@ -18,8 +18,8 @@
 	h2o_context_t context;
 	h2o_accept_ctx_t accept;
 	h2o_socket_t *listener;
-	list_t conns; /* open connections, each until h2o closes it */
-	int looks;    /* of httpd_close_idle() */
+	list_t conns;	    /* open connections, each until h2o closes it */
+	int close_attempts; /* of httpd_close_idle() */
 	httpd_handler_t handle;
 	void *data;
 } httpd_t;
--- a/links/pgio.c
+++ b/links/pgio.c
@@ -98,7 +98,7 @@
 {
 	bool freed = false;
 
-	io->freed = &freed;
+	io->closed = &freed;
 	while (io->pending > 0 && PQstatus(io->pg) == CONNECTION_OK && !PQisBusy(io->pg)) {
 		PGresult *result = PQgetResult(io->pg);
 
@@ -111,7 +111,7 @@
 		if (freed)
 			return;
 	}
-	io->freed = NULL;
+	io->closed = NULL;
 }
 
 static void on_readable(loop_watch_t *watch)
@@ -170,7 +170,7 @@
 	io->loop = loop;
 	io->ready = false;
 	io->pending = 0;
-	io->freed = NULL;
+	io->closed = NULL;
 	if (stream_split_address(address, host, &number) == 0) {
 		snprintf(port, sizeof(port), "%u", number);
 		start_connect(io, conf, password, host, port);
@@ -212,9 +212,9 @@
 
 void pgio_close(pgio_t *io)
 {
-	if (io->freed != NULL)
-		*io->freed = true;
-	io->freed = NULL;
+	if (io->closed != NULL)
+		*io->closed = true;
+	io->closed = NULL;
 	timers_cancel(&io->loop->timers, &io->timer);
 	loop_watch_stop(&io->watch);
 	if (io->pg != NULL)
--- a/links/pgio.h
+++ b/links/pgio.h
@@ -26,7 +26,7 @@
 	loop_watch_t watch;
 	bool ready;
 	size_t pending;	     /* results and syncs to come */
-	bool *freed;	     /* set while callbacks run, to notice that the owner closed us */
+	bool *closed;	     /* set while callbacks run, to notice that the owner closed us */
 	const char *options; /* server settings for the session, libpq's "options"; may be NULL */
 	run_timer_t timer;   /* connect time-out, or an error to be told from the loop */
 } pgio_t;
--- a/links/run.c
+++ b/links/run.c
@@ -131,7 +131,7 @@
 	case STEP_END:
 		return;
 	}
-	run->sent[run->sent_len++] = step;
+	run->sent_steps[run->sent_count++] = step;
 }
 
 static bool needs_id(run_step_t step)
@@ -142,7 +142,7 @@
 void run_send_part(run_t *run, pgio_t *io, run_part_t part)
 {
 	run->part = part;
-	run->sent_len = 0;
+	run->sent_count = 0;
 	run->next_result = 0;
 	run->failed = false;
 	for (size_t i = 0; i < RUN_STEPS_MAX && part_steps[part][i] != STEP_END; i++) {
@@ -205,11 +205,11 @@
 	if (PQresultStatus(result) == PGRES_PIPELINE_ABORTED)
 		return; /* an earlier step has said why */
 	if (step == STEP_INSERT_ID && sql_has_sqlstate(result, SQLSTATE_UNIQUE_VIOLATION)) {
-		run->id_is_known = true;
+		run->is_duplicate = true;
 		return;
 	}
 	run->not_primary = sql_has_sqlstate(result, SQLSTATE_READ_ONLY) && run->part != PART_READ;
-	run->commit_in_doubt = step == STEP_COMMIT && sql_is_fatal(result);
+	run->commit_unknown = step == STEP_COMMIT && sql_is_fatal(result);
 	talloc_free(run->result.detail);
 	run->result.detail = sql_error_text(run, result);
 }
@@ -246,6 +246,6 @@
 
 void run_handle_result(run_t *run, const PGresult *result)
 {
-	if (run->next_result < run->sent_len)
-		take_step(run, run->sent[run->next_result++], result);
+	if (run->next_result < run->sent_count)
+		take_step(run, run->sent_steps[run->next_result++], result);
 }
--- a/links/run.h
+++ b/links/run.h
@@ -41,15 +41,16 @@
 typedef struct run {
 	query_t *query;
 	run_part_t part;
-	run_step_t sent[RUN_STEPS_MAX]; /* steps of this part, in the order of their results */
-	size_t sent_len;
+	run_step_t
+		sent_steps[RUN_STEPS_MAX]; /* steps of this part, in the order of their results */
+	size_t sent_count;
 	size_t next_result;
 	bool commit_sent;
 	bool committed;
-	bool failed;	  /* some step of this part failed */
-	bool id_is_known; /* the request id was there already */
+	bool failed;	   /* some step of this part failed */
+	bool is_duplicate; /* the request id was there already */
 	bool not_primary;
-	bool commit_in_doubt; /* the server ended the session instead of answering */
+	bool commit_unknown; /* the server ended the session instead of answering */
 	run_result_t result;
 } run_t;
 
--- a/links/runner.c
+++ b/links/runner.c
@@ -114,7 +114,7 @@
 		run_send_part(conn->run, &conn->io, PART_WRITE_COMMIT);
 		break;
 	case PART_CLEAN_UP:
-		if (run->id_is_known)
+		if (run->is_duplicate)
 			run_send_part(conn->run, &conn->io, PART_FIND_ANSWER);
 		else
 			finish(conn, run->not_primary ? RUN_NOT_PRIMARY : RUN_REJECTED);
@@ -143,7 +143,7 @@
 		lost(conn, "the connection could not be cleaned up");
 		return;
 	}
-	if (run->commit_in_doubt) {
+	if (run->commit_unknown) {
 		lost(conn, "the server ended the session during the commit");
 		return;
 	}
--- a/links/zmqlink.c
+++ b/links/zmqlink.c
@@ -162,14 +162,14 @@
 	/* Not 0, or it would expire with the timers that are due now. */
 	if (receive_some(self))
 		interval = 1;
-	timers_arm(&self->loop->timers, &self->recheck, clock_now(self->loop->clock) + interval,
-		   on_recheck);
+	timers_arm(&self->loop->timers, &self->recheck_timer,
+		   clock_now(self->loop->clock) + interval, on_recheck);
 }
 
 static void on_recheck(run_timer_t *timer, usec_t now)
 {
 	(void)now;
-	on_router_readable(&list_entry(timer, zmqlink_t, recheck)->router_watch);
+	on_router_readable(&list_entry(timer, zmqlink_t, recheck_timer)->router_watch);
 }
 
 /* --- authentication (ZAP, ZeroMQ RFC 27) --- */
@@ -375,13 +375,13 @@
 		rc = watch(self, self->router, &self->router_watch, on_router_readable);
 	if (rc < 0)
 		return rc;
-	timers_arm(&loop->timers, &self->recheck, clock_now(loop->clock), on_recheck);
+	timers_arm(&loop->timers, &self->recheck_timer, clock_now(loop->clock), on_recheck);
 	return 0;
 }
 
 void zmqlink_stop(zmqlink_t *self)
 {
-	timers_cancel(&self->loop->timers, &self->recheck);
+	timers_cancel(&self->loop->timers, &self->recheck_timer);
 	loop_watch_stop(&self->router_watch);
 	loop_watch_stop(&self->zap_watch);
 	list_for_each_safe (it, &self->peers) {
--- a/links/zmqlink.h
+++ b/links/zmqlink.h
@@ -23,7 +23,7 @@
 	void *zap;
 	loop_watch_t router_watch;
 	loop_watch_t zap_watch;
-	run_timer_t recheck;
+	run_timer_t recheck_timer;
 	list_t peers;
 	struct peer *by_name; /* each message looks its receiver up */
 } zmqlink_t;
--- a/proxy/mode.h
+++ b/proxy/mode.h
@@ -17,9 +17,9 @@
 	/* Read them again; what is reloadable takes effect and is named in effect. */
 	int (*reload)(const char *path, usec_t *grace, char *effect, size_t len, err_t *err);
 	/* The context that the plug-ins share. */
-	void *(*context)(kernel_t *kernel, const void *settings, void (*on_drained)(void));
+	void *(*create_context)(kernel_t *kernel, const void *settings, void (*on_drained)(void));
 	/* All plug-ins are there. */
-	void (*started)(void);
+	void (*on_started)(void);
 	const char *(*node_name)(const void *settings);
 } run_mode_t;
 
--- a/proxy/mode_pooler.c
+++ b/proxy/mode_pooler.c
@@ -79,7 +79,7 @@
 	.settings_len = &platform_settings_len,
 	.load = load,
 	.reload = reload,
-	.context = make_context,
-	.started = started,
+	.create_context = make_context,
+	.on_started = started,
 	.node_name = node_name,
 };
--- a/proxy/mode_requests.c
+++ b/proxy/mode_requests.c
@@ -82,7 +82,7 @@
 	.settings_len = &conf_settings_len,
 	.load = load,
 	.reload = reload,
-	.context = make_context,
-	.started = started,
+	.create_context = make_context,
+	.on_started = started,
 	.node_name = node_name,
 };
--- a/proxy/serve.c
+++ b/proxy/serve.c
@@ -249,7 +249,7 @@
 {
 	const run_mode_t *mode = process->mode;
 	int rc = kernel_init(&process->kernel, clock_system(), mode->family, settings,
-			     mode->context(&process->kernel, settings, on_drained));
+			     mode->create_context(&process->kernel, settings, on_drained));
 
 	if (rc < 0)
 		return err_set(err, rc, "start", "", "no event loop");
@@ -258,7 +258,7 @@
 		LOG_INFORM("started version=%s name=%s", CYCLAMENSPAN_VERSION,
 			   mode->node_name(settings));
 		on_signal_check(&process->signal_timer, clock_now(clock_system()));
-		mode->started();
+		mode->on_started();
 		loop_run(&process->kernel.loop);
 		LOG_INFORM("stopped");
 	}
