--- a/links/adapter.h
+++ b/links/adapter.h
@@ -1,6 +1,7 @@
 /*
- * The bridge between core and the links: a link submits events, and carries out
- * the kinds of action it has registered for.
+ * Connects core, which does no I/O, to the plug-ins that do (the links). A link submits its input
+ * as events; core answers with actions, and each action runs in the link that has registered a
+ * handler for its kind.
  */
 #pragma once
 
@@ -12,7 +13,7 @@
 
 typedef void (*action_handler_t)(void *data, action_t *action);
 
-/* What the binary's plug-ins share. */
+/* State that all plug-ins of the process share. */
 typedef struct context {
 	const conf_t *conf;
 	struct adapter *adapter;
@@ -32,10 +33,10 @@
 	} handlers[ACTION_COUNT];
 } adapter_t;
 
-/* Let handle carry out actions of this kind. It may not keep the action. */
+/* Register the handler for a kind of action. The action is freed when the handler returns. */
 void adapter_register(adapter_t *adapter, action_kind_t kind, action_handler_t handle, void *data);
 
-/* Give core an event, then carry out what it decides. */
+/* Pass an event to core, then run the actions that core returns. */
 void adapter_submit(adapter_t *adapter, const event_t *event);
 
 static inline adapter_t *adapter_from_kernel(const kernel_t *kernel)
--- a/links/bounds.h
+++ b/links/bounds.h
@@ -1,12 +1,12 @@
-/* How much memory a MessagePack object may ask for. */
+/* Check of the lengths that a MessagePack object declares, done before the object is unpacked. */
 #pragma once
 
 #include <stdbool.h>
 #include <stddef.h>
 
 /*
- * True if data begins with a whole object, each of whose arrays, maps and texts
- * is there as long as it says. The library sets aside memory for what a header
- * says before it looks for the elements: five bytes could ask for 64 GB.
+ * True if data begins with a complete object, and no array, map or string in the object declares
+ * more elements or bytes than data contains. The msgpack library allocates memory for the declared
+ * length before it reads the elements, so a header of five bytes could request 64 GB.
  */
 bool bounds_are_valid(const void *data, size_t len);
--- a/links/conf.h
+++ b/links/conf.h
@@ -1,4 +1,4 @@
-/* The settings of cyclamenspan. conf.c has the table that documents each. */
+/* Settings of the proxy that serves requests over HTTP. The table in conf.c documents each one. */
 #pragma once
 
 #include "settings.h"
@@ -37,12 +37,17 @@
 extern const setting_t conf_settings[];
 extern const size_t conf_settings_len;
 
-/* A conf_t as a child of parent, or NULL with err filled in. */
+/* Load a settings file as a child of parent; returns NULL and sets err if the file is invalid. */
 conf_t *conf_load(void *parent, const char *path, err_t *err);
 
-/* The content of a small file without its trailing line end, as a child of parent. */
+/*
+ * Read a secret from a file, as a child of parent and without trailing white space; returns NULL
+ * and sets err if the file can't be read.
+ */
 char *conf_read_secret(void *parent, const char *path, err_t *err);
 
-/* The backend user's password as a child of parent; NULL in *out without a file. Returns 0 or <0.
+/*
+ * Read the password of the backend user, as a child of parent; *out is NULL if no password file is
+ * set. Returns 0 or a negative error number.
  */
 int conf_read_password(void *parent, const conf_t *conf, char **out, err_t *err);
--- a/links/etcd.h
+++ b/links/etcd.h
@@ -1,9 +1,9 @@
 /*
- * The table in the store: keys and values as etcd's JSON gateway has them.
+ * Encoding of the operators' table in the store, in the JSON format of etcd's HTTP gateway.
  *
- * Under the prefix, "head" holds the table's version and the ids of the last
- * edits; "item/KEY" holds one entry with the version of its last change;
- * "history/VERSION" holds who changed what.
+ * Under the prefix, the key "head" holds the table's version and the ids of the latest edits,
+ * "item/KEY" holds one entry with the version of its last change, and "history/VERSION" holds the
+ * author and the changes of one edit.
  */
 #pragma once
 
@@ -11,26 +11,32 @@
 
 #include "event.h"
 
-/* What head says. */
+/* Decoded value of the key "head". */
 typedef struct etcd_head {
 	uint64_t version;
-	int64_t revision; /* 0: there is no head yet */
-	json_t *edits;	  /* ids of the last edits; owned */
+	int64_t revision; /* the store's mod revision of the key; 0 if the key does not exist */
+	json_t *edits;	  /* ids of the latest edits; owned */
 } etcd_head_t;
 
-/* A key under the prefix, encoded. */
+/* Prepend the prefix to a key and encode the result in base64. */
 json_t *etcd_encode_key(const char *prefix, const char *key);
 
-/* A decoded field as a child of parent, NULL if there is none. */
+/* Decode a base64 field as a child of parent; returns NULL if the field is no string. */
 char *etcd_decode_text(void *parent, const json_t *field);
 
-/* A number, which the gateway writes as a string when it has 64 bits. */
+/* Read a number; the gateway writes 64-bit numbers as strings. Returns 0 if there is none. */
 int64_t etcd_read_number(const json_t *object, const char *key);
 
 void etcd_read_head(const json_t *kv, etcd_head_t *head);
 
-/* The readable ones among stored entries, as a child of parent; returns how many. */
+/*
+ * Decode stored entries as an array that is a child of parent, and skip malformed ones. Returns the
+ * number of entries in the array.
+ */
 size_t etcd_read_entries(const char *prefix, void *parent, const json_t *kvs, table_entry_t **out);
 
-/* The transaction that puts an edit on top of the head that the action names. */
+/*
+ * Build the transaction that stores an edit. It succeeds only if the mod revision of "head" is
+ * still the one that the action names. edits are the ids of the latest edits, to be kept in "head".
+ */
 json_t *etcd_commit_request(const char *prefix, const commit_action_t *commit, const json_t *edits);
--- a/links/httpd.h
+++ b/links/httpd.h
@@ -1,4 +1,4 @@
-/* An HTTP server on h2o: one listener, one handler for all paths, JSON out. */
+/* An HTTP server on h2o, with one listener, one handler for all paths and JSON responses. */
 #pragma once
 
 #include <h2o.h>
@@ -10,7 +10,7 @@
 
 struct httpd;
 
-/* Handle one request; returns 0 if it will be answered, -1 for h2o's "not found". */
+/* Handle a request. Returns 0 if the handler responds to it, or -1 to let h2o send 404. */
 typedef int (*httpd_handler_t)(struct httpd *httpd, h2o_req_t *req);
 
 typedef struct httpd {
@@ -19,7 +19,7 @@
 	h2o_accept_ctx_t accept;
 	h2o_socket_t *listener;
 	list_t conns;	    /* open connections, each until h2o closes it */
-	int close_attempts; /* of httpd_close_idle() */
+	int close_attempts; /* calls of httpd_close_idle() */
 	httpd_handler_t handle;
 	void *data;
 } httpd_t;
@@ -28,16 +28,20 @@
 int httpd_start(httpd_t *httpd, loop_t *loop, const char *address, size_t max_body,
 		httpd_handler_t handle, void *data, err_t *err);
 
-/* Accept no more than what has connected by now; connections end when their requests have. */
+/*
+ * Accept the connections that are pending, then close the listener. Open connections are closed
+ * when their requests are finished.
+ */
 void httpd_drain(httpd_t *httpd);
 
 /*
- * Drain, close the connections that have nothing to read or write, and return
- * true if there are no others. Requests must not be waiting for their answers.
+ * Drain, then shut down the connections that have nothing to read or write. Returns true if no
+ * other connection is left, or after CLOSE_ATTEMPTS_MAX calls, which shut down all connections.
+ * Call it only when every request has been responded to.
  */
 bool httpd_close_idle(httpd_t *httpd);
 
-/* Answer with a JSON body, which is taken over. retry_after_ms 0: none. */
+/* Send a JSON response and release body. retry_after_ms 0: no Retry-After header. */
 void httpd_send_json(h2o_req_t *req, int status, json_t *body, uint64_t retry_after_ms);
 
 bool httpd_request_matches(const h2o_req_t *req, const char *method, const char *path);
--- a/links/run.h
+++ b/links/run.h
@@ -1,6 +1,6 @@
 /*
- * A run on a connection, step by step: what is sent for it and what its results
- * say. Steps are sent in parts, each as one pipeline.
+ * A run: the execution of one query on a backend connection. A run consists of parts, each of which
+ * is sent as one pipeline; a part consists of steps, each of which is one SQL command.
  */
 #pragma once
 
@@ -8,16 +8,16 @@
 #include "pgio.h"
 
 #define RUN_STEPS_MAX 6
-/* Parameters of a statement; callers with more are refused. */
+/* Most parameters of a statement; a request with more is rejected. */
 #define RUN_PARAMS_MAX 64
 
 typedef enum {
 	STEP_END,
 	STEP_BEGIN,
 	STEP_BEGIN_READ,
-	STEP_INSERT_ID, /* left out when the query has no request id */
+	STEP_INSERT_ID, /* skipped if the query has no request id */
 	STEP_STATEMENT,
-	STEP_STORE_ANSWER, /* likewise */
+	STEP_STORE_ANSWER, /* skipped if the query has no request id */
 	STEP_COMMIT,
 	STEP_ROLLBACK,
 	STEP_FIND_ANSWER,
@@ -25,7 +25,7 @@
 	STEP_REPORT_AFTER,
 } run_step_t;
 
-/* Parts of a run, each sent as one pipeline and judged at its end. */
+/* Parts of a run. The results of a part decide which part follows. */
 typedef enum {
 	PART_READ,
 	PART_WRITE,
@@ -34,7 +34,7 @@
 	PART_STATEMENT,
 	PART_COMMIT,
 	PART_ROLLBACK,
-	PART_CLEAN_UP, /* roll back after an error */
+	PART_CLEAN_UP, /* roll back after a failed step */
 	PART_FIND_ANSWER,
 } run_part_t;
 
@@ -47,21 +47,21 @@
 	size_t next_result;
 	bool commit_sent;
 	bool committed;
-	bool failed;	   /* some step of this part failed */
-	bool is_duplicate; /* the request id was there already */
+	bool failed;	   /* a step of this part failed */
+	bool is_duplicate; /* the request id is stored already */
 	bool not_primary;
-	bool commit_unknown; /* the server ended the session instead of answering */
+	bool commit_unknown; /* the server closed the session instead of confirming the commit */
 	run_result_t result;
 } run_t;
 
-/* The part that a run of this kind begins with. */
+/* The first part of a run of this kind. */
 run_part_t run_first_part(run_kind_t kind);
 
-/* Send the steps of a part as one pipeline; its results go to run_handle_result(). */
+/* Send the steps of a part as one pipeline; pass each result to run_handle_result(). */
 void run_send_part(run_t *run, pgio_t *io, run_part_t part);
 
-/* Take up the next result of the part; further ones than steps are ignored. */
+/* Process the next result of the part. Results beyond the last step are ignored. */
 void run_handle_result(run_t *run, const PGresult *result);
 
-/* Note why the run failed; the first reason stays. */
+/* Set the reason of a failure unless one is set already. */
 void run_set_detail(run_t *run, const char *detail);
--- a/links/sql.h
+++ b/links/sql.h
@@ -1,6 +1,6 @@
 /*
- * The statements that we ourselves send to backend servers, and their results.
- * They are the whole interface to a group; PROTOCOLS.md lists them.
+ * The statements that the proxy itself sends to backend servers, and functions that read results.
+ * These statements are the whole interface to a group's members; PROTOCOLS.md lists them.
  */
 #pragma once
 
@@ -9,8 +9,8 @@
 #include "types.h"
 
 /*
- * Each returns one text, "ACCEPTED SEALED LOG_TERM LSN PRIMARY", flags as 0 or 1: a
- * single column, since a row description costs more bytes than the report.
+ * Each statement returns one string, "ACCEPTED SEALED LOG_TERM LSN PRIMARY", with flags as 0 or 1.
+ * One column is used since the description of several columns has more bytes than the report.
  */
 #define SQL_REPORT  "SELECT cyclamenspan_report()"
 #define SQL_SEAL    "SELECT cyclamenspan_seal($1)"
@@ -18,19 +18,23 @@
 #define SQL_FOLLOW  "SELECT cyclamenspan_follow($1, $2)"
 
 /*
- * Claims one of the row's slots for this connection. An advisory lock belongs
- * to its connection, so the server frees the slot however the proxy ends.
+ * Claims one of the connection slots that the table row's limit allows at this member, with an
+ * advisory lock. The server releases the lock when the session ends, so that the slot becomes free
+ * even if the proxy crashes.
  */
 #define SQL_CLAIM_SLOT                                                                             \
 	"SELECT slot FROM generate_series(0, $2::int - 1) AS slot "                                \
 	"WHERE pg_try_advisory_lock(hashtext($1), slot) LIMIT 1"
 
-/* Ends one session that holds a slot of the row; what it had open is rolled back. */
+/* Ends a session that holds a slot of the row; the server rolls its transaction back. */
 #define SQL_EVICT_SESSION                                                                          \
 	"SELECT pg_terminate_backend(pid) FROM pg_locks WHERE locktype = 'advisory' "              \
 	"AND classid = hashtext($1)::oid AND pid <> pg_backend_pid() AND granted LIMIT 1"
 
-/* A request id is unique in the group's history: a second attempt finds the first. */
+/*
+ * Stores the request id, which is unique in the group, in the transaction of the request. A second
+ * attempt with the same id fails to insert it, and reads the answer of the first one instead.
+ */
 #define SQL_INSERT_ID	 "INSERT INTO cyclamenspan_requests (id, answer) VALUES ($1, '')"
 #define SQL_STORE_ANSWER "UPDATE cyclamenspan_requests SET answer = $2 WHERE id = $1"
 #define SQL_FIND_ANSWER	 "SELECT answer FROM cyclamenspan_requests WHERE id = $1"
@@ -38,18 +42,18 @@
 #define SQLSTATE_UNIQUE_VIOLATION "23505"
 #define SQLSTATE_READ_ONLY	  "25006"
 
-/* Read a report row. Returns 0, or -EBADMSG if it is none. */
+/* Read a member's report. Returns 0, or -EBADMSG if the result is malformed. */
 int sql_read_report(const PGresult *result, bool *accepted, report_t *report);
 
-/* Columns, rows and affected count as a JSON object, a child of parent. */
+/* Columns, rows and the number of affected rows as JSON text, a child of parent. */
 char *sql_rows_to_json(void *parent, const PGresult *result);
 
 bool sql_is_error(const PGresult *result);
 
-/* The error ended the session, not only the statement. */
+/* True if the error ended the session, not only the statement. */
 bool sql_is_fatal(const PGresult *result);
 
-/* The first line of the error, with its SQLSTATE, as a child of parent. */
+/* SQLSTATE and primary message of the error, as a child of parent. */
 char *sql_error_text(void *parent, const PGresult *result);
 
 bool sql_has_sqlstate(const PGresult *result, const char *state);
--- a/links/wire.h
+++ b/links/wire.h
@@ -1,7 +1,7 @@
 /*
- * Messages between proxies as MessagePack: a map with short string keys. Keys
- * that are not known are skipped and absent ones keep their zero, so versions
- * of the program can differ by fields; PROTOCOLS.md has the list.
+ * Encoding of messages between proxies: a MessagePack map with short string keys. Unknown keys are
+ * skipped and missing ones leave their fields zero, so that proxies of different versions can
+ * exchange messages; PROTOCOLS.md lists the keys.
  */
 #pragma once
 
@@ -11,11 +11,11 @@
 
 #define WIRE_VERSION 1
 
-/* Append the message, sent by from, to out. */
+/* Encode a message and append it to out; from is the sender's name. */
 void wire_encode(msgpack_sbuffer *out, const char *from, const message_t *message);
 
 /*
- * Decode into a message that is a child of parent, with the sender's name.
- * Returns NULL for what is no message of this major version.
+ * Decode a message as a child of parent, and set *from to the sender's name, which belongs to the
+ * message. Returns NULL if data is malformed or has another WIRE_VERSION.
  */
 message_t *wire_decode(void *parent, const void *data, size_t len, char **from);
--- a/links/zmqlink.h
+++ b/links/zmqlink.h
@@ -1,7 +1,7 @@
 /*
- * Messages between proxies over ZeroMQ. One ROUTER socket takes what others
- * send; to each peer goes a DEALER. A message that can't be sent now is given
- * up, one that was sent may still be lost.
+ * Message transport between proxies over ZeroMQ. One ROUTER socket receives from all peers; each
+ * peer that this process sends to has a DEALER socket. A message that can't be sent at once is
+ * dropped and reported to the sender; a message that was sent may still be lost.
  */
 #pragma once
 
@@ -25,19 +25,21 @@
 	loop_watch_t zap_watch;
 	run_timer_t recheck_timer;
 	list_t peers;
-	struct peer *by_name; /* each message looks its receiver up */
+	struct peer *by_name; /* hash table: each send looks its peer up */
 } zmqlink_t;
 
-/* The keys and on_frame are set by the caller. Listens on address, IP:PORT. */
+/* Start to listen on address, IP:PORT. The caller has set the keys and on_frame before. */
 int zmqlink_start(zmqlink_t *link, loop_t *loop, const char *address, err_t *err);
 
-/* What was sent to peers that are connected still leaves, within half a second. */
+/* Close all sockets; wait up to 500 ms until queued messages to connected peers are written. */
 void zmqlink_stop(zmqlink_t *link);
 
-/* Handle every message that has come, without waiting for the loop to report it. */
+/* Handle every message that has arrived, without waiting for the event loop to report it. */
 void zmqlink_receive_all(zmqlink_t *link);
 
-/* Returns 0, or -EHOSTUNREACH if it was certainly not sent. address may be NULL for a known peer.
+/*
+ * Send a message to the peer called name. address may be NULL if a link to the peer exists. Returns
+ * 0, or -EHOSTUNREACH if the message was certainly not sent.
  */
 int zmqlink_send(zmqlink_t *link, const char *name, const char *address, const void *data,
 		 size_t len);
