--- a/links/callers.c
+++ b/links/callers.c
@@ -1,6 +1,6 @@
 /*
- * Callers' link: HTTP/1.1 and HTTP/2 with JSON bodies in, queries to core out;
- * PROTOCOLS.md describes the fields. Each request gets exactly one answer.
+ * The link to callers: an HTTP/1.1 and HTTP/2 server that passes requests with JSON bodies to core
+ * as queries. PROTOCOLS.md describes the fields. Each request gets exactly one response.
  */
 #include <string.h>
 
@@ -30,30 +30,30 @@
 	       "Answers with outcome unknown.");
 COUNTER_DEFINE(open_now, "caller_requests_open", COUNTER_GAUGE, "Requests without answer yet.");
 
-/* A request that waits for its answer. */
-typedef struct waiting {
+/* A request that core has not answered yet. */
+typedef struct pending_request {
 	uint64_t id;
-	h2o_req_t *req; /* NULL once the caller has gone */
+	h2o_req_t *req; /* valid until h2o disposes of the request, which removes this entry */
 	struct callers *callers;
 	UT_hash_handle hh;
-} waiting_t;
+} pending_request_t;
 
 typedef struct callers {
 	plugin_t base;
 	httpd_t httpd;
 	adapter_t *adapter;
 	loop_t *loop;
-	waiting_t *waiting;
+	pending_request_t *pending;
 	uint64_t next_id;
 } callers_t;
 
-/* --- reading a request --- */
+/* --- parsing of requests --- */
 
-typedef enum { BODY_TEXT, BODY_BOOL, BODY_DEADLINE, BODY_PARAMS, BODY_SESSION } body_type_t;
+typedef enum { BODY_TEXT, BODY_BOOL, BODY_DEADLINE, BODY_PARAMS, BODY_SESSION } body_field_type_t;
 
 typedef struct body_field {
 	const char *key;
-	body_type_t type;
+	body_field_type_t type;
 	size_t offset; /* in query_t */
 } body_field_t;
 
@@ -70,9 +70,9 @@
 	{"session", BODY_SESSION, offsetof(query_t, continued)},
 };
 
-_Static_assert(RUN_PARAMS_MAX == 64, "as the error for params says");
+_Static_assert(RUN_PARAMS_MAX == 64, "the error message for params names 64");
 
-static const char *const expected[] = {
+static const char *const expected_values[] = {
 	[BODY_TEXT] = "a string that is not empty",
 	[BODY_BOOL] = "true or false",
 	[BODY_DEADLINE] = "milliseconds from 1 to 3600000",
@@ -80,13 +80,13 @@
 	[BODY_SESSION] = "\"new\" or \"continued\"",
 };
 
-typedef struct parsed {
+typedef struct parsed_request {
 	query_t query;
 	const char *token;
 	char error[160];
-} parsed_t;
+} parsed_request_t;
 
-static bool are_params(const json_t *value)
+static bool are_valid_params(const json_t *value)
 {
 	if (!json_is_array(value) || json_array_size(value) > RUN_PARAMS_MAX)
 		return false;
@@ -99,7 +99,7 @@
 	return true;
 }
 
-static bool read_session(const json_t *value, bool *continued)
+static bool parse_session(const json_t *value, bool *continued)
 {
 	const char *text = json_string_value(value);
 
@@ -109,7 +109,7 @@
 	return *continued || strcmp(text, "new") == 0;
 }
 
-static bool read_value(void *parent, body_type_t type, const json_t *value, void *out)
+static bool parse_value(void *parent, body_field_type_t type, const json_t *value, void *out)
 {
 	json_int_t number = json_integer_value(value);
 	char *text;
@@ -125,14 +125,14 @@
 		*(usec_t *)out = (usec_t)number * USEC_PER_MSEC;
 		return json_is_integer(value) && number >= 1 && number <= MAX_DEADLINE_MSEC;
 	case BODY_PARAMS:
-		if (!are_params(value))
+		if (!are_valid_params(value))
 			return false;
 		text = json_dumps(value, JSON_COMPACT);
 		*(char **)out = talloc_strdup(parent, text);
 		free(text);
 		return true;
 	case BODY_SESSION:
-		return read_session(value, out);
+		return parse_session(value, out);
 	}
 	return false;
 }
@@ -146,7 +146,7 @@
 	return NULL;
 }
 
-static bool read_fields(void *parent, const json_t *body, parsed_t *out)
+static bool parse_fields(void *parent, const json_t *body, parsed_request_t *out)
 {
 	const char *key;
 	json_t *value;
@@ -162,24 +162,24 @@
 			snprintf(out->error, sizeof(out->error), "unknown field \"%.60s\"", key);
 			return false;
 		}
-		if (!read_value(parent, field->type, value, (char *)&out->query + field->offset)) {
+		if (!parse_value(parent, field->type, value, (char *)&out->query + field->offset)) {
 			snprintf(out->error, sizeof(out->error), "%s: expected %s", key,
-				 expected[field->type]);
+				 expected_values[field->type]);
 			return false;
 		}
 	}
 	return true;
 }
 
-typedef struct verb_spec {
+typedef struct verb_rule {
 	const char *path;
 	verb_t verb;
 	bool needs_row;
 	bool needs_text;
 	bool needs_tx;
-} verb_spec_t;
+} verb_rule_t;
 
-static const verb_spec_t verbs[] = {
+static const verb_rule_t verb_rules[] = {
 	{"/v1/statement", VERB_STATEMENT, true, true, false},
 	{"/v1/begin", VERB_BEGIN, true, false, false},
 	{"/v1/transaction/statement", VERB_TX_STATEMENT, false, true, true},
@@ -187,33 +187,33 @@
 	{"/v1/rollback", VERB_ROLLBACK, false, false, true},
 };
 
-static const char *find_missing(const verb_spec_t *spec, const query_t *query)
+static const char *find_missing_field(const verb_rule_t *rule, const query_t *query)
 {
-	if (spec->needs_row && query->service == NULL)
+	if (rule->needs_row && query->service == NULL)
 		return "service";
-	if (spec->needs_row && query->class_name == NULL)
+	if (rule->needs_row && query->class_name == NULL)
 		return "class";
-	if (spec->needs_text && query->text == NULL)
+	if (rule->needs_text && query->text == NULL)
 		return "statement";
-	if (spec->needs_tx && query->tx == NULL)
+	if (rule->needs_tx && query->tx == NULL)
 		return "transaction";
 	return NULL;
 }
 
-static bool check_fields(const verb_spec_t *spec, parsed_t *out)
+static bool check_fields(const verb_rule_t *rule, parsed_request_t *out)
 {
-	const char *missing = find_missing(spec, &out->query);
+	const char *missing = find_missing_field(rule, &out->query);
 
 	if (missing != NULL) {
 		snprintf(out->error, sizeof(out->error), "%s is missing", missing);
 		return false;
 	}
-	if (!spec->needs_tx && out->query.tx != NULL) {
+	if (!rule->needs_tx && out->query.tx != NULL) {
 		snprintf(out->error, sizeof(out->error),
 			 "transaction: statements of one go to /v1/transaction/statement");
 		return false;
 	}
-	out->query.verb = spec->verb;
+	out->query.verb = rule->verb;
 	if (out->query.left == 0)
 		out->query.left = DEFAULT_DEADLINE_MSEC * USEC_PER_MSEC;
 	return true;
@@ -221,7 +221,7 @@
 
 /* --- answers --- */
 
-static int status_of(const answer_t *answer)
+static int http_status_of(const answer_t *answer)
 {
 	static const int by_refusal[REFUSAL_COUNT] = {
 		[REFUSAL_BAD_REQUEST] = 400, [REFUSAL_BAD_TOKEN] = 401, [REFUSAL_UNKNOWN_ROW] = 404,
@@ -246,7 +246,7 @@
 	json_object_set_new(body, key, json_integer((json_int_t)value));
 }
 
-static void set_refusal(json_t *body, const answer_t *answer)
+static void set_refusal_fields(json_t *body, const answer_t *answer)
 {
 	set_text(body, "reason", refusal_name(answer->refusal));
 	set_text(body, "detail", answer->detail);
@@ -255,7 +255,7 @@
 			   (answer->retry_after + USEC_PER_MSEC - 1) / USEC_PER_MSEC);
 }
 
-static json_t *answer_body(const answer_t *answer, const char *token)
+static json_t *build_answer_body(const answer_t *answer, const char *token)
 {
 	json_t *body = answer->rows != NULL ? json_loads(answer->rows, 0, NULL) : NULL;
 
@@ -272,7 +272,7 @@
 		set_number(body, "age_ms", (answer->age + USEC_PER_MSEC - 1) / USEC_PER_MSEC);
 		json_object_set_new(body, "repeated", json_boolean(answer->repeated));
 	} else {
-		set_refusal(body, answer);
+		set_refusal_fields(body, answer);
 	}
 	return body;
 }
@@ -288,64 +288,66 @@
 	counter_add(by_outcome[outcome], 1);
 }
 
-static void forget(waiting_t *waiting)
+static void remove_pending(pending_request_t *pending)
 {
-	HASH_DEL(waiting->callers->waiting, waiting);
+	HASH_DEL(pending->callers->pending, pending);
 	counter_add(&open_now, -1);
-	talloc_free(waiting);
+	talloc_free(pending);
 }
 
 static void on_answer(void *data, action_t *action)
 {
 	callers_t *self = data;
 	const answer_t *answer = action->answer.answer;
-	waiting_t *waiting;
+	pending_request_t *pending;
 	h2o_req_t *req;
 
-	HASH_FIND(hh, self->waiting, &action->id, sizeof(action->id), waiting);
+	HASH_FIND(hh, self->pending, &action->id, sizeof(action->id), pending);
 	count_outcome(answer->outcome);
-	if (waiting == NULL)
+	if (pending == NULL)
 		return;
-	req = waiting->req;
-	forget(waiting);
-	httpd_send_json(req, status_of(answer), answer_body(answer, action->answer.token),
+	req = pending->req;
+	remove_pending(pending);
+	httpd_send_json(req, http_status_of(answer),
+			build_answer_body(answer, action->answer.token),
 			answer->retry_after / USEC_PER_MSEC);
 }
 
-/* Lives in h2o's pool of a request, to tell when that is let go of. */
-typedef struct disposal {
+/* Allocated in the memory pool of a request, so that h2o reports when it frees the request. */
+typedef struct dispose_data {
 	uint64_t id;
 	callers_t *callers;
-} disposal_t;
+} dispose_data_t;
 
-/* h2o is done with the request: answered, or its caller went away first. */
-static void on_req_disposed(void *ptr)
+/* h2o frees a request once the response is sent, or if the caller has closed the connection. */
+static void on_req_dispose(void *ptr)
 {
-	const disposal_t *disposal = ptr;
-	callers_t *self = disposal->callers;
-	event_t event = {.kind = EVENT_CALLER_GONE, .id = disposal->id};
-	waiting_t *waiting;
+	const dispose_data_t *dispose_data = ptr;
+	callers_t *self = dispose_data->callers;
+	event_t event = {.kind = EVENT_CALLER_GONE, .id = dispose_data->id};
+	pending_request_t *pending;
 
-	HASH_FIND(hh, self->waiting, &disposal->id, sizeof(disposal->id), waiting);
-	if (waiting == NULL)
+	HASH_FIND(hh, self->pending, &dispose_data->id, sizeof(dispose_data->id), pending);
+	if (pending == NULL)
 		return;
-	forget(waiting);
+	remove_pending(pending);
 	adapter_submit(self->adapter, &event);
 }
 
-static uint64_t wait_for_answer(callers_t *self, h2o_req_t *req)
+static uint64_t add_pending(callers_t *self, h2o_req_t *req)
 {
-	waiting_t *waiting = talloc_zero(NULL, waiting_t);
-	disposal_t *disposal = h2o_mem_alloc_shared(&req->pool, sizeof(*disposal), on_req_disposed);
-
-	waiting->id = ++self->next_id;
-	waiting->req = req;
-	waiting->callers = self;
-	disposal->id = waiting->id;
-	disposal->callers = self;
-	HASH_ADD(hh, self->waiting, id, sizeof(waiting->id), waiting);
+	pending_request_t *pending = talloc_zero(NULL, pending_request_t);
+	dispose_data_t *dispose_data =
+		h2o_mem_alloc_shared(&req->pool, sizeof(*dispose_data), on_req_dispose);
+
+	pending->id = ++self->next_id;
+	pending->req = req;
+	pending->callers = self;
+	dispose_data->id = pending->id;
+	dispose_data->callers = self;
+	HASH_ADD(hh, self->pending, id, sizeof(pending->id), pending);
 	counter_add(&open_now, 1);
-	return waiting->id;
+	return pending->id;
 }
 
 static void reject(h2o_req_t *req, int status, const char *detail)
@@ -357,33 +359,33 @@
 			0);
 }
 
-static void submit(callers_t *self, h2o_req_t *req, const parsed_t *parsed)
+static void submit_query(callers_t *self, h2o_req_t *req, const parsed_request_t *request)
 {
 	event_t event = {
 		.kind = EVENT_QUERY,
-		.id = wait_for_answer(self, req),
-		.query = {.query = &parsed->query, .token = parsed->token},
+		.id = add_pending(self, req),
+		.query = {.query = &request->query, .token = request->token},
 	};
 
 	adapter_submit(self->adapter, &event);
 }
 
-static void handle_verb(callers_t *self, h2o_req_t *req, const verb_spec_t *spec)
+static void handle_request(callers_t *self, h2o_req_t *req, const verb_rule_t *rule)
 {
 	json_error_t json_error;
 	json_t *body =
 		json_loadb(req->entity.base, req->entity.len, JSON_REJECT_DUPLICATES, &json_error);
 	void *scratch = talloc_new(NULL);
-	parsed_t parsed = {0};
+	parsed_request_t request = {0};
 
 	if (!json_is_object(body)) {
-		snprintf(parsed.error, sizeof(parsed.error), "the body is no JSON object: %.100s",
+		snprintf(request.error, sizeof(request.error), "the body is no JSON object: %.100s",
 			 body == NULL ? json_error.text : "another type");
-		reject(req, 400, parsed.error);
-	} else if (!read_fields(scratch, body, &parsed) || !check_fields(spec, &parsed)) {
-		reject(req, 400, parsed.error);
+		reject(req, 400, request.error);
+	} else if (!parse_fields(scratch, body, &request) || !check_fields(rule, &request)) {
+		reject(req, 400, request.error);
 	} else {
-		submit(self, req, &parsed);
+		submit_query(self, req, &request);
 	}
 	talloc_free(scratch);
 	json_decref(body);
@@ -394,9 +396,9 @@
 	callers_t *self = httpd->data;
 
 	counter_add(&requests_total, 1);
-	for (size_t i = 0; i < sizeof(verbs) / sizeof(verbs[0]); i++) {
-		if (httpd_request_matches(req, "POST", verbs[i].path)) {
-			handle_verb(self, req, &verbs[i]);
+	for (size_t i = 0; i < sizeof(verb_rules) / sizeof(verb_rules[0]); i++) {
+		if (httpd_request_matches(req, "POST", verb_rules[i].path)) {
+			handle_request(self, req, &verb_rules[i]);
 			return 0;
 		}
 	}
@@ -427,20 +429,20 @@
 {
 	const callers_t *self = (const callers_t *)plugin;
 
-	return json_pack("{s:i, s:b}", "waiting", (int)HASH_COUNT(self->waiting), "listening",
+	return json_pack("{s:i, s:b}", "waiting", (int)HASH_COUNT(self->pending), "listening",
 			 self->httpd.listener != NULL);
 }
 
-static bool settle(plugin_t *plugin)
+static bool close_idle(plugin_t *plugin)
 {
 	callers_t *self = (callers_t *)plugin;
 
-	return self->waiting == NULL && httpd_close_idle(&self->httpd);
+	return self->pending == NULL && httpd_close_idle(&self->httpd);
 }
 
 static void destroy(plugin_t *plugin)
 {
-	(void)plugin; /* h2o's connections end with the process */
+	(void)plugin; /* h2o's connections are closed when the process exits */
 }
 
 static const plugin_ops_t ops = {
@@ -449,7 +451,7 @@
 	.start = start,
 	.drain = drain,
 	.dump = dump,
-	.settle = settle,
+	.settle = close_idle,
 	.destroy = destroy,
 };
 
--- a/links/control.c
+++ b/links/control.c
@@ -1,7 +1,7 @@
 /*
- * Control connections: one to each group member we watch, for reports and the
- * orders of a takeover. Orders are sent one after the other; each has its
- * time-out, after which the connection is dropped with all that wait on it.
+ * Control connections: one to each group member that this proxy watches, for reports and for the
+ * orders of a takeover. The orders of a connection are sent one at a time. If an order gets no
+ * answer before its deadline, the connection is closed and all its orders fail.
  */
 #include <string.h>
 
@@ -16,10 +16,10 @@
 #define LOG_MODULE "control"
 #include "log.h"
 
-/* A member that was sent no order for so long is no longer watched: let its connection go. */
-#define IDLE_CLOSE (10 * USEC_PER_SEC)
+/* A connection without orders for this time is closed: its member is no longer watched. */
+#define IDLE_TIMEOUT (10 * USEC_PER_SEC)
 
-#define REPORT_NAME "report"
+#define REPORT_STATEMENT "report"
 
 COUNTER_DEFINE(orders_total, "control_orders_total", COUNTER_SUM,
 	       "Orders sent to group members, reports included.");
@@ -47,8 +47,8 @@
 	char *member;
 	char *address;
 	UT_hash_handle hh;
-	list_t orders; /* the first may be in progress */
-	bool busy;
+	list_t orders; /* order_t; the first one may be in progress */
+	bool awaiting_result;
 	bool preparing;
 	bool open;
 	run_timer_t timer;
@@ -61,10 +61,10 @@
 	const conf_t *conf;
 	char *password;
 	control_conn_t *conns;
-	void *all; /* parent of the connections */
+	void *conns_ctx; /* parent of the connections */
 } control_t;
 
-static void arm(control_conn_t *conn);
+static void arm_timer(control_conn_t *conn);
 
 static const char *const order_sql[ORDER_COUNT] = {
 	[ORDER_REPORT] = SQL_REPORT,
@@ -73,7 +73,7 @@
 	[ORDER_FOLLOW] = SQL_FOLLOW,
 };
 
-static const int order_params[ORDER_COUNT] = {
+static const int order_param_count[ORDER_COUNT] = {
 	[ORDER_REPORT] = 0,
 	[ORDER_SEAL] = 1,
 	[ORDER_PROMOTE] = 1,
@@ -103,24 +103,25 @@
 	talloc_free(order);
 }
 
-static void send_next(control_conn_t *conn)
+static void send_next_order(control_conn_t *conn)
 {
 	order_t *order = first_order(conn);
 	char term[24];
 	const char *params[] = {term, order != NULL ? order->target : NULL};
 
-	if (order == NULL || conn->busy || conn->preparing || !conn->io.ready)
+	if (order == NULL || conn->awaiting_result || conn->preparing || !conn->io.ready)
 		return;
-	conn->busy = true;
+	conn->awaiting_result = true;
 	snprintf(term, sizeof(term), "%llu", (unsigned long long)order->term);
 	if (order->kind == ORDER_REPORT)
-		pgio_send_prepared(&conn->io, REPORT_NAME);
+		pgio_send_prepared(&conn->io, REPORT_STATEMENT);
 	else
-		pgio_send(&conn->io, order_sql[order->kind], order_params[order->kind], params);
+		pgio_send(&conn->io, order_sql[order->kind], order_param_count[order->kind],
+			  params);
 	pgio_sync(&conn->io);
 }
 
-static void fail_all(control_conn_t *conn, order_status_t status)
+static void fail_orders(control_conn_t *conn, order_status_t status)
 {
 	order_t *order;
 
@@ -128,13 +129,13 @@
 		finish_order(conn, order, status);
 }
 
-static void drop(control_conn_t *conn, order_status_t status)
+static void close_conn(control_conn_t *conn, order_status_t status)
 {
 	pgio_close(&conn->io);
-	conn->busy = false;
+	conn->awaiting_result = false;
 	conn->preparing = false;
 	conn->open = false;
-	fail_all(conn, status);
+	fail_orders(conn, status);
 }
 
 static void on_timer(run_timer_t *timer, usec_t now)
@@ -142,36 +143,39 @@
 	control_conn_t *conn = list_entry(timer, control_conn_t, timer);
 	const order_t *order = first_order(conn);
 
-	/* Without an order the timer stands for having been idle too long. */
+	/* Without an order, the timer is the idle time-out. */
 	if (order == NULL || order->deadline <= now)
-		drop(conn, ORDER_TIMED_OUT);
+		close_conn(conn, ORDER_TIMED_OUT);
 	else
-		arm(conn);
+		arm_timer(conn);
 }
 
-static void arm(control_conn_t *conn)
+static void arm_timer(control_conn_t *conn)
 {
 	const order_t *order = first_order(conn);
 	usec_t at = order != NULL ? order->deadline
-				  : clock_now(conn->control->loop->clock) + IDLE_CLOSE;
+				  : clock_now(conn->control->loop->clock) + IDLE_TIMEOUT;
 
 	timers_arm(&conn->control->loop->timers, &conn->timer, at, on_timer);
 }
 
-/* Reports are most of the traffic: prepared once, they need a third of the bytes. */
+/*
+ * Prepare the statement for reports, which are most of the traffic: executing a prepared statement
+ * sends a third of the bytes.
+ */
 static void on_ready(pgio_t *io)
 {
 	control_conn_t *conn = list_entry(io, control_conn_t, io);
 
 	conn->preparing = true;
-	pgio_prepare(io, REPORT_NAME, SQL_REPORT);
+	pgio_prepare(io, REPORT_STATEMENT, SQL_REPORT);
 	pgio_sync(io);
 }
 
-static void prepared(control_conn_t *conn)
+static void handle_prepare_end(control_conn_t *conn)
 {
 	conn->preparing = false;
-	send_next(conn);
+	send_next_order(conn);
 }
 
 static void on_result(pgio_t *io, const PGresult *result)
@@ -181,7 +185,7 @@
 
 	if (conn->preparing) {
 		if (result == NULL)
-			prepared(conn);
+			handle_prepare_end(conn);
 		return;
 	}
 	if (order == NULL)
@@ -190,13 +194,13 @@
 		order->answered = sql_read_report(result, &order->accepted, &order->report) == 0;
 		return;
 	}
-	conn->busy = false;
+	conn->awaiting_result = false;
 	if (!order->answered)
 		finish_order(conn, order, ORDER_TIMED_OUT);
 	else
 		finish_order(conn, order, order->accepted ? ORDER_OK : ORDER_REFUSED);
-	arm(conn);
-	send_next(conn);
+	arm_timer(conn);
+	send_next_order(conn);
 }
 
 static void on_lost(pgio_t *io, bool refused, const char *why)
@@ -206,10 +210,10 @@
 			 .control = {.group = conn->group, .member = conn->member}};
 
 	LOG_DEBUG("control connection lost group=%s member=%s: %s", conn->group, conn->member, why);
-	conn->busy = false;
+	conn->awaiting_result = false;
 	conn->preparing = false;
 	conn->open = false;
-	fail_all(conn, refused ? ORDER_UNREACHABLE : ORDER_TIMED_OUT);
+	fail_orders(conn, refused ? ORDER_UNREACHABLE : ORDER_TIMED_OUT);
 	if (!refused)
 		adapter_submit(conn->control->adapter, &event);
 }
@@ -220,7 +224,7 @@
 	.on_lost = on_lost,
 };
 
-static control_conn_t *get_conn(control_t *self, const action_t *action)
+static control_conn_t *get_or_create_conn(control_t *self, const action_t *action)
 {
 	char *key = talloc_asprintf(NULL, "%s/%s", action->order.group, action->order.member);
 	control_conn_t *conn;
@@ -230,7 +234,7 @@
 		talloc_free(key);
 		return conn;
 	}
-	conn = talloc_zero(self->all, control_conn_t);
+	conn = talloc_zero(self->conns_ctx, control_conn_t);
 	conn->control = self;
 	conn->key = talloc_steal(conn, key);
 	conn->group = talloc_strdup(conn, action->order.group);
@@ -243,11 +247,11 @@
 	return conn;
 }
 
-static void follow_address(control_conn_t *conn, const char *address)
+static void update_address(control_conn_t *conn, const char *address)
 {
 	if (strcmp(conn->address, address) == 0)
 		return;
-	drop(conn, ORDER_TIMED_OUT);
+	close_conn(conn, ORDER_TIMED_OUT);
 	talloc_free(conn->address);
 	conn->address = talloc_strdup(conn, address);
 }
@@ -255,11 +259,11 @@
 static void on_order(void *data, action_t *action)
 {
 	control_t *self = data;
-	control_conn_t *conn = get_conn(self, action);
+	control_conn_t *conn = get_or_create_conn(self, action);
 	order_t *order = talloc_zero(conn, order_t);
 
 	counter_add(&orders_total, 1);
-	follow_address(conn, action->order.address);
+	update_address(conn, action->order.address);
 	order->id = action->id;
 	order->kind = action->order.kind;
 	order->term = action->order.term;
@@ -270,8 +274,8 @@
 		conn->open = true;
 		pgio_connect(&conn->io, self->loop, self->conf, self->password, conn->address);
 	}
-	arm(conn);
-	send_next(conn);
+	arm_timer(conn);
+	send_next_order(conn);
 }
 
 static int start(plugin_t *plugin, kernel_t *kernel, err_t *err)
@@ -282,7 +286,7 @@
 	self->adapter = adapter_from_kernel(kernel);
 	self->loop = &kernel->loop;
 	self->conf = kernel->settings;
-	self->all = talloc_new(NULL);
+	self->conns_ctx = talloc_new(NULL);
 	rc = conf_read_password(NULL, self->conf, &self->password, err);
 	if (rc < 0)
 		return rc;
@@ -315,7 +319,7 @@
 		pgio_close(&conn->io);
 	}
 	HASH_CLEAR(hh, self->conns);
-	talloc_free(self->all);
+	talloc_free(self->conns_ctx);
 	talloc_free(self->password);
 }
 
--- a/links/operators.c
+++ b/links/operators.c
@@ -281,7 +281,7 @@
 			   self, err);
 }
 
-static bool settle(plugin_t *plugin)
+static bool close_idle(plugin_t *plugin)
 {
 	operators_t *self = (operators_t *)plugin;
 
@@ -299,7 +299,7 @@
 	.name = "operators",
 	.order = 40,
 	.start = start,
-	.settle = settle,
+	.settle = close_idle,
 	.destroy = destroy,
 };
 
--- a/links/peerlink.c
+++ b/links/peerlink.c
@@ -92,7 +92,7 @@
 }
 
 /* Messages that have come but were not read would be lost with the process. */
-static bool settle(plugin_t *plugin)
+static bool close_idle(plugin_t *plugin)
 {
 	zmqlink_receive_all(&((peerlink_t *)plugin)->zmq);
 	return true;
@@ -111,7 +111,7 @@
 	.order = 30,
 	.start = start,
 	.dump = dump,
-	.settle = settle,
+	.settle = close_idle,
 	.destroy = destroy,
 };
 
--- a/links/run.c
+++ b/links/run.c
@@ -35,23 +35,23 @@
 
 /* --- sending --- */
 
-static int read_params(void *parent, const char *text, const char **out)
+static int decode_params(void *parent, const char *text, const char **out)
 {
 	json_t *list = text != NULL ? json_loads(text, 0, NULL) : NULL;
 	int count = (int)json_array_size(list);
 
 	for (int i = 0; i < count && i < RUN_PARAMS_MAX; i++) {
 		const json_t *item = json_array_get(list, (size_t)i);
-		char *shown;
+		char *value;
 
 		if (json_is_null(item)) {
 			out[i] = NULL;
 		} else if (json_is_string(item)) {
 			out[i] = talloc_strdup(parent, json_string_value(item));
 		} else {
-			shown = json_dumps(item, JSON_ENCODE_ANY);
-			out[i] = talloc_strdup(parent, shown);
-			free(shown);
+			value = json_dumps(item, JSON_ENCODE_ANY);
+			out[i] = talloc_strdup(parent, value);
+			free(value);
 		}
 	}
 	json_decref(list);
@@ -63,17 +63,17 @@
 	const query_t *query = run->query;
 	const char *params[RUN_PARAMS_MAX];
 	void *scratch = talloc_new(NULL);
-	int count = read_params(scratch, query->params, params);
+	int count = decode_params(scratch, query->params, params);
 
 	pgio_send(io, query->text, count, params);
 	talloc_free(scratch);
 }
 
 /*
- * What the request is, apart from its id. Two callers that chose the same id must
- * not get each other's answers: a stored answer starts with this.
+ * Hash of the request without its id, with which a stored answer begins. Callers that happen to
+ * choose the same request id must not receive each other's answers.
  */
-static char *fingerprint(void *parent, const query_t *query)
+static char *request_fingerprint(void *parent, const query_t *query)
 {
 	const char *const parts[] = {query->service, query->class_name, query->text, query->params};
 	uint64_t hash = 0;
@@ -86,16 +86,16 @@
 	return talloc_asprintf(parent, "%016llx ", (unsigned long long)hash);
 }
 
-static char *stored_answer(void *parent, const run_t *run)
+static char *format_stored_answer(void *parent, const run_t *run)
 {
 	const char *rows = run->result.rows != NULL ? run->result.rows : "";
 
-	return talloc_asprintf_append(fingerprint(parent, run->query), "%s", rows);
+	return talloc_asprintf_append(request_fingerprint(parent, run->query), "%s", rows);
 }
 
 static void send_step(pgio_t *io, run_t *run, run_step_t step)
 {
-	const char *id_and_answer[] = {run->query->request_id, NULL};
+	const char *id_params[] = {run->query->request_id, NULL};
 
 	switch (step) {
 	case STEP_BEGIN:
@@ -105,14 +105,14 @@
 		pgio_send(io, "BEGIN READ ONLY", 0, NULL);
 		break;
 	case STEP_INSERT_ID:
-		pgio_send(io, SQL_INSERT_ID, 1, id_and_answer);
+		pgio_send(io, SQL_INSERT_ID, 1, id_params);
 		break;
 	case STEP_STATEMENT:
 		send_statement(io, run);
 		break;
 	case STEP_STORE_ANSWER:
-		id_and_answer[1] = stored_answer(run, run);
-		pgio_send(io, SQL_STORE_ANSWER, 2, id_and_answer);
+		id_params[1] = format_stored_answer(run, run);
+		pgio_send(io, SQL_STORE_ANSWER, 2, id_params);
 		break;
 	case STEP_COMMIT:
 		run->commit_sent = true;
@@ -122,7 +122,7 @@
 		pgio_send(io, "ROLLBACK", 0, NULL);
 		break;
 	case STEP_FIND_ANSWER:
-		pgio_send(io, SQL_FIND_ANSWER, 1, id_and_answer);
+		pgio_send(io, SQL_FIND_ANSWER, 1, id_params);
 		break;
 	case STEP_REPORT_BEFORE:
 	case STEP_REPORT_AFTER:
@@ -134,7 +134,7 @@
 	run->sent_steps[run->sent_count++] = step;
 }
 
-static bool needs_id(run_step_t step)
+static bool step_needs_request_id(run_step_t step)
 {
 	return step == STEP_INSERT_ID || step == STEP_STORE_ANSWER;
 }
@@ -148,7 +148,7 @@
 	for (size_t i = 0; i < RUN_STEPS_MAX && part_steps[part][i] != STEP_END; i++) {
 		run_step_t step = part_steps[part][i];
 
-		if (needs_id(step) && run->query->request_id == NULL)
+		if (step_needs_request_id(step) && run->query->request_id == NULL)
 			continue;
 		send_step(io, run, step);
 	}
@@ -163,7 +163,7 @@
 		run->result.detail = talloc_strdup(run, detail);
 }
 
-static void take_report(run_t *run, run_step_t step, const PGresult *result)
+static void handle_report(run_t *run, run_step_t step, const PGresult *result)
 {
 	report_t *out = step == STEP_REPORT_BEFORE ? &run->result.before : &run->result.after;
 	bool accepted;
@@ -174,36 +174,39 @@
 	}
 }
 
-/* A commit stores no answer: its id alone says that it took. */
-static bool is_own_answer(const run_t *run, const char *stored, const char *mark)
+/*
+ * True if a stored answer belongs to this request. A commit stores an empty answer: that its
+ * request id is stored shows that the transaction was committed.
+ */
+static bool is_answer_to_query(const run_t *run, const char *stored, const char *prefix)
 {
 	if (run->query->verb == VERB_COMMIT)
 		return stored[0] == '\0';
-	return strncmp(stored, mark, strlen(mark)) == 0;
+	return strncmp(stored, prefix, strlen(prefix)) == 0;
 }
 
-static void take_answer(run_t *run, const PGresult *result)
+static void handle_stored_answer(run_t *run, const PGresult *result)
 {
-	char *mark = fingerprint(run, run->query);
+	char *prefix = request_fingerprint(run, run->query);
 	const char *stored;
 
 	if (PQntuples(result) != 1)
 		return;
 	stored = PQgetvalue(result, 0, 0);
-	if (!is_own_answer(run, stored, mark)) {
+	if (!is_answer_to_query(run, stored, prefix)) {
 		run_set_detail(run, "the request id was used for another request");
 		return;
 	}
 	talloc_free(run->result.rows);
-	run->result.rows = stored[0] != '\0' ? talloc_strdup(run, stored + strlen(mark)) : NULL;
+	run->result.rows = stored[0] != '\0' ? talloc_strdup(run, stored + strlen(prefix)) : NULL;
 	run->result.repeated = true;
 }
 
-static void take_error(run_t *run, run_step_t step, const PGresult *result)
+static void handle_error(run_t *run, run_step_t step, const PGresult *result)
 {
 	run->failed = true;
 	if (PQresultStatus(result) == PGRES_PIPELINE_ABORTED)
-		return; /* an earlier step has said why */
+		return; /* the error of an earlier step has the reason */
 	if (step == STEP_INSERT_ID && sql_has_sqlstate(result, SQLSTATE_UNIQUE_VIOLATION)) {
 		run->is_duplicate = true;
 		return;
@@ -214,10 +217,10 @@
 	run->result.detail = sql_error_text(run, result);
 }
 
-static void take_step(run_t *run, run_step_t step, const PGresult *result)
+static void handle_step_result(run_t *run, run_step_t step, const PGresult *result)
 {
 	if (sql_is_error(result)) {
-		take_error(run, step, result);
+		handle_error(run, step, result);
 		return;
 	}
 	switch (step) {
@@ -226,13 +229,13 @@
 		break;
 	case STEP_REPORT_BEFORE:
 	case STEP_REPORT_AFTER:
-		take_report(run, step, result);
+		handle_report(run, step, result);
 		break;
 	case STEP_FIND_ANSWER:
-		take_answer(run, result);
+		handle_stored_answer(run, result);
 		break;
 	case STEP_COMMIT:
-		/* The server answers the commit of a failed transaction with ROLLBACK. */
+		/* The server responds to the COMMIT of a failed transaction with ROLLBACK. */
 		run->committed = strcmp(PQcmdStatus((PGresult *)result), "COMMIT") == 0;
 		if (!run->committed) {
 			run->failed = true;
@@ -247,5 +250,5 @@
 void run_handle_result(run_t *run, const PGresult *result)
 {
 	if (run->next_result < run->sent_count)
-		take_step(run, run->sent_steps[run->next_result++], result);
+		handle_step_result(run, run->sent_steps[run->next_result++], result);
 }
--- a/links/runner.c
+++ b/links/runner.c
@@ -1,7 +1,7 @@
 /*
- * Pooled backend connections: each connects, claims a slot of its row's limit,
- * then carries out one run at a time. A write's commit is sent only after its
- * statement has succeeded, so a connection lost before that proves "not run".
+ * Pooled connections to backend servers. A connection claims a slot of its table row's limit once
+ * it is open, then executes one run at a time. The COMMIT of a write is sent only after its
+ * statement has succeeded; if the connection is lost before, the write was certainly not done.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -20,11 +20,10 @@
 #include "log.h"
 
 /*
- * A proxy that vanishes or is stopped keeps its connections open at the server,
- * and with them its slots of the row's limit: the next home would find none free
- * for as long as TCP takes to notice, or for good. So the server ends sessions
- * that are idle for longer than a living proxy lets them be (core closes its own
- * after conn_idle and rolls back transactions after tx_idle).
+ * If a proxy's VM fails or the process is suspended, its connections stay open at the server and
+ * keep their slots of the row's limit. The next home would find no slot free until TCP detects the
+ * loss, or ever. So the server closes sessions that are idle for longer than a running proxy leaves
+ * them: core closes idle connections after conn_idle and rolls back transactions after tx_idle.
  */
 #define SESSION_OPTIONS "-c idle_session_timeout=3000 -c idle_in_transaction_session_timeout=12000"
 
@@ -48,9 +47,9 @@
 	int64_t limit;
 	int64_t slot;
 	bool claimed;
-	bool evict;	  /* may end a session that holds a slot */
-	bool skip_result; /* the next result is the eviction's, not the claim's */
-	run_t *run;	  /* NULL between runs */
+	bool evict;	  /* may end another session to free a slot */
+	bool skip_result; /* the next result is that of SQL_EVICT_SESSION, not of the claim */
+	run_t *run;	  /* in progress, or NULL */
 } runner_conn_t;
 
 typedef struct runner {
@@ -62,9 +61,9 @@
 	runner_conn_t *conns;
 } runner_t;
 
-/* --- ends --- */
+/* --- end of runs and connections --- */
 
-static void finish(runner_conn_t *conn, run_status_t status)
+static void finish_run(runner_conn_t *conn, run_status_t status)
 {
 	run_t *run = conn->run;
 	event_t event = {.kind = EVENT_RUN_DONE, .id = conn->id, .run = {.result = &run->result}};
@@ -73,39 +72,39 @@
 		counter_add(&lost_total, 1);
 	run->result.status = status;
 	conn->run = NULL;
-	/* What core decides next may close and free the connection. */
+	/* The actions that core returns may close and free the connection. */
 	talloc_steal(NULL, run);
 	adapter_submit(conn->runner->adapter, &event);
 	talloc_free(run);
 }
 
-static void unlist(runner_conn_t *conn)
+static void remove_conn(runner_conn_t *conn)
 {
 	HASH_DEL(conn->runner->conns, conn);
 	counter_add(&conns_open, -1);
 	pgio_close(&conn->io);
 }
 
-/* Tell core how a run ended whose connection is gone, then that the connection is. */
-static void lost(runner_conn_t *conn, const char *why)
+/* Report to core first how the run in progress ended, then that the connection is closed. */
+static void handle_conn_lost(runner_conn_t *conn, const char *why)
 {
 	event_t event = {.kind = EVENT_CONN_DOWN, .id = conn->id, .conn_down = {.detail = why}};
 	adapter_t *adapter = conn->runner->adapter;
 	run_t *run = conn->run;
 
-	unlist(conn); /* first, so that a close decided meanwhile finds nothing */
+	remove_conn(conn); /* first, so that a close action from core finds no connection */
 	if (run != NULL) {
 		run_set_detail(run, why);
-		/* Once committed the answer may be lost, but the commit is not in doubt. */
-		finish(conn, run->commit_sent ? RUN_LOST_AT_COMMIT : RUN_LOST_BEFORE_COMMIT);
+		/* Once COMMIT is sent, the write may be committed although the answer is lost. */
+		finish_run(conn, run->commit_sent ? RUN_LOST_AT_COMMIT : RUN_LOST_BEFORE_COMMIT);
 	}
 	adapter_submit(adapter, &event);
 	talloc_free(conn);
 }
 
-/* --- from part to part --- */
+/* --- end of a part of a run --- */
 
-static void part_ok(runner_conn_t *conn)
+static void handle_part_success(runner_conn_t *conn)
 {
 	run_t *run = conn->run;
 
@@ -117,58 +116,61 @@
 		if (run->is_duplicate)
 			run_send_part(conn->run, &conn->io, PART_FIND_ANSWER);
 		else
-			finish(conn, run->not_primary ? RUN_NOT_PRIMARY : RUN_REJECTED);
+			finish_run(conn, run->not_primary ? RUN_NOT_PRIMARY : RUN_REJECTED);
 		break;
 	case PART_FIND_ANSWER:
 		if (run->result.repeated) {
-			finish(conn, RUN_OK);
+			finish_run(conn, RUN_OK);
 			break;
 		}
-		/* Another request's; or its attempt was rolled back a moment ago. */
+		/* The id belongs to another request, or its attempt was just rolled back. */
 		run_set_detail(run, "an attempt with the same request id had just ended");
-		finish(conn, RUN_REJECTED);
+		finish_run(conn, RUN_REJECTED);
 		break;
 	default:
-		finish(conn, RUN_OK);
+		finish_run(conn, RUN_OK);
 		break;
 	}
 }
 
-/* A failed step must not leave a half-done transaction for the next user of the connection. */
-static void part_failed(runner_conn_t *conn)
+/*
+ * A step of the part failed: roll back, or close the connection, so that no other run finds a
+ * half-done transaction. A failed statement leaves its caller's transaction open.
+ */
+static void handle_part_failure(runner_conn_t *conn)
 {
 	run_t *run = conn->run;
 
 	if (run->part == PART_CLEAN_UP || run->part == PART_FIND_ANSWER) {
-		lost(conn, "the connection could not be cleaned up");
+		handle_conn_lost(conn, "the connection could not be cleaned up");
 		return;
 	}
 	if (run->commit_unknown) {
-		lost(conn, "the server ended the session during the commit");
+		handle_conn_lost(conn, "the server ended the session during the commit");
 		return;
 	}
 	if (run->committed) {
-		/* Done, but where in the log is not known: it can't be confirmed from here. */
-		lost(conn, "committed, but the member did not report its position");
+		/* Without the log position core can't confirm that a majority has the commit. */
+		handle_conn_lost(conn, "committed, but the member did not report its position");
 		return;
 	}
 	if (run->part == PART_STATEMENT) {
-		finish(conn, RUN_REJECTED);
+		finish_run(conn, RUN_REJECTED);
 		return;
 	}
-	run->commit_sent = false; /* answered: it did not take */
+	run->commit_sent = false; /* the server has reported that it did not commit */
 	run_send_part(conn->run, &conn->io, PART_CLEAN_UP);
 }
 
-static void part_done(runner_conn_t *conn)
+static void handle_part_end(runner_conn_t *conn)
 {
 	if (conn->run->failed)
-		part_failed(conn);
+		handle_part_failure(conn);
 	else
-		part_ok(conn);
+		handle_part_success(conn);
 }
 
-/* --- claiming a slot --- */
+/* --- claim of a slot --- */
 
 static void send_claim(runner_conn_t *conn)
 {
@@ -180,8 +182,8 @@
 	pgio_sync(&conn->io);
 }
 
-/* Once a connection: make room, then claim again. */
-static void evict_and_claim(runner_conn_t *conn)
+/* End another session that holds a slot, then claim again; done once for each connection. */
+static void evict_session_and_claim(runner_conn_t *conn)
 {
 	const char *params[] = {conn->row};
 
@@ -192,7 +194,7 @@
 	send_claim(conn);
 }
 
-static void take_claim(runner_conn_t *conn, const PGresult *result)
+static void read_claim_result(runner_conn_t *conn, const PGresult *result)
 {
 	if (conn->skip_result) {
 		conn->skip_result = false;
@@ -204,23 +206,23 @@
 	}
 }
 
-static void claim_done(runner_conn_t *conn)
+static void handle_claim_end(runner_conn_t *conn)
 {
 	event_t event = {.kind = EVENT_CONN_UP, .id = conn->id, .conn_up = {.slot = conn->slot}};
 
 	if (!conn->claimed && conn->evict) {
-		evict_and_claim(conn);
+		evict_session_and_claim(conn);
 		return;
 	}
 	if (!conn->claimed) {
 		counter_add(&no_slot_total, 1);
-		lost(conn, "no slot of the row's limit is free at the member");
+		handle_conn_lost(conn, "no slot of the row's limit is free at the member");
 		return;
 	}
 	adapter_submit(conn->runner->adapter, &event);
 }
 
-/* --- callbacks of the connection --- */
+/* --- callbacks of pgio --- */
 
 static void on_ready(pgio_t *io)
 {
@@ -235,13 +237,13 @@
 
 	if (run == NULL) {
 		if (result != NULL)
-			take_claim(conn, result);
+			read_claim_result(conn, result);
 		else
-			claim_done(conn);
+			handle_claim_end(conn);
 		return;
 	}
 	if (result == NULL)
-		part_done(conn);
+		handle_part_end(conn);
 	else
 		run_handle_result(run, result);
 }
@@ -249,7 +251,7 @@
 static void on_lost(pgio_t *io, bool refused, const char *why)
 {
 	(void)refused;
-	lost(list_entry(io, runner_conn_t, io), why);
+	handle_conn_lost(list_entry(io, runner_conn_t, io), why);
 }
 
 static const pgio_ops_t io_ops = {
@@ -307,7 +309,7 @@
 	runner_conn_t *conn = find_conn(data, action->id);
 
 	if (conn != NULL)
-		lost(conn, "closed by this proxy");
+		handle_conn_lost(conn, "closed by this proxy");
 }
 
 static int start(plugin_t *plugin, kernel_t *kernel, err_t *err)
@@ -341,7 +343,7 @@
 	runner_conn_t *next;
 
 	HASH_ITER (hh, self->conns, conn, next) {
-		unlist(conn);
+		remove_conn(conn);
 		talloc_free(conn);
 	}
 	talloc_free(self->password);
