--- a/links/adapter.c
+++ b/links/adapter.c
@@ -11,8 +11,8 @@
 #include "counter.h"
 #include "log.h"
 
-COUNTER_DEFINE(events_total, "events_total", COUNTER_SUM, "Events given to core.");
-COUNTER_DEFINE(actions_total, "actions_total", COUNTER_SUM, "Actions decided by core.");
+COUNTER_DEFINE(events_total, "events_total", COUNTER_SUM, "Events submitted to core.");
+COUNTER_DEFINE(actions_total, "actions_total", COUNTER_SUM, "Actions returned by core.");
 COUNTER_DEFINE(warnings_total, "notes_warning_total", COUNTER_SUM,
 	       "Decisions logged as warnings: takeovers, lost primaries, pauses.");
 
@@ -37,7 +37,7 @@
 	adapter_submit(adapter, &event);
 }
 
-static void carry_out(adapter_t *adapter)
+static void run_actions(adapter_t *adapter)
 {
 	action_t *action;
 
@@ -54,17 +54,17 @@
 {
 	counter_add(&events_total, 1);
 	core_handle(adapter->core, clock_now(adapter->loop->clock), event);
-	/* A handler may submit events itself; the outermost call carries out all actions. */
+	/* A handler may submit events itself; only the outermost call runs the actions. */
 	if (adapter->running_actions)
 		return;
 	adapter->running_actions = true;
-	carry_out(adapter);
+	run_actions(adapter);
 	adapter->running_actions = false;
 	timers_arm(&adapter->loop->timers, &adapter->timer, core_next_wake(adapter->core),
 		   on_timer);
 }
 
-static void on_note(void *data, action_t *action)
+static void on_log_action(void *data, action_t *action)
 {
 	(void)data;
 	if (action->note.warning) {
@@ -83,7 +83,7 @@
 	context->on_drained(context);
 }
 
-static uint64_t wall_msec(void)
+static uint64_t wall_clock_msec(void)
 {
 	struct timespec ts;
 
@@ -127,9 +127,12 @@
 		.name = conf->node_name,
 		.zone = conf->node_zone,
 		.address = conf->peers_listen,
-		/* Wall time only orders the lives of one VM's process; nothing compares clocks. */
-		.incarnation = wall_msec(),
-		.seed = wall_msec() ^ (uint64_t)(uintptr_t)conf,
+		/*
+		 * The wall clock only orders the incarnations of one proxy; it is never compared
+		 * with the clock of another VM.
+		 */
+		.incarnation = wall_clock_msec(),
+		.seed = wall_clock_msec() ^ (uint64_t)(uintptr_t)conf,
 		.fixed_detection = conf->failover_fixed,
 		.fixed_timeout = (usec_t)conf->failover_fixed_timeout_ms * USEC_PER_MSEC,
 		.timings = core_timings_default(),
@@ -155,7 +158,7 @@
 	self->adapter.loop = &kernel->loop;
 	self->adapter.core = core_create(NULL, &config);
 	context->adapter = &self->adapter;
-	adapter_register(&self->adapter, ACTION_NOTE, on_note, NULL);
+	adapter_register(&self->adapter, ACTION_NOTE, on_log_action, NULL);
 	adapter_register(&self->adapter, ACTION_DRAINED, on_drained, context);
 	for (size_t i = 0; i < context->conf->peers_seeds.len; i++) {
 		rc = add_seed(self->adapter.core, context->conf->peers_seeds.items[i], err);
--- a/links/etcd.c
+++ b/links/etcd.c
@@ -6,9 +6,12 @@
 #include <glib.h>
 #include <talloc.h>
 
-/* Edit ids kept in head: enough for every edit whose answer may still be outstanding. */
-#define KEPT_EDITS 32
-/* Lines of history kept in the store. */
+/*
+ * Edit ids kept in head. They must cover every edit whose result is still unknown to a proxy, which
+ * looks for its id there.
+ */
+#define KEPT_EDIT_IDS 32
+/* Edits whose history is kept in the store. */
 #define KEPT_HISTORY 1000
 
 json_t *etcd_encode_key(const char *prefix, const char *key)
@@ -31,23 +34,21 @@
 	return out;
 }
 
-/* The decoded field as a child of parent, NULL if there is none. */
 char *etcd_decode_text(void *parent, const json_t *field)
 {
 	const char *text = json_string_value(field);
 	gsize len;
 	guchar *raw;
-	char *copy;
+	char *out;
 
 	if (text == NULL)
 		return NULL;
 	raw = g_base64_decode(text, &len);
-	copy = talloc_strndup(parent, (const char *)raw, len);
+	out = talloc_strndup(parent, (const char *)raw, len);
 	g_free(raw);
-	return copy;
+	return out;
 }
 
-/* etcd's gateway writes 64-bit numbers as strings. */
 int64_t etcd_read_number(const json_t *object, const char *key)
 {
 	const json_t *field = json_object_get(object, key);
@@ -69,8 +70,8 @@
 	talloc_free(text);
 }
 
-/* One stored entry; false if it can't be read. */
-static bool read_entry(const char *prefix, void *parent, const json_t *kv, table_entry_t *out)
+/* Decode a stored entry; returns false if the entry is malformed. */
+static bool decode_entry(const char *prefix, void *parent, const json_t *kv, table_entry_t *out)
 {
 	char *key = etcd_decode_text(parent, json_object_get(kv, "key"));
 	char *text = etcd_decode_text(parent, json_object_get(kv, "value"));
@@ -94,17 +95,17 @@
 size_t etcd_read_entries(const char *prefix, void *parent, const json_t *kvs, table_entry_t **out)
 {
 	size_t count = json_array_size(kvs);
-	size_t taken = 0;
+	size_t decoded = 0;
 
 	*out = talloc_zero_array(parent, table_entry_t, count + 1);
 	for (size_t i = 0; i < count; i++) {
-		if (read_entry(prefix, *out, json_array_get(kvs, i), &(*out)[taken]))
-			taken++;
+		if (decode_entry(prefix, *out, json_array_get(kvs, i), &(*out)[decoded]))
+			decoded++;
 	}
-	return taken;
+	return decoded;
 }
 
-static json_t *put(const char *prefix, const char *key, json_t *value)
+static json_t *put_request(const char *prefix, const char *key, json_t *value)
 {
 	char *text = json_dumps(value, JSON_COMPACT);
 	json_t *request = json_pack("{s:{s:o, s:o}}", "requestPut", "key",
@@ -117,15 +118,15 @@
 
 static json_t *head_value(const commit_action_t *commit, const json_t *edits)
 {
-	json_t *kept = json_array();
+	json_t *kept_edits = json_array();
 	size_t count = json_array_size(edits);
-	size_t first = count >= KEPT_EDITS ? count - KEPT_EDITS + 1 : 0;
+	size_t first = count >= KEPT_EDIT_IDS ? count - KEPT_EDIT_IDS + 1 : 0;
 
 	for (size_t i = first; i < count; i++)
-		json_array_append(kept, json_array_get(edits, i));
-	json_array_append_new(kept, json_string(commit->edit_id));
+		json_array_append(kept_edits, json_array_get(edits, i));
+	json_array_append_new(kept_edits, json_string(commit->edit_id));
 	return json_pack("{s:I, s:s, s:s, s:o}", "version", (json_int_t)commit->table_version,
-			 "edit", commit->edit_id, "author", commit->author, "edits", kept);
+			 "edit", commit->edit_id, "author", commit->author, "edits", kept_edits);
 }
 
 static json_t *item_value(const table_entry_t *entry)
@@ -135,7 +136,7 @@
 	return json_pack("{s:I, s:o}", "version", (json_int_t)entry->version, "value", value);
 }
 
-/* A line of the history, kept beside the table. */
+/* The value of a history key: author and changes of one edit. */
 static json_t *history_value(const commit_action_t *commit)
 {
 	json_t *changes = json_object();
@@ -155,13 +156,14 @@
 	char key[600];
 
 	json_object_set_new(compare, "mod_revision", json_integer(commit->head_revision));
-	json_array_append_new(success, put(prefix, "head", head_value(commit, edits)));
+	json_array_append_new(success, put_request(prefix, "head", head_value(commit, edits)));
 	for (size_t i = 0; i < commit->entry_count; i++) {
 		snprintf(key, sizeof(key), "item/%s", commit->entries[i].key);
-		json_array_append_new(success, put(prefix, key, item_value(&commit->entries[i])));
+		json_array_append_new(success,
+				      put_request(prefix, key, item_value(&commit->entries[i])));
 	}
 	snprintf(key, sizeof(key), "history/%012llu", (unsigned long long)commit->table_version);
-	json_array_append_new(success, put(prefix, key, history_value(commit)));
+	json_array_append_new(success, put_request(prefix, key, history_value(commit)));
 	if (commit->table_version > KEPT_HISTORY) {
 		snprintf(key, sizeof(key), "history/%012llu",
 			 (unsigned long long)(commit->table_version - KEPT_HISTORY));
--- a/links/framing.c
+++ b/links/framing.c
@@ -6,19 +6,22 @@
 #define LENGTH_FIELD   "content-length"
 #define ENCODING_FIELD "transfer-encoding"
 
-typedef struct text {
+typedef struct slice {
 	const char *base;
 	size_t len;
-} text_t;
+} slice_t;
 
-/* The next line without its end; the rest moves behind it. False if there is no whole line. */
-static bool take_line(text_t *rest, text_t *line)
+/*
+ * Read a line without its line end, and move rest behind it. Returns false if rest has no complete
+ * line.
+ */
+static bool next_line(slice_t *rest, slice_t *line)
 {
 	const char *lf = memchr(rest->base, '\n', rest->len);
 
 	if (lf == NULL)
 		return false;
-	*line = (text_t){rest->base, (size_t)(lf - rest->base)};
+	*line = (slice_t){rest->base, (size_t)(lf - rest->base)};
 	rest->len -= line->len + 1;
 	rest->base = lf + 1;
 	if (line->len > 0 && line->base[line->len - 1] == '\r')
@@ -31,15 +34,15 @@
 	return c == ' ' || c == '\t';
 }
 
-/* The value of the line's field if it is this one. */
-static bool read_field(const text_t *line, const char *name, text_t *value)
+/* If the line is the header field called name, set value and return true. */
+static bool match_field(const slice_t *line, const char *name, slice_t *value)
 {
 	size_t name_len = strlen(name);
 
 	if (line->len <= name_len || line->base[name_len] != ':' ||
 	    strncasecmp(line->base, name, name_len) != 0)
 		return false;
-	*value = (text_t){line->base + name_len + 1, line->len - name_len - 1};
+	*value = (slice_t){line->base + name_len + 1, line->len - name_len - 1};
 	while (value->len > 0 && is_blank(value->base[0])) {
 		value->base++;
 		value->len--;
@@ -49,27 +52,27 @@
 	return true;
 }
 
-static bool same_text(const text_t *a, const text_t *b)
+static bool slices_are_equal(const slice_t *a, const slice_t *b)
 {
 	return a->len == b->len && memcmp(a->base, b->base, a->len) == 0;
 }
 
 bool framing_is_ambiguous(const char *head, size_t len)
 {
-	text_t rest = {head, len};
-	text_t length = {NULL, 0};
+	slice_t rest = {head, len};
+	slice_t first_length = {NULL, 0};
 	bool is_encoded = false;
-	text_t line;
-	text_t value;
+	slice_t line;
+	slice_t value;
 
-	while (take_line(&rest, &line) && line.len > 0) {
-		if (read_field(&line, ENCODING_FIELD, &value))
+	while (next_line(&rest, &line) && line.len > 0) {
+		if (match_field(&line, ENCODING_FIELD, &value))
 			is_encoded = true;
-		if (!read_field(&line, LENGTH_FIELD, &value))
+		if (!match_field(&line, LENGTH_FIELD, &value))
 			continue;
-		if (length.base != NULL && !same_text(&length, &value))
+		if (first_length.base != NULL && !slices_are_equal(&first_length, &value))
 			return true;
-		length = value;
+		first_length = value;
 	}
-	return is_encoded && length.base != NULL;
+	return is_encoded && first_length.base != NULL;
 }
--- a/links/httpc.c
+++ b/links/httpc.c
@@ -11,44 +11,44 @@
 #include "list.h"
 
 #define CONNECT_TIMEOUT_MSEC 1000L
-/* A stream without a byte for so long is probed by TCP. */
+/* Idle time of a connection before TCP sends keep-alive probes, and time between the probes. */
 #define KEEPALIVE_SEC 5L
-/* The same for a connection that must be noticed when it goes silent. */
-#define PROBE_SEC 1L
-/* With PROBE_SEC: a silent connection ends after about 3 s. */
+/* The same for a connection whose loss must be detected within seconds. */
+#define FAST_KEEPALIVE_SEC 1L
+/* Together with FAST_KEEPALIVE_SEC: a silent connection is closed after about 3 s. */
 #define USER_TIMEOUT_MSEC 2500
 
-/* A descriptor of curl that we watch for it. */
+/* A socket of libcurl, watched by the event loop. */
 typedef struct curl_watch {
 	loop_watch_t watch;
 	httpc_t *httpc;
 	curl_socket_t fd;
-	int wanted;
+	int poll_events;
 } curl_watch_t;
 
-static void take_finished(httpc_t *httpc);
+static void finish_completed_calls(httpc_t *httpc);
 
-static void act(httpc_t *httpc, curl_socket_t fd, int what)
+static void run_socket_action(httpc_t *httpc, curl_socket_t fd, int what)
 {
 	int running;
 
 	curl_multi_socket_action(httpc->multi, fd, what, &running);
-	take_finished(httpc);
+	finish_completed_calls(httpc);
 }
 
 static void on_readable(loop_watch_t *watch)
 {
 	curl_watch_t *self = list_entry(watch, curl_watch_t, watch);
 
-	act(self->httpc, self->fd, CURL_CSELECT_IN);
+	run_socket_action(self->httpc, self->fd, CURL_CSELECT_IN);
 }
 
 static void on_writable(loop_watch_t *watch)
 {
 	curl_watch_t *self = list_entry(watch, curl_watch_t, watch);
 
-	if (self->wanted & CURL_POLL_OUT)
-		act(self->httpc, self->fd, CURL_CSELECT_OUT);
+	if (self->poll_events & CURL_POLL_OUT)
+		run_socket_action(self->httpc, self->fd, CURL_CSELECT_OUT);
 }
 
 static curl_watch_t *watch_create(httpc_t *httpc, curl_socket_t fd)
@@ -65,7 +65,7 @@
 	return self;
 }
 
-static int on_socket(CURL *easy, curl_socket_t fd, int what, void *data, void *socket_data)
+static int on_socket_change(CURL *easy, curl_socket_t fd, int what, void *data, void *socket_data)
 {
 	curl_watch_t *self = socket_data;
 
@@ -81,7 +81,7 @@
 		self = watch_create(data, fd);
 	if (self == NULL)
 		return -1;
-	self->wanted = what;
+	self->poll_events = what;
 	if (what & CURL_POLL_OUT)
 		loop_watch_writable(&self->watch, on_writable);
 	return 0;
@@ -90,10 +90,10 @@
 static void on_timer(run_timer_t *timer, usec_t now)
 {
 	(void)now;
-	act(list_entry(timer, httpc_t, timer), CURL_SOCKET_TIMEOUT, 0);
+	run_socket_action(list_entry(timer, httpc_t, timer), CURL_SOCKET_TIMEOUT, 0);
 }
 
-static int on_set_timer(CURLM *multi, long msec, void *data)
+static int on_timer_change(CURLM *multi, long msec, void *data)
 {
 	httpc_t *httpc = data;
 
@@ -113,15 +113,18 @@
 	httpc->multi = curl_multi_init();
 	if (httpc->multi == NULL)
 		return -ENOMEM;
-	curl_multi_setopt(httpc->multi, CURLMOPT_SOCKETFUNCTION, on_socket);
+	curl_multi_setopt(httpc->multi, CURLMOPT_SOCKETFUNCTION, on_socket_change);
 	curl_multi_setopt(httpc->multi, CURLMOPT_SOCKETDATA, httpc);
-	curl_multi_setopt(httpc->multi, CURLMOPT_TIMERFUNCTION, on_set_timer);
+	curl_multi_setopt(httpc->multi, CURLMOPT_TIMERFUNCTION, on_timer_change);
 	curl_multi_setopt(httpc->multi, CURLMOPT_TIMERDATA, httpc);
 	return 0;
 }
 
-/* Data that is not acknowledged ends the connection; keep-alive covers only a silent one. */
-static int on_sockopt(void *data, curl_socket_t fd, curlsocktype purpose)
+/*
+ * Set the TCP user time-out, which closes a connection whose data is not acknowledged. Keep-alive
+ * probes are sent only on an idle connection.
+ */
+static int on_socket_created(void *data, curl_socket_t fd, curlsocktype purpose)
 {
 	int msec = USER_TIMEOUT_MSEC;
 
@@ -131,7 +134,7 @@
 	return CURL_SOCKOPT_OK;
 }
 
-static size_t on_body(char *data, size_t size, size_t count, void *ptr)
+static size_t on_body_chunk(char *data, size_t size, size_t count, void *ptr)
 {
 	httpc_call_t *call = ptr;
 	size_t len = size * count;
@@ -143,7 +146,7 @@
 	return len;
 }
 
-static void release(httpc_call_t *call)
+static void free_call(httpc_call_t *call)
 {
 	list_del(&call->node);
 	curl_multi_remove_handle(call->httpc->multi, call->easy);
@@ -152,16 +155,16 @@
 	talloc_free(call);
 }
 
-static void finish(httpc_call_t *call, CURLcode code)
+static void finish_call(httpc_call_t *call, CURLcode code)
 {
 	long status = 0;
 
 	curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
 	call->on_done(call, code == CURLE_OK, status, call->body, strlen(call->body));
-	release(call);
+	free_call(call);
 }
 
-static void take_finished(httpc_t *httpc)
+static void finish_completed_calls(httpc_t *httpc)
 {
 	CURLMsg *msg;
 	int left;
@@ -172,17 +175,19 @@
 		if (msg->msg != CURLMSG_DONE)
 			continue;
 		curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, (char **)&call);
-		finish(call, msg->data.result);
+		finish_call(call, msg->data.result);
 	}
 }
 
-static void set_keepalive(CURL *easy, bool probe)
+static void set_keepalive(CURL *easy, bool fast_keepalive)
 {
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPALIVE, 1L);
-	curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE, probe ? PROBE_SEC : KEEPALIVE_SEC);
-	curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL, probe ? PROBE_SEC : KEEPALIVE_SEC);
-	if (probe)
-		curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, on_sockopt);
+	curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE,
+			 fast_keepalive ? FAST_KEEPALIVE_SEC : KEEPALIVE_SEC);
+	curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL,
+			 fast_keepalive ? FAST_KEEPALIVE_SEC : KEEPALIVE_SEC);
+	if (fast_keepalive)
+		curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, on_socket_created);
 }
 
 static void set_body(httpc_call_t *call, const char *body)
@@ -202,7 +207,7 @@
 
 	curl_easy_setopt(easy, CURLOPT_URL, request->url);
 	curl_easy_setopt(easy, CURLOPT_PRIVATE, call);
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_body);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_body_chunk);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, call);
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
@@ -238,13 +243,13 @@
 
 void httpc_cancel(httpc_call_t *call)
 {
-	release(call);
+	free_call(call);
 }
 
 void httpc_destroy(httpc_t *httpc)
 {
 	while (!list_empty(&httpc->calls))
-		release(list_entry(httpc->calls.next, httpc_call_t, node));
+		free_call(list_entry(httpc->calls.next, httpc_call_t, node));
 	timers_cancel(&httpc->loop->timers, &httpc->timer);
 	curl_multi_cleanup(httpc->multi);
 }
--- a/links/httpd.c
+++ b/links/httpd.c
@@ -10,24 +10,24 @@
 #include "framing.h"
 #include "stream.h"
 
-#define HTTP1_IDLE_MSEC 60000
-#define JSON_TYPE	"application/json"
-#define HTTP2		0x200 /* h2o_req_t.version from HTTP/2 on */
+#define HTTP1_TIMEOUT_MSEC 60000
+#define JSON_TYPE	   "application/json"
+#define HTTP2_VERSION	   0x200 /* h2o_req_t.version from HTTP/2 on */
 /*
- * How often httpd_close_idle() looks for connections with something to read or
- * write before it closes all. Each look follows a turn of the loop, which serves
- * 256 connections, so this suffices for 25,000 of them; who is left then doesn't
- * take its answer, and the process doesn't wait for it. Looks are counted, not
- * time: a process that is held up has served nobody meanwhile.
+ * Calls of httpd_close_idle() after which all connections are closed, even those with something to
+ * read or write. Between two calls the event loop runs one iteration, which serves 256 connections,
+ * so 100 calls suffice for 25,000. A connection that is left then belongs to a client that does not
+ * read its response, and must not delay the exit. Calls are counted instead of time since a process
+ * that was paused has served no connection in that time.
  */
-#define LOOKS_MAX 100
+#define CLOSE_ATTEMPTS_MAX 100
 
 typedef struct handler {
 	h2o_handler_t base;
 	httpd_t *httpd;
 } handler_t;
 
-/* A connection, in httpd_t.conns until h2o closes its socket. */
+/* An open connection; removed from httpd_t.conns when h2o closes its socket. */
 typedef struct conn {
 	list_t node;
 	h2o_socket_t *sock;
@@ -41,7 +41,7 @@
 	talloc_free(conn);
 }
 
-static void accept_waiting(httpd_t *httpd)
+static void accept_pending(httpd_t *httpd)
 {
 	h2o_socket_t *sock;
 
@@ -59,20 +59,20 @@
 static void on_accept(h2o_socket_t *listener, const char *err)
 {
 	if (err == NULL)
-		accept_waiting(listener->data);
+		accept_pending(listener->data);
 }
 
 /*
- * h2o takes one of several lengths and keeps none of them for us to see. The
- * head as it came still begins the connection's input, since that is consumed
- * when the request has been answered.
+ * Check the raw head of an HTTP/1 request, since h2o uses one of several Content-Length fields and
+ * drops them all from the parsed request. The head is still at the start of the connection's input
+ * buffer: h2o consumes it after the response.
  */
-static bool is_ambiguous(h2o_req_t *req)
+static bool has_ambiguous_length(h2o_req_t *req)
 {
 	const h2o_buffer_t *input;
 
-	if (req->version >= HTTP2)
-		return false; /* bodies come in frames */
+	if (req->version >= HTTP2_VERSION)
+		return false; /* HTTP/2 frames delimit the body */
 	input = req->conn->callbacks->get_socket(req->conn)->input;
 	if (input->size < req->method.len ||
 	    memcmp(input->bytes, req->method.base, req->method.len) != 0)
@@ -84,7 +84,7 @@
 {
 	httpd_t *httpd = ((handler_t *)base)->httpd;
 
-	if (is_ambiguous(req)) {
+	if (has_ambiguous_length(req)) {
 		req->http1_is_persistent = 0;
 		httpd_send_json(req, 400,
 				json_pack("{s:s, s:s, s:s}", "outcome", "not_run", "reason",
@@ -111,7 +111,7 @@
 	list_init(&httpd->conns);
 	h2o_config_init(&httpd->config);
 	httpd->config.max_request_entity_size = max_body;
-	httpd->config.http1.req_timeout = HTTP1_IDLE_MSEC;
+	httpd->config.http1.req_timeout = HTTP1_TIMEOUT_MSEC;
 	host = h2o_config_register_host(&httpd->config, h2o_iovec_init(H2O_STRLIT("default")),
 					65535);
 	path = h2o_config_register_path(host, "/", 0);
@@ -132,17 +132,17 @@
 	if (httpd->listener == NULL)
 		return;
 	/*
-	 * When the loop is late, callers have connected and sent requests that the
-	 * kernel holds for us; closing the listener would reset them all.
+	 * If the event loop is late, the kernel holds connections that clients have opened and
+	 * sent requests on; closing the listener would reset them.
 	 */
-	accept_waiting(httpd);
+	accept_pending(httpd);
 	h2o_socket_read_stop(httpd->listener);
 	h2o_socket_close(httpd->listener);
 	httpd->listener = NULL;
 	h2o_context_request_shutdown(&httpd->context);
 }
 
-static bool has_unread(const conn_t *conn)
+static bool has_unread_data(const conn_t *conn)
 {
 	int bytes = 0;
 
@@ -151,23 +151,23 @@
 
 bool httpd_close_idle(httpd_t *httpd)
 {
-	bool settled = true;
-	bool last_look = ++httpd->close_attempts >= LOOKS_MAX;
+	bool all_closed = true;
+	bool close_all = ++httpd->close_attempts >= CLOSE_ATTEMPTS_MAX;
 
 	httpd_drain(httpd);
 	list_for_each (it, &httpd->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
 
-		/* Right after the look: who sends later finds the connection closed. */
-		if (last_look || (!has_unread(conn) && !h2o_socket_is_writing(conn->sock)))
+		/* Right after the check, so that no request arrives in between unread. */
+		if (close_all || (!has_unread_data(conn) && !h2o_socket_is_writing(conn->sock)))
 			shutdown(h2o_socket_get_fd(conn->sock), SHUT_RDWR);
 		else
-			settled = false;
+			all_closed = false;
 	}
-	return settled;
+	return all_closed;
 }
 
-static const char *reason_of(int status)
+static const char *reason_phrase(int status)
 {
 	switch (status) {
 	case 200:
@@ -196,7 +196,7 @@
 static void add_retry_after(h2o_req_t *req, uint64_t msec)
 {
 	char *text = h2o_mem_alloc_pool(&req->pool, 24);
-	/* Whole seconds, rounded up, are all that the header can say; the body is exact. */
+	/* The header holds whole seconds, here rounded up; the body has milliseconds. */
 	int len = snprintf(text, 24, "%llu", (unsigned long long)((msec + 999) / 1000));
 
 	h2o_add_header(&req->pool, &req->res.headers, H2O_TOKEN_RETRY_AFTER, NULL, text,
@@ -209,7 +209,7 @@
 
 	json_decref(body);
 	req->res.status = status;
-	req->res.reason = reason_of(status);
+	req->res.reason = reason_phrase(status);
 	h2o_add_header(&req->pool, &req->res.headers, H2O_TOKEN_CONTENT_TYPE, NULL,
 		       H2O_STRLIT(JSON_TYPE));
 	if (retry_after_ms != 0)
--- a/links/operators.c
+++ b/links/operators.c
@@ -1,6 +1,6 @@
 /*
- * Operators' link: HTTP on its own address, with a bearer token. State dump,
- * counters, the table and edits of it, shutdown.
+ * The link to operators: an HTTP server on its own address that requires a bearer token. It serves
+ * the state dump, the metrics, the table, edits of the table and their history, and shutdown.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -24,13 +24,13 @@
 COUNTER_DEFINE(denied_total, "operator_denied_total", COUNTER_SUM,
 	       "Operators' requests without the right token.");
 
-/* An edit whose operator waits for the outcome. */
-typedef struct pending {
+/* A request whose response needs a call on the store: an edit, or a query of the history. */
+typedef struct pending_request {
 	uint64_t id;
 	h2o_req_t *req;
-	struct operators *owner; /* NULL once answered */
+	struct operators *operators; /* NULL once the response is sent */
 	UT_hash_handle hh;
-} pending_t;
+} pending_request_t;
 
 typedef struct operators {
 	plugin_t base;
@@ -38,7 +38,7 @@
 	kernel_t *kernel;
 	adapter_t *adapter;
 	char *token;
-	pending_t *pending;
+	pending_request_t *pending;
 	uint64_t next_id;
 } operators_t;
 
@@ -49,7 +49,7 @@
 	httpd_send_json(req, status, json_pack("{s:s}", "error", text), 0);
 }
 
-/* Compared in constant time, so that the token can't be guessed piece by piece. */
+/* The token is compared in constant time, so that response times don't reveal parts of it. */
 static bool is_authorized(const operators_t *self, const h2o_req_t *req)
 {
 	ssize_t at = h2o_find_header(&req->headers, H2O_TOKEN_AUTHORIZATION, -1);
@@ -94,59 +94,60 @@
 static void post_drain(operators_t *self, h2o_req_t *req)
 {
 	httpd_send_json(req, 200, json_pack("{s:b}", "draining", 1), 0);
-	LOG_INFORM("shutdown ordered by an operator");
+	LOG_INFORM("shutdown requested by an operator");
 	kernel_drain(self->kernel);
 }
 
-/* --- edits and what else waits for the store --- */
+/* --- requests that need the store --- */
 
-static void on_pending_disposed(void *ptr)
+static void on_pending_dispose(void *ptr)
 {
-	pending_t *pending = *(pending_t **)ptr;
+	pending_request_t *pending = *(pending_request_t **)ptr;
 
-	/* Answered, or the operator has gone: nobody waits for the outcome any more. */
-	if (pending->owner != NULL)
-		HASH_DEL(pending->owner->pending, pending);
+	/* The response was sent, or the operator has closed the connection before. */
+	if (pending->operators != NULL)
+		HASH_DEL(pending->operators->pending, pending);
 	talloc_free(pending);
 }
 
-static pending_t *wait_for_store(operators_t *self, h2o_req_t *req)
+static pending_request_t *add_pending(operators_t *self, h2o_req_t *req)
 {
-	pending_t *pending = talloc_zero(NULL, pending_t);
-	pending_t **slot = h2o_mem_alloc_shared(&req->pool, sizeof(*slot), on_pending_disposed);
+	pending_request_t *pending = talloc_zero(NULL, pending_request_t);
+	pending_request_t **slot =
+		h2o_mem_alloc_shared(&req->pool, sizeof(*slot), on_pending_dispose);
 
 	*slot = pending;
 	pending->id = ++self->next_id;
 	pending->req = req;
-	pending->owner = self;
+	pending->operators = self;
 	HASH_ADD(hh, self->pending, id, sizeof(pending->id), pending);
 	return pending;
 }
 
-/* The request that waits under this id, no longer waiting; NULL if its operator has gone. */
-static h2o_req_t *take_pending(operators_t *self, uint64_t id)
+/* Remove the pending request with this id; returns NULL if its connection was closed before. */
+static h2o_req_t *remove_pending(operators_t *self, uint64_t id)
 {
-	pending_t *pending;
+	pending_request_t *pending;
 
 	HASH_FIND(hh, self->pending, &id, sizeof(id), pending);
 	if (pending == NULL)
 		return NULL;
 	HASH_DEL(self->pending, pending);
-	pending->owner = NULL;
+	pending->operators = NULL;
 	return pending->req;
 }
 
-typedef struct history_wait {
+typedef struct history_request {
 	operators_t *self;
 	uint64_t id;
-} history_wait_t;
+} history_request_t;
 
-static void on_history(void *data, json_t *edits)
+static void on_history_read(void *data, json_t *edits)
 {
-	history_wait_t *wait = data;
-	h2o_req_t *req = take_pending(wait->self, wait->id);
+	history_request_t *history_request = data;
+	h2o_req_t *req = remove_pending(history_request->self, history_request->id);
 
-	talloc_free(wait);
+	talloc_free(history_request);
 	if (req == NULL)
 		json_decref(edits);
 	else if (edits == NULL)
@@ -157,14 +158,15 @@
 
 static void get_history(operators_t *self, h2o_req_t *req)
 {
-	history_wait_t *wait = talloc_zero(NULL, history_wait_t);
+	history_request_t *history_request = talloc_zero(NULL, history_request_t);
 
-	wait->self = self;
-	wait->id = wait_for_store(self, req)->id;
-	platform_read_history(((context_t *)self->kernel->context)->platform, on_history, wait);
+	history_request->self = self;
+	history_request->id = add_pending(self, req)->id;
+	platform_read_history(((context_t *)self->kernel->context)->platform, on_history_read,
+			      history_request);
 }
 
-static size_t read_entries(void *parent, const json_t *object, table_entry_t **out)
+static size_t parse_entries(void *parent, const json_t *object, table_entry_t **out)
 {
 	size_t count = 0;
 	const char *key;
@@ -189,11 +191,11 @@
 	table_entry_t *entries;
 	event_t event = {.kind = EVENT_EDIT, .edit = {.edit_id = edit_id, .author = author}};
 
-	event.edit.entry_count = read_entries(scratch, json_object_get(body, "entries"), &entries);
+	event.edit.entry_count = parse_entries(scratch, json_object_get(body, "entries"), &entries);
 	event.edit.entries = entries;
 	event.edit.base_version =
 		(uint64_t)json_integer_value(json_object_get(body, "base_version"));
-	event.id = wait_for_store(self, req)->id;
+	event.id = add_pending(self, req)->id;
 	adapter_submit(self->adapter, &event);
 	talloc_free(scratch);
 }
@@ -222,7 +224,7 @@
 		[EDIT_REFUSED] = "refused",
 		[EDIT_UNKNOWN] = "unknown",
 	};
-	h2o_req_t *req = take_pending(data, action->id);
+	h2o_req_t *req = remove_pending(data, action->id);
 
 	if (req == NULL)
 		return;
--- a/links/peerlink.c
+++ b/links/peerlink.c
@@ -1,4 +1,4 @@
-/* Peers' link: core's messages between proxies. */
+/* The link to peers: sends and receives core's messages between proxies. */
 #include <errno.h>
 
 #include <talloc.h>
@@ -9,7 +9,7 @@
 #include "zmqlink.h"
 
 COUNTER_DEFINE(bad_total, "peer_messages_bad_total", COUNTER_SUM,
-	       "Messages that could not be read.");
+	       "Malformed messages received from peers.");
 
 typedef struct peerlink {
 	plugin_t base;
@@ -34,7 +34,7 @@
 	talloc_free(message);
 }
 
-static void tell_unsent(peerlink_t *self, const action_t *action)
+static void report_unsent(peerlink_t *self, const action_t *action)
 {
 	event_t event = {.kind = EVENT_UNSENT, .id = action->id};
 
@@ -51,7 +51,7 @@
 	wire_encode(&buffer, self->conf->node_name, action->send.message);
 	if (zmqlink_send(&self->zmq, action->send.peer, action->send.address, buffer.data,
 			 buffer.size) < 0)
-		tell_unsent(self, action);
+		report_unsent(self, action);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
@@ -91,7 +91,7 @@
 			 "authenticated", self->secret_key != NULL);
 }
 
-/* Messages that have come but were not read would be lost with the process. */
+/* Handle the messages that have arrived; the process would lose them at its exit. */
 static bool close_idle(plugin_t *plugin)
 {
 	zmqlink_receive_all(&((peerlink_t *)plugin)->zmq);
--- a/links/pgio.c
+++ b/links/pgio.c
@@ -10,7 +10,7 @@
 static void on_readable(loop_watch_t *watch);
 static void on_writable(loop_watch_t *watch);
 
-static void lose(pgio_t *io, const char *why)
+static void fail_conn(pgio_t *io, const char *why)
 {
 	char text[256];
 	bool refused;
@@ -25,7 +25,7 @@
 static void on_connect_timeout(run_timer_t *timer, usec_t now)
 {
 	(void)now;
-	lose(list_entry(timer, pgio_t, timer), "connect timed out");
+	fail_conn(list_entry(timer, pgio_t, timer), "connect timed out");
 }
 
 static int watch_socket(pgio_t *io)
@@ -34,35 +34,38 @@
 	return loop_watch_start(io->loop, &io->watch, PQsocket(io->pg), on_readable);
 }
 
-/* Errors met inside the owner's call are told from the loop, so on_lost never runs inside it. */
-static void on_late_failure(run_timer_t *timer, usec_t now)
+/*
+ * Errors inside a call of the owner are reported from a timer, so that on_lost never runs inside
+ * that call.
+ */
+static void on_deferred_failure(run_timer_t *timer, usec_t now)
 {
 	pgio_t *io = list_entry(timer, pgio_t, timer);
 
 	(void)now;
-	lose(io, io->pg != NULL ? PQerrorMessage(io->pg) : "bad address");
+	fail_conn(io, io->pg != NULL ? PQerrorMessage(io->pg) : "bad address");
 }
 
-static void fail_later(pgio_t *io)
+static void schedule_failure(pgio_t *io)
 {
-	timers_arm(&io->loop->timers, &io->timer, clock_now(io->loop->clock), on_late_failure);
+	timers_arm(&io->loop->timers, &io->timer, clock_now(io->loop->clock), on_deferred_failure);
 }
 
-static void flush(pgio_t *io)
+static void flush_output(pgio_t *io)
 {
 	int rc = PQflush(io->pg);
 
 	if (rc > 0)
 		loop_watch_writable(&io->watch, on_writable);
 	else if (rc < 0)
-		fail_later(io);
+		schedule_failure(io);
 }
 
-static void become_ready(pgio_t *io)
+static void finish_connect(pgio_t *io)
 {
 	timers_cancel(&io->loop->timers, &io->timer);
 	if (PQenterPipelineMode(io->pg) == 0 || PQsetnonblocking(io->pg, 1) != 0) {
-		lose(io, PQerrorMessage(io->pg));
+		fail_conn(io, PQerrorMessage(io->pg));
 		return;
 	}
 	io->ready = true;
@@ -76,25 +79,25 @@
 	switch (status) {
 	case PGRES_POLLING_OK:
 		if (watch_socket(io) < 0)
-			lose(io, "can't watch the socket");
+			fail_conn(io, "can't watch the socket");
 		else
-			become_ready(io);
+			finish_connect(io);
 		break;
 	case PGRES_POLLING_FAILED:
-		lose(io, PQerrorMessage(io->pg));
+		fail_conn(io, PQerrorMessage(io->pg));
 		break;
 	default:
-		/* libpq may have gone on to another socket. */
+		/* libpq may have replaced the socket by another one. */
 		if (watch_socket(io) < 0)
-			lose(io, "can't watch the socket");
+			fail_conn(io, "can't watch the socket");
 		else if (status == PGRES_POLLING_WRITING)
 			loop_watch_writable(&io->watch, on_writable);
 		break;
 	}
 }
 
-/* Take what libpq has; stops when the owner closed the connection in a callback. */
-static void take_results(pgio_t *io)
+/* Process the results that libpq has received; stop if a callback closes the connection. */
+static void process_results(pgio_t *io)
 {
 	bool freed = false;
 
@@ -103,7 +106,7 @@
 		PGresult *result = PQgetResult(io->pg);
 
 		if (result == NULL)
-			continue; /* between two commands */
+			continue; /* end of a command's results */
 		io->pending--;
 		io->ops->on_result(io,
 				   PQresultStatus(result) == PGRES_PIPELINE_SYNC ? NULL : result);
@@ -123,12 +126,12 @@
 		return;
 	}
 	if (PQconsumeInput(io->pg) == 0) {
-		lose(io, PQerrorMessage(io->pg));
+		fail_conn(io, PQerrorMessage(io->pg));
 		return;
 	}
-	take_results(io);
+	process_results(io);
 	if (io->pg != NULL && PQstatus(io->pg) == CONNECTION_BAD)
-		lose(io, PQerrorMessage(io->pg));
+		fail_conn(io, PQerrorMessage(io->pg));
 }
 
 static void on_writable(loop_watch_t *watch)
@@ -138,7 +141,7 @@
 	if (!io->ready)
 		continue_connect(io);
 	else
-		flush(io);
+		flush_output(io);
 }
 
 static void start_connect(pgio_t *io, const conf_t *conf, const char *password, const char *host,
@@ -176,7 +179,7 @@
 		start_connect(io, conf, password, host, port);
 	}
 	if (io->pg == NULL || PQstatus(io->pg) == CONNECTION_BAD || watch_socket(io) < 0) {
-		fail_later(io);
+		schedule_failure(io);
 		return;
 	}
 	timers_arm(&loop->timers, &io->timer,
@@ -207,7 +210,7 @@
 {
 	if (PQpipelineSync(io->pg) == 1)
 		io->pending++;
-	flush(io);
+	flush_output(io);
 }
 
 void pgio_close(pgio_t *io)
--- a/links/platform.c
+++ b/links/platform.c
@@ -1,7 +1,7 @@
 /*
- * Platform's link: the store through etcd's JSON gateway, and the list of VMs.
- * Every edit is one transaction that compares head's mod revision, so two edits
- * never both build on the same table.
+ * The link to the platform: the store, through etcd's JSON gateway, and the list of VMs. Each edit
+ * of the table is one transaction that compares the mod revision of the key "head", so that of two
+ * edits based on the same version of the table only one succeeds.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -35,39 +35,40 @@
 	char *watch_buffer;
 } platform_t;
 
-/* A load or a commit in progress. */
-typedef struct op {
+/* A load of the table or a commit of an edit, in progress. */
+typedef struct store_op {
 	platform_t *platform;
 	uint64_t id;
-	event_kind_t answer;
+	event_kind_t event_kind;
 	store_status_t status;
-	uint64_t since;		/* table version that core has */
-	int64_t since_revision; /* of the store, at which it had that version or an older one */
+	uint64_t known_version; /* table version that core has */
+	/* revision of the store at which the table had that version, or an older one */
+	int64_t known_revision;
 	etcd_head_t head;
 	char *edit_id;
 	table_entry_t *entries; /* of a commit */
 	size_t entry_count;
 	uint64_t version;
-} op_t;
+} store_op_t;
 
-static const char *prefix_of(const platform_t *self)
+static const char *key_prefix(const platform_t *self)
 {
 	return self->conf->platform_prefix;
 }
 
-static size_t read_entries(const platform_t *self, void *parent, const json_t *kvs,
-			   table_entry_t **out)
+static size_t decode_entries(const platform_t *self, void *parent, const json_t *kvs,
+			     table_entry_t **out)
 {
-	size_t count = etcd_read_entries(prefix_of(self), parent, kvs, out);
+	size_t count = etcd_read_entries(key_prefix(self), parent, kvs, out);
 
 	if (count < json_array_size(kvs))
-		LOG_WARNING("%zu entries of the table in the store can't be read",
+		LOG_WARNING("%zu malformed entries of the table skipped",
 			    json_array_size(kvs) - count);
 	return count;
 }
 
-static httpc_call_t *post(platform_t *self, const char *path, json_t *body, httpc_done_t on_done,
-			  httpc_data_t on_data, void *data)
+static httpc_call_t *post_call(platform_t *self, const char *path, json_t *body,
+			       httpc_done_t on_done, httpc_data_t on_data, void *data)
 {
 	char *url = talloc_asprintf(NULL, "%s%s", self->conf->platform_url, path);
 	char *text = json_dumps(body, JSON_COMPACT);
@@ -89,24 +90,24 @@
 	return call;
 }
 
-static json_t *parse_answer(bool ok, long status, const char *body)
+static json_t *parse_response(bool ok, long status, const char *body)
 {
-	json_t *answer = ok && status == HTTP_OK ? json_loads(body, 0, NULL) : NULL;
+	json_t *response = ok && status == HTTP_OK ? json_loads(body, 0, NULL) : NULL;
 
-	if (answer == NULL)
+	if (response == NULL)
 		counter_add(&failed_total, 1);
-	return answer;
+	return response;
 }
 
-/* --- load: head, and what changed if it is newer than what core has --- */
+/* --- load: read head, then the changed entries if core has an older version --- */
 
-static void op_free(op_t *op)
+static void store_op_free(store_op_t *op)
 {
 	json_decref(op->head.edits);
 	talloc_free(op);
 }
 
-static bool has_edit(const json_t *edits, const char *edit_id)
+static bool contains_edit(const json_t *edits, const char *edit_id)
 {
 	for (size_t i = 0; edit_id != NULL && i < json_array_size(edits); i++) {
 		if (strcmp(json_string_value(json_array_get(edits, i)), edit_id) == 0)
@@ -115,132 +116,133 @@
 	return false;
 }
 
-static void tell(op_t *op, const table_entry_t *entries, size_t count)
+static void report_result(store_op_t *op, const table_entry_t *entries, size_t count)
 {
 	event_t event = {
-		.kind = op->answer,
+		.kind = op->event_kind,
 		.id = op->id,
 		.store = {.status = op->status,
 			  .entries = entries,
 			  .entry_count = count,
 			  .table_version = op->head.version,
 			  .head_revision = op->head.revision,
-			  .edit_found = has_edit(op->head.edits, op->edit_id)},
+			  .edit_found = contains_edit(op->head.edits, op->edit_id)},
 	};
 
 	adapter_submit(op->platform->adapter, &event);
-	op_free(op);
+	store_op_free(op);
 }
 
-static void tell_failed(op_t *op)
+static void report_failure(store_op_t *op)
 {
 	op->status = STORE_FAILED;
-	tell(op, NULL, 0);
+	report_result(op, NULL, 0);
 }
 
-static void on_entries(httpc_call_t *call, bool ok, long status, const char *body, size_t len)
+static void on_entries_read(httpc_call_t *call, bool ok, long status, const char *body, size_t len)
 {
-	op_t *op = call->data;
-	json_t *answer = parse_answer(ok, status, body);
+	store_op_t *op = call->data;
+	json_t *response = parse_response(ok, status, body);
 	table_entry_t *entries;
 	size_t count;
 
 	(void)len;
-	if (answer == NULL) {
-		tell_failed(op);
+	if (response == NULL) {
+		report_failure(op);
 		return;
 	}
-	count = read_entries(op->platform, op, json_object_get(answer, "kvs"), &entries);
-	json_decref(answer);
-	tell(op, entries, count);
+	count = decode_entries(op->platform, op, json_object_get(response, "kvs"), &entries);
+	json_decref(response);
+	report_result(op, entries, count);
 }
 
-/* What changed since core's version, as of the head just read. */
-static void load_entries(op_t *op)
+/* Read the entries that changed after core's version, as of the revision of the head just read. */
+static void read_changed_entries(store_op_t *op)
 {
 	platform_t *self = op->platform;
 	json_t *body =
-		json_pack("{s:o, s:o, s:I}", "key", etcd_encode_key(prefix_of(self), "item/"),
-			  "range_end", etcd_encode_key(prefix_of(self), "item0"), "revision",
+		json_pack("{s:o, s:o, s:I}", "key", etcd_encode_key(key_prefix(self), "item/"),
+			  "range_end", etcd_encode_key(key_prefix(self), "item0"), "revision",
 			  (json_int_t)op->head.revision);
 
-	if (op->since_revision > 0)
-		json_object_set_new(body, "min_mod_revision", json_integer(op->since_revision + 1));
-	post(self, "/v3/kv/range", body, on_entries, NULL, op);
+	if (op->known_revision > 0)
+		json_object_set_new(body, "min_mod_revision", json_integer(op->known_revision + 1));
+	post_call(self, "/v3/kv/range", body, on_entries_read, NULL, op);
 }
 
-static void on_head(httpc_call_t *call, bool ok, long status, const char *body, size_t len)
+static void on_head_read(httpc_call_t *call, bool ok, long status, const char *body, size_t len)
 {
-	op_t *op = call->data;
-	json_t *answer = parse_answer(ok, status, body);
-	const json_t *kv = json_array_get(json_object_get(answer, "kvs"), 0);
+	store_op_t *op = call->data;
+	json_t *response = parse_response(ok, status, body);
+	const json_t *kv = json_array_get(json_object_get(response, "kvs"), 0);
 
 	(void)len;
-	if (answer == NULL) {
-		tell_failed(op);
+	if (response == NULL) {
+		report_failure(op);
 		return;
 	}
 	if (kv != NULL)
 		etcd_read_head(kv, &op->head);
-	json_decref(answer);
-	if (op->head.version <= op->since)
-		tell(op, NULL, 0);
+	json_decref(response);
+	if (op->head.version <= op->known_version)
+		report_result(op, NULL, 0);
 	else
-		load_entries(op);
+		read_changed_entries(op);
 }
 
-static void start_load(op_t *op)
+static void read_head(store_op_t *op)
 {
-	json_t *body = json_pack("{s:o}", "key", etcd_encode_key(prefix_of(op->platform), "head"));
+	json_t *body = json_pack("{s:o}", "key", etcd_encode_key(key_prefix(op->platform), "head"));
 
-	post(op->platform, "/v3/kv/range", body, on_head, NULL, op);
+	post_call(op->platform, "/v3/kv/range", body, on_head_read, NULL, op);
 }
 
-static op_t *op_create(platform_t *self, uint64_t id, event_kind_t answer)
+static store_op_t *store_op_create(platform_t *self, uint64_t id, event_kind_t event_kind)
 {
-	op_t *op = talloc_zero(NULL, op_t);
+	store_op_t *op = talloc_zero(NULL, store_op_t);
 
 	op->platform = self;
 	op->id = id;
-	op->answer = answer;
+	op->event_kind = event_kind;
 	op->status = STORE_OK;
 	return op;
 }
 
 static void on_load(void *data, action_t *action)
 {
-	op_t *op = op_create(data, action->id, EVENT_STORE_LOADED);
+	store_op_t *op = store_op_create(data, action->id, EVENT_STORE_LOADED);
 
-	op->since = action->load.table_version;
-	op->since_revision = action->load.head_revision;
-	start_load(op);
+	op->known_version = action->load.table_version;
+	op->known_revision = action->load.head_revision;
+	read_head(op);
 }
 
 /* --- commit --- */
 
 static void on_commit_done(httpc_call_t *call, bool ok, long status, const char *body, size_t len)
 {
-	op_t *op = call->data;
-	json_t *answer = parse_answer(ok, status, body);
+	store_op_t *op = call->data;
+	json_t *response = parse_response(ok, status, body);
 
 	(void)len;
-	if (answer == NULL) {
-		tell_failed(op);
+	if (response == NULL) {
+		report_failure(op);
 		return;
 	}
-	if (json_is_true(json_object_get(answer, "succeeded"))) {
-		op->head.revision = etcd_read_number(json_object_get(answer, "header"), "revision");
+	if (json_is_true(json_object_get(response, "succeeded"))) {
+		op->head.revision =
+			etcd_read_number(json_object_get(response, "header"), "revision");
 		op->head.version = op->version;
-		json_decref(answer);
-		tell(op, op->entries, op->entry_count);
+		json_decref(response);
+		report_result(op, op->entries, op->entry_count);
 		return;
 	}
-	json_decref(answer);
+	json_decref(response);
 	op->status = STORE_CONFLICT;
-	start_load(op);
+	read_head(op);
 }
 
-static void copy_entries(op_t *op, const commit_action_t *action)
+static void copy_entries(store_op_t *op, const commit_action_t *action)
 {
 	op->version = action->table_version;
 	op->entry_count = action->entry_count;
@@ -252,71 +254,76 @@
 	}
 }
 
-/* A commit waits for the ids of the last edits, which head must go on to carry. */
-typedef struct commit {
-	op_t *op;
+/*
+ * A commit first reads head for the ids of the latest edits, since the new value of head must
+ * contain them too.
+ */
+typedef struct pending_commit {
+	store_op_t *op;
 	commit_action_t action;
-} commit_t;
+} pending_commit_t;
 
-static void on_commit_head(httpc_call_t *call, bool ok, long status, const char *body, size_t len)
+static void on_commit_head_read(httpc_call_t *call, bool ok, long status, const char *body,
+				size_t len)
 {
-	commit_t *commit = call->data;
-	op_t *op = commit->op;
+	pending_commit_t *commit = call->data;
+	store_op_t *op = commit->op;
 	platform_t *self = op->platform;
-	json_t *answer = parse_answer(ok, status, body);
-	const json_t *kv = json_array_get(json_object_get(answer, "kvs"), 0);
+	json_t *response = parse_response(ok, status, body);
+	const json_t *kv = json_array_get(json_object_get(response, "kvs"), 0);
 	etcd_head_t head = {0};
 
 	(void)len;
-	if (answer == NULL) {
+	if (response == NULL) {
 		talloc_free(commit);
-		tell_failed(op);
+		report_failure(op);
 		return;
 	}
 	if (kv != NULL)
 		etcd_read_head(kv, &head);
-	post(self, "/v3/kv/txn", etcd_commit_request(prefix_of(self), &commit->action, head.edits),
-	     on_commit_done, NULL, op);
+	post_call(self, "/v3/kv/txn",
+		  etcd_commit_request(key_prefix(self), &commit->action, head.edits),
+		  on_commit_done, NULL, op);
 	json_decref(head.edits);
-	json_decref(answer);
+	json_decref(response);
 	talloc_free(commit);
 }
 
 static void on_commit(void *data, action_t *action)
 {
 	platform_t *self = data;
-	const commit_action_t *from = &action->commit;
-	op_t *op = op_create(self, action->id, EVENT_STORE_DONE);
-	commit_t *commit = talloc_zero(op, commit_t);
-	json_t *body = json_pack("{s:o}", "key", etcd_encode_key(prefix_of(self), "head"));
-
-	copy_entries(op, from);
-	op->since = from->table_version - 1;
-	op->since_revision = from->head_revision;
-	op->edit_id = talloc_strdup(op, from->edit_id);
+	const commit_action_t *requested = &action->commit;
+	store_op_t *op = store_op_create(self, action->id, EVENT_STORE_DONE);
+	pending_commit_t *commit = talloc_zero(op, pending_commit_t);
+	json_t *body = json_pack("{s:o}", "key", etcd_encode_key(key_prefix(self), "head"));
+
+	copy_entries(op, requested);
+	op->known_version = requested->table_version - 1;
+	op->known_revision = requested->head_revision;
+	op->edit_id = talloc_strdup(op, requested->edit_id);
 	commit->op = op;
 	commit->action = (commit_action_t){
-		.head_revision = from->head_revision,
-		.table_version = from->table_version,
+		.head_revision = requested->head_revision,
+		.table_version = requested->table_version,
 		.edit_id = op->edit_id,
-		.author = talloc_strdup(commit, from->author),
+		.author = talloc_strdup(commit, requested->author),
 		.entries = op->entries,
 		.entry_count = op->entry_count,
 	};
-	post(self, "/v3/kv/range", body, on_commit_head, NULL, commit);
+	post_call(self, "/v3/kv/range", body, on_commit_head_read, NULL, commit);
 }
 
 /* --- history --- */
 
-#define HISTORY_SHOWN 50
+#define HISTORY_LIMIT 50
 
-typedef struct history {
+typedef struct history_call {
 	platform_t *platform;
 	platform_history_cb_t done;
 	void *data;
-} history_t;
+} history_call_t;
 
-static json_t *read_history(const json_t *kvs)
+static json_t *decode_history(const json_t *kvs)
 {
 	json_t *edits = json_array();
 
@@ -332,35 +339,35 @@
 	return edits;
 }
 
-static void on_history(httpc_call_t *call, bool ok, long status, const char *body, size_t len)
+static void on_history_read(httpc_call_t *call, bool ok, long status, const char *body, size_t len)
 {
-	history_t *history = call->data;
-	json_t *answer = parse_answer(ok, status, body);
+	history_call_t *history = call->data;
+	json_t *response = parse_response(ok, status, body);
 
 	(void)len;
 	history->done(history->data,
-		      answer != NULL ? read_history(json_object_get(answer, "kvs")) : NULL);
-	json_decref(answer);
+		      response != NULL ? decode_history(json_object_get(response, "kvs")) : NULL);
+	json_decref(response);
 	talloc_free(history);
 }
 
 void platform_read_history(struct platform *self, platform_history_cb_t done, void *data)
 {
-	history_t *history = talloc_zero(NULL, history_t);
+	history_call_t *history = talloc_zero(NULL, history_call_t);
 	json_t *body = json_pack("{s:o, s:o, s:s, s:s, s:i}", "key",
-				 etcd_encode_key(prefix_of(self), "history/"), "range_end",
-				 etcd_encode_key(prefix_of(self), "history0"), "sort_order",
-				 "DESCEND", "sort_target", "KEY", "limit", HISTORY_SHOWN);
+				 etcd_encode_key(key_prefix(self), "history/"), "range_end",
+				 etcd_encode_key(key_prefix(self), "history0"), "sort_order",
+				 "DESCEND", "sort_target", "KEY", "limit", HISTORY_LIMIT);
 
 	history->platform = self;
 	history->done = done;
 	history->data = data;
-	post(self, "/v3/kv/range", body, on_history, NULL, history);
+	post_call(self, "/v3/kv/range", body, on_history_read, NULL, history);
 }
 
 /* --- watch --- */
 
-static void watch_down(platform_t *self)
+static void report_watch_down(platform_t *self)
 {
 	event_t event = {.kind = EVENT_WATCH_DOWN};
 
@@ -376,16 +383,19 @@
 	(void)body;
 	(void)len;
 	self->watch = NULL;
-	watch_down(self);
+	report_watch_down(self);
 }
 
-static bool is_under(const char *key, const char *prefix)
+static bool has_prefix(const char *key, const char *prefix)
 {
 	return strncmp(key, prefix, strlen(prefix)) == 0;
 }
 
-/* Sort the changed keys of one message into head and entries; both come in one revision. */
-static void take_watch_events(platform_t *self, const json_t *events)
+/*
+ * Submit the changes of one watch message to core. An edit changes head and its entries in one
+ * revision, and thus in one message.
+ */
+static void apply_watch_events(platform_t *self, const json_t *events)
 {
 	const char *prefix = self->conf->platform_prefix;
 	void *scratch = talloc_new(NULL);
@@ -398,17 +408,17 @@
 		json_t *kv = json_object_get(json_array_get(events, i), "kv");
 		char *key = etcd_decode_text(scratch, json_object_get(kv, "key"));
 
-		if (key == NULL || !is_under(key, prefix))
+		if (key == NULL || !has_prefix(key, prefix))
 			continue;
 		key += strlen(prefix);
 		if (strcmp(key, "head") == 0) {
 			json_decref(head.edits);
 			etcd_read_head(kv, &head);
-		} else if (is_under(key, "item/")) {
+		} else if (has_prefix(key, "item/")) {
 			json_array_append(items, kv);
 		}
 	}
-	event.store.entry_count = read_entries(self, scratch, items, &entries);
+	event.store.entry_count = decode_entries(self, scratch, items, &entries);
 	event.store.entries = entries;
 	event.store.table_version = head.version;
 	event.store.head_revision = head.revision;
@@ -419,11 +429,11 @@
 	talloc_free(scratch);
 }
 
-static void take_watch_line(platform_t *self, const char *line)
+static void apply_watch_line(platform_t *self, const char *line)
 {
 	json_t *message = json_loads(line, 0, NULL);
 
-	take_watch_events(self, json_object_get(json_object_get(message, "result"), "events"));
+	apply_watch_events(self, json_object_get(json_object_get(message, "result"), "events"));
 	json_decref(message);
 }
 
@@ -437,7 +447,7 @@
 		char *rest = talloc_strdup(NULL, end + 1);
 
 		*end = '\0';
-		take_watch_line(self, self->watch_buffer);
+		apply_watch_line(self, self->watch_buffer);
 		talloc_free(self->watch_buffer);
 		self->watch_buffer = rest;
 	}
@@ -446,19 +456,19 @@
 static void on_watch(void *data, action_t *action)
 {
 	platform_t *self = data;
-	json_t *create = json_pack("{s:o, s:o, s:I}", "key", etcd_encode_key(prefix_of(self), ""),
-				   "range_end", etcd_encode_key(prefix_of(self), "\x7f"),
+	json_t *create = json_pack("{s:o, s:o, s:I}", "key", etcd_encode_key(key_prefix(self), ""),
+				   "range_end", etcd_encode_key(key_prefix(self), "\x7f"),
 				   "start_revision", (json_int_t)action->load.head_revision + 1);
 
 	talloc_free(self->watch_buffer);
 	self->watch_buffer = talloc_strdup(NULL, "");
-	self->watch = post(self, "/v3/watch", json_pack("{s:o}", "create_request", create),
-			   on_watch_done, on_watch_data, self);
+	self->watch = post_call(self, "/v3/watch", json_pack("{s:o}", "create_request", create),
+				on_watch_done, on_watch_data, self);
 }
 
 /* --- list of VMs --- */
 
-static bool read_vm(const json_t *item, vm_t *vm)
+static bool decode_vm(const json_t *item, vm_t *vm)
 {
 	const char *role = json_string_value(json_object_get(item, "role"));
 	const char *state = json_string_value(json_object_get(item, "state"));
@@ -474,8 +484,8 @@
 static void on_vms_done(httpc_call_t *call, bool ok, long status, const char *body, size_t len)
 {
 	platform_t *self = call->data;
-	json_t *answer = parse_answer(ok, status, body);
-	const json_t *list = json_object_get(answer, "vms");
+	json_t *response = parse_response(ok, status, body);
+	const json_t *list = json_object_get(response, "vms");
 	vm_t *vms = talloc_zero_array(NULL, vm_t, json_array_size(list) + 1);
 	event_t event = {
 		.kind = EVENT_VMS,
@@ -485,10 +495,10 @@
 
 	(void)len;
 	for (size_t i = 0; i < json_array_size(list); i++)
-		event.vms.count += read_vm(json_array_get(list, i), &vms[event.vms.count]);
+		event.vms.count += decode_vm(json_array_get(list, i), &vms[event.vms.count]);
 	adapter_submit(self->adapter, &event);
 	talloc_free(vms);
-	json_decref(answer);
+	json_decref(response);
 }
 
 static void on_vms(void *data, action_t *action)
--- a/links/sql.c
+++ b/links/sql.c
@@ -47,7 +47,7 @@
 {
 	json_t *columns = json_array();
 	json_t *rows = json_array();
-	json_t *whole;
+	json_t *object;
 	char *text;
 	char *copy;
 
@@ -55,12 +55,12 @@
 		json_array_append_new(columns, json_string(PQfname(result, i)));
 	for (int i = 0; i < PQntuples(result); i++)
 		json_array_append_new(rows, row_to_json(result, i));
-	whole = json_pack("{s:o, s:o, s:i}", "columns", columns, "rows", rows, "affected",
-			  atoi(PQcmdTuples((PGresult *)result)));
-	text = json_dumps(whole, JSON_COMPACT);
+	object = json_pack("{s:o, s:o, s:i}", "columns", columns, "rows", rows, "affected",
+			   atoi(PQcmdTuples((PGresult *)result)));
+	text = json_dumps(object, JSON_COMPACT);
 	copy = talloc_strdup(parent, text);
 	free(text);
-	json_decref(whole);
+	json_decref(object);
 	return copy;
 }
 
@@ -89,7 +89,7 @@
 
 bool sql_has_sqlstate(const PGresult *result, const char *state)
 {
-	const char *have = PQresultErrorField(result, PG_DIAG_SQLSTATE);
+	const char *actual = PQresultErrorField(result, PG_DIAG_SQLSTATE);
 
-	return have != NULL && strcmp(have, state) == 0;
+	return actual != NULL && strcmp(actual, state) == 0;
 }
--- a/links/wire.c
+++ b/links/wire.c
@@ -75,7 +75,7 @@
 
 /* --- encoding --- */
 
-static void pack_text(msgpack_packer *pk, const char *text)
+static void pack_string(msgpack_packer *pk, const char *text)
 {
 	size_t len = strlen(text);
 
@@ -83,7 +83,7 @@
 	msgpack_pack_str_body(pk, text, len);
 }
 
-static bool is_zero(const wire_field_t *field, const void *base)
+static bool is_field_zero(const wire_field_t *field, const void *base)
 {
 	const char *at = (const char *)base + field->offset;
 
@@ -104,10 +104,10 @@
 {
 	const char *at = (const char *)base + field->offset;
 
-	pack_text(pk, field->key);
+	pack_string(pk, field->key);
 	switch (field->type) {
 	case WIRE_TEXT:
-		pack_text(pk, *(char *const *)at);
+		pack_string(pk, *(char *const *)at);
 		break;
 	case WIRE_NUMBER:
 		msgpack_pack_uint64(pk, *(const uint64_t *)at);
@@ -121,33 +121,33 @@
 	}
 }
 
-static size_t count_fields(const wire_field_t *fields, size_t count, const void *base)
+static size_t count_nonzero_fields(const wire_field_t *fields, size_t count, const void *base)
 {
 	size_t n = 0;
 
 	for (size_t i = 0; i < count; i++)
-		n += !is_zero(&fields[i], base);
+		n += !is_field_zero(&fields[i], base);
 	return n;
 }
 
-static void pack_fields(msgpack_packer *pk, const wire_field_t *fields, size_t count,
-			const void *base)
+static void pack_nonzero_fields(msgpack_packer *pk, const wire_field_t *fields, size_t count,
+				const void *base)
 {
 	for (size_t i = 0; i < count; i++) {
-		if (!is_zero(&fields[i], base))
+		if (!is_field_zero(&fields[i], base))
 			pack_field(pk, &fields[i], base);
 	}
 }
 
 static void pack_map(msgpack_packer *pk, const wire_field_t *fields, size_t count, const void *base)
 {
-	msgpack_pack_map(pk, count_fields(fields, count, base));
-	pack_fields(pk, fields, count, base);
+	msgpack_pack_map(pk, count_nonzero_fields(fields, count, base));
+	pack_nonzero_fields(pk, fields, count, base);
 }
 
 static void pack_entries(msgpack_packer *pk, const message_t *message)
 {
-	pack_text(pk, "entries");
+	pack_string(pk, "entries");
 	msgpack_pack_array(pk, message->entry_count);
 	for (size_t i = 0; i < message->entry_count; i++)
 		pack_map(pk, entry_fields, COUNT_OF(entry_fields), &message->entries[i]);
@@ -155,7 +155,7 @@
 
 void wire_encode(msgpack_sbuffer *out, const char *from, const message_t *message)
 {
-	size_t count = 2 + count_fields(message_fields, COUNT_OF(message_fields), message);
+	size_t count = 2 + count_nonzero_fields(message_fields, COUNT_OF(message_fields), message);
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, msgpack_sbuffer_write);
@@ -163,17 +163,17 @@
 	count += message->answer != NULL;
 	count += message->entry_count != 0;
 	msgpack_pack_map(&pk, count);
-	pack_text(&pk, "v");
+	pack_string(&pk, "v");
 	msgpack_pack_int(&pk, WIRE_VERSION);
-	pack_text(&pk, "from");
-	pack_text(&pk, from);
-	pack_fields(&pk, message_fields, COUNT_OF(message_fields), message);
+	pack_string(&pk, "from");
+	pack_string(&pk, from);
+	pack_nonzero_fields(&pk, message_fields, COUNT_OF(message_fields), message);
 	if (message->query != NULL) {
-		pack_text(&pk, "query");
+		pack_string(&pk, "query");
 		pack_map(&pk, query_fields, COUNT_OF(query_fields), message->query);
 	}
 	if (message->answer != NULL) {
-		pack_text(&pk, "answer");
+		pack_string(&pk, "answer");
 		pack_map(&pk, answer_fields, COUNT_OF(answer_fields), message->answer);
 	}
 	if (message->entry_count != 0)
@@ -182,21 +182,21 @@
 
 /* --- decoding --- */
 
-static bool key_is(const msgpack_object *key, const char *text)
+static bool key_equals(const msgpack_object *key, const char *text)
 {
 	return key->type == MSGPACK_OBJECT_STR && key->via.str.size == strlen(text) &&
 	       memcmp(key->via.str.ptr, text, key->via.str.size) == 0;
 }
 
-static char *copy_text(void *parent, const msgpack_object *value)
+static char *unpack_string(void *parent, const msgpack_object *value)
 {
 	if (value->type != MSGPACK_OBJECT_STR)
 		return NULL;
 	return talloc_strndup(parent, value->via.str.ptr, value->via.str.size);
 }
 
-/* A cast would drop the upper bits, and an invalid number could turn into a valid one. */
-static int int_of(uint64_t number)
+/* A plain cast would drop the upper bits and could turn an invalid value into a valid one. */
+static int clamp_to_int(uint64_t number)
 {
 	return number <= INT_MAX ? (int)number : INT_MAX;
 }
@@ -209,13 +209,13 @@
 
 	switch (field->type) {
 	case WIRE_TEXT:
-		*(char **)at = copy_text(parent, value);
+		*(char **)at = unpack_string(parent, value);
 		break;
 	case WIRE_NUMBER:
 		*(uint64_t *)at = is_number ? value->via.u64 : 0;
 		break;
 	case WIRE_INT:
-		*(int *)at = is_number ? int_of(value->via.u64) : 0;
+		*(int *)at = is_number ? clamp_to_int(value->via.u64) : 0;
 		break;
 	case WIRE_FLAG:
 		*(bool *)at = value->type == MSGPACK_OBJECT_BOOLEAN && value->via.boolean;
@@ -232,7 +232,7 @@
 		const msgpack_object_kv *kv = &map->via.map.ptr[i];
 
 		for (size_t f = 0; f < count; f++) {
-			if (key_is(&kv->key, fields[f].key))
+			if (key_equals(&kv->key, fields[f].key))
 				unpack_field(parent, &fields[f], &kv->val, base);
 		}
 	}
@@ -251,20 +251,23 @@
 
 static void unpack_nested(message_t *message, const msgpack_object_kv *kv)
 {
-	if (key_is(&kv->key, "query")) {
+	if (key_equals(&kv->key, "query")) {
 		message->query = talloc_zero(message, query_t);
 		unpack_map(message, query_fields, COUNT_OF(query_fields), &kv->val, message->query);
-	} else if (key_is(&kv->key, "answer")) {
+	} else if (key_equals(&kv->key, "answer")) {
 		message->answer = talloc_zero(message, answer_t);
 		unpack_map(message, answer_fields, COUNT_OF(answer_fields), &kv->val,
 			   message->answer);
-	} else if (key_is(&kv->key, "entries")) {
+	} else if (key_equals(&kv->key, "entries")) {
 		unpack_entries(message, &kv->val);
 	}
 }
 
-/* What core may rely on: enums in range, and the parts that a kind needs. */
-static bool is_sound(const message_t *message)
+/*
+ * Check what core relies on: enum values in range, and the parts that a message of this kind must
+ * have.
+ */
+static bool is_valid_message(const message_t *message)
 {
 	const query_t *query = message->query;
 	const answer_t *answer = message->answer;
@@ -298,14 +301,14 @@
 	for (uint32_t i = 0; i < map->via.map.size; i++) {
 		const msgpack_object_kv *kv = &map->via.map.ptr[i];
 
-		if (key_is(&kv->key, "v") && kv->val.type == MSGPACK_OBJECT_POSITIVE_INTEGER)
-			version = int_of(kv->val.via.u64);
-		else if (key_is(&kv->key, "from"))
-			*from = copy_text(message, &kv->val);
+		if (key_equals(&kv->key, "v") && kv->val.type == MSGPACK_OBJECT_POSITIVE_INTEGER)
+			version = clamp_to_int(kv->val.via.u64);
+		else if (key_equals(&kv->key, "from"))
+			*from = unpack_string(message, &kv->val);
 		else
 			unpack_nested(message, kv);
 	}
-	if (version == WIRE_VERSION && *from != NULL && is_sound(message))
+	if (version == WIRE_VERSION && *from != NULL && is_valid_message(message))
 		return message;
 	talloc_free(message);
 	return NULL;
--- a/links/zmqlink.c
+++ b/links/zmqlink.c
@@ -15,55 +15,58 @@
 #define HIGH_WATER_MARK 1000
 #define RECONNECT_MSEC	50
 /*
- * An attempt under way when a partition heals has lost its first packet, and TCP repeats that after
- * 1 s at the earliest; so attempts are short, and follow each other soon. 300 ms is several times
- * the way there and back between regions.
+ * A connection attempt that was started during a network partition has lost its first packet, which
+ * TCP retransmits after 1 s at the earliest. Short attempts at short intervals thus connect sooner
+ * after the partition. 300 ms is several times the round-trip time between regions.
  */
 #define RECONNECT_MAX_MSEC   250
 #define CONNECT_TIMEOUT_MSEC 300
 /*
- * A connection that has gone silent is noticed and made anew within these: at once when something
- * sent over it is not acknowledged, and while it rests by the sender's heartbeat. The receiver
- * sends none of its own. With one every 500 ms from both ends 295 proxies, each with links to 20
- * homes, exchanged some 94,000 heartbeats a second, so it is 24,000 (worked out).
+ * Time-outs after which a silent connection is closed and opened again: UNACKED_TIMEOUT_MSEC if
+ * sent data is not acknowledged, and the heartbeat of the sending end if the connection is idle.
+ * The receiving end sends no heartbeat of its own. With a heartbeat every 500 ms from both ends,
+ * 295 proxies with links to 20 homes each exchange some 94,000 heartbeats per second by
+ * calculation; with one per second from one end, 24,000.
+ */
+#define HEARTBEAT_MSEC	       1000
+#define HEARTBEAT_TIMEOUT_MSEC 1200
+#define UNACKED_TIMEOUT_MSEC   1200
+/*
+ * The receiving end closes the connection of a peer that lost power after 5 s and three TCP
+ * keep-alive probes 2 s apart.
  */
-#define HEARTBEAT_MSEC	    1000
-#define HEARTBEAT_DEAD_MSEC 1200
-#define UNACKED_MSEC	    1200
-/* The receiving end of a peer that lost power is given up after 5 s and three probes 2 s apart. */
 #define KEEPALIVE_IDLE_SEC     5
 #define KEEPALIVE_INTERVAL_SEC 2
 #define KEEPALIVE_PROBES       3
 #define CURVE_KEY_CHARS	       40
 #define RECHECK_INTERVAL       (250 * USEC_PER_MSEC)
-/* A link that was not used for so long is closed: each costs memory and heartbeats at both ends. */
-#define IDLE_MOST (20 * USEC_PER_SEC)
+/* A link unused for this time is closed: each needs memory and heartbeats at both ends. */
+#define LINK_IDLE_TIMEOUT (20 * USEC_PER_SEC)
 /*
- * What ZeroMQ's thread has not written yet when we stop would be thrown away:
- * the last answers to other proxies, which would then not know whether the
- * request was run. A connection that is up takes them within milliseconds;
- * one whose peer is away holds nothing (ZMQ_IMMEDIATE); one whose peer has
- * stopped reading is given up after 500 ms, long before a supervisor that sent
- * SIGTERM would kill the process.
+ * Time for ZeroMQ's thread to write queued messages when the process stops. Otherwise the last
+ * answers to other proxies are lost, and those proxies can't tell whether their requests were run.
+ * An open connection needs some milliseconds; a peer that is not connected has no queue
+ * (ZMQ_IMMEDIATE). A peer that has stopped reading delays the exit by 500 ms, which is much less
+ * than a supervisor waits between SIGTERM and SIGKILL.
  */
 #define LINGER_MSEC 500
 /*
- * Messages handled before timers and other sockets have their turn: 80 ms on the slowest VMs. With
- * no bound some 1,800 messages, as come after a loss of power, would keep the holder of the duty
- * from renewing its lease for over 4 s.
+ * Messages handled in a row before timers and other sockets are served: 80 ms on the slowest VMs.
+ * Without a limit, the 1,800 messages that arrive after a power failure would keep the leader from
+ * renewing its leader lease for over 4 s.
  */
-#define RECEIVE_AT_ONCE 32
-#define ZAP_ENDPOINT	"inproc://zeromq.zap.01"
-#define ZAP_FRAMES	7
+#define RECEIVE_BATCH_MAX 32
+#define ZAP_ENDPOINT	  "inproc://zeromq.zap.01"
+#define ZAP_FRAMES	  7
 
 COUNTER_DEFINE(sent_total, "peer_messages_sent_total", COUNTER_SUM, "Messages sent to peers.");
 COUNTER_DEFINE(sent_bytes, "peer_bytes_sent_total", COUNTER_SUM, "Bytes sent to peers.");
 COUNTER_DEFINE(received_total, "peer_messages_received_total", COUNTER_SUM,
 	       "Messages received from peers.");
 COUNTER_DEFINE(unsent_total, "peer_messages_unsent_total", COUNTER_SUM,
-	       "Messages given up because the peer can't be reached.");
-COUNTER_DEFINE(links, "peer_links_open", COUNTER_GAUGE,
-	       "Links to peers that this process has made.");
+	       "Messages dropped because the peer can't be reached.");
+COUNTER_DEFINE(links_open, "peer_links_open", COUNTER_GAUGE,
+	       "Open links from this process to peers.");
 COUNTER_DEFINE(denied_total, "peer_denied_total", COUNTER_SUM,
 	       "Connections refused for a wrong key.");
 
@@ -85,7 +88,7 @@
 {
 	if (self->secret_key == NULL)
 		return;
-	/* All proxies of a fleet share one key pair; who has it is a proxy. */
+	/* All proxies of a fleet share one key pair, which authenticates a peer as a proxy. */
 	zmq_setsockopt(socket, ZMQ_CURVE_SECRETKEY, self->secret_key, CURVE_KEY_CHARS);
 	zmq_setsockopt(socket, ZMQ_CURVE_PUBLICKEY, self->public_key, CURVE_KEY_CHARS);
 	if (server)
@@ -97,8 +100,8 @@
 static void set_heartbeat(void *socket)
 {
 	set_int(socket, ZMQ_HEARTBEAT_IVL, HEARTBEAT_MSEC);
-	set_int(socket, ZMQ_HEARTBEAT_TIMEOUT, HEARTBEAT_DEAD_MSEC);
-	set_int(socket, ZMQ_TCP_MAXRT, UNACKED_MSEC);
+	set_int(socket, ZMQ_HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MSEC);
+	set_int(socket, ZMQ_TCP_MAXRT, UNACKED_TIMEOUT_MSEC);
 }
 
 static void set_keepalive(void *socket)
@@ -111,8 +114,11 @@
 
 /* --- receiving --- */
 
-/* One message: the sender's routing frame, then ours. */
-static bool receive_one(zmqlink_t *self)
+/*
+ * Handle one message, which has two frames: the sender's routing id, added by the ROUTER socket,
+ * and the payload. Returns false if there is none.
+ */
+static bool receive_message(zmqlink_t *self)
 {
 	zmq_msg_t frame;
 	bool more = true;
@@ -134,13 +140,13 @@
 	return true;
 }
 
-static void on_recheck(run_timer_t *timer, usec_t now);
+static void on_recheck_timer(run_timer_t *timer, usec_t now);
 
-/* Handle up to RECEIVE_AT_ONCE messages; true if there may be more. */
-static bool receive_some(zmqlink_t *self)
+/* Handle up to RECEIVE_BATCH_MAX messages; returns true if there may be more. */
+static bool receive_batch(zmqlink_t *self)
 {
-	for (int i = 0; i < RECEIVE_AT_ONCE; i++) {
-		if (!receive_one(self))
+	for (int i = 0; i < RECEIVE_BATCH_MAX; i++) {
+		if (!receive_message(self))
 			return false;
 	}
 	return true;
@@ -148,25 +154,25 @@
 
 void zmqlink_receive_all(zmqlink_t *self)
 {
-	while (receive_some(self))
+	while (receive_batch(self))
 		;
 }
 
-/* The descriptor tells of changes only, so read until nothing is left, some at a time. */
+/* ZeroMQ's descriptor is edge-triggered, so read in batches until no message is left. */
 static void on_router_readable(loop_watch_t *watch)
 {
 	zmqlink_t *self = list_entry(watch, zmqlink_t, router_watch);
-	/* An edge can be missed between two looks at the socket; this bounds the delay. */
+	/* An edge can be missed between two checks of the socket; the timer limits the delay. */
 	usec_t interval = RECHECK_INTERVAL;
 
-	/* Not 0, or it would expire with the timers that are due now. */
-	if (receive_some(self))
+	/* Not 0, or the timer would expire in the same iteration of the loop. */
+	if (receive_batch(self))
 		interval = 1;
 	timers_arm(&self->loop->timers, &self->recheck_timer,
-		   clock_now(self->loop->clock) + interval, on_recheck);
+		   clock_now(self->loop->clock) + interval, on_recheck_timer);
 }
 
-static void on_recheck(run_timer_t *timer, usec_t now)
+static void on_recheck_timer(run_timer_t *timer, usec_t now)
 {
 	(void)now;
 	on_router_readable(&list_entry(timer, zmqlink_t, recheck_timer)->router_watch);
@@ -174,7 +180,7 @@
 
 /* --- authentication (ZAP, ZeroMQ RFC 27) --- */
 
-static void zap_reply(zmqlink_t *self, const char *request_id, size_t len, bool allowed)
+static void send_zap_reply(zmqlink_t *self, const char *request_id, size_t len, bool allowed)
 {
 	zmq_send(self->zap, "1.0", 3, ZMQ_SNDMORE);
 	zmq_send(self->zap, request_id, len, ZMQ_SNDMORE);
@@ -185,7 +191,7 @@
 }
 
 /* Frames: version, request id, domain, address, identity, mechanism, client key. */
-static bool zap_one(zmqlink_t *self)
+static bool handle_zap_request(zmqlink_t *self)
 {
 	char frames[ZAP_FRAMES][256];
 	int lens[ZAP_FRAMES] = {0};
@@ -211,7 +217,7 @@
 		LOG_WARNING("peer refused address=%.*s: its key is not the fleet's", lens[3],
 			    frames[3]);
 	}
-	zap_reply(self, frames[1], (size_t)lens[1], allowed);
+	send_zap_reply(self, frames[1], (size_t)lens[1], allowed);
 	return true;
 }
 
@@ -219,7 +225,7 @@
 {
 	zmqlink_t *self = list_entry(watch, zmqlink_t, zap_watch);
 
-	while (zap_one(self))
+	while (handle_zap_request(self))
 		;
 }
 
@@ -229,7 +235,7 @@
 {
 	if (self->by_name != NULL)
 		HASH_DEL(self->by_name, peer);
-	counter_add(&links, -1);
+	counter_add(&links_open, -1);
 	list_del(&peer->node);
 	zmq_close(peer->socket);
 	talloc_free(peer);
@@ -244,7 +250,7 @@
 	peer->address = talloc_strdup(peer, address);
 	peer->socket = zmq_socket(self->zmq, ZMQ_DEALER);
 	set_int(peer->socket, ZMQ_LINGER, 0);
-	/* ZeroMQ would queue silently for a peer that is away; it is to say so instead. */
+	/* Fail the send if the peer is not connected; by default ZeroMQ queues the message. */
 	set_int(peer->socket, ZMQ_IMMEDIATE, 1);
 	set_int(peer->socket, ZMQ_SNDHWM, HIGH_WATER_MARK);
 	set_int(peer->socket, ZMQ_RECONNECT_IVL, RECONNECT_MSEC);
@@ -258,7 +264,7 @@
 	talloc_free(endpoint);
 	list_add_tail(&self->peers, &peer->node);
 	HASH_ADD_KEYPTR(hh, self->by_name, peer->name, strlen(peer->name), peer);
-	counter_add(&links, 1);
+	counter_add(&links_open, 1);
 	return peer;
 }
 
@@ -270,12 +276,12 @@
 	return peer;
 }
 
-static peer_t *get_peer(zmqlink_t *self, const char *name, const char *address)
+static peer_t *get_or_open_peer(zmqlink_t *self, const char *name, const char *address)
 {
 	peer_t *peer = find_peer(self, name);
 
 	if (peer != NULL && address != NULL && strcmp(peer->address, address) != 0) {
-		close_peer(self, peer); /* a replaced VM with the same name */
+		close_peer(self, peer); /* a new VM has the same name */
 		peer = NULL;
 	}
 	if (peer == NULL && address != NULL)
@@ -283,15 +289,15 @@
 	return peer;
 }
 
-/* A link with every message, so that there is no more work to do at once than was made. */
-static void close_idle(zmqlink_t *self, usec_t now)
+/* Called with each send. Closing at most one link each time spreads the work over the sends. */
+static void close_idle_peer(zmqlink_t *self, usec_t now)
 {
 	peer_t *oldest;
 
 	if (list_empty(&self->peers))
 		return;
 	oldest = list_entry(self->peers.next, peer_t, node);
-	if (now >= oldest->used_at + IDLE_MOST)
+	if (now >= oldest->used_at + LINK_IDLE_TIMEOUT)
 		close_peer(self, oldest);
 }
 
@@ -305,12 +311,12 @@
 int zmqlink_send(zmqlink_t *self, const char *name, const char *address, const void *data,
 		 size_t len)
 {
-	peer_t *peer = get_peer(self, name, address);
+	peer_t *peer = get_or_open_peer(self, name, address);
 	usec_t now = clock_now(self->loop->clock);
 
 	if (peer != NULL)
 		mark_used(self, peer, now);
-	close_idle(self, now);
+	close_idle_peer(self, now);
 	if (peer == NULL || zmq_send(peer->socket, data, len, ZMQ_DONTWAIT) < 0) {
 		counter_add(&unsent_total, 1);
 		return -EHOSTUNREACH;
@@ -320,9 +326,9 @@
 	return 0;
 }
 
-/* --- start and end --- */
+/* --- start and stop --- */
 
-static int watch(zmqlink_t *self, void *socket, loop_watch_t *watch, loop_watch_cb_t cb)
+static int watch_socket(zmqlink_t *self, void *socket, loop_watch_t *watch, loop_watch_cb_t cb)
 {
 	int fd;
 	size_t size = sizeof(fd);
@@ -341,7 +347,7 @@
 	set_int(self->zap, ZMQ_LINGER, 0);
 	if (zmq_bind(self->zap, ZAP_ENDPOINT) < 0)
 		return err_set(err, -errno, "authenticate peers", "", "no ZAP socket");
-	return watch(self, self->zap, &self->zap_watch, on_zap_readable);
+	return watch_socket(self, self->zap, &self->zap_watch, on_zap_readable);
 }
 
 static int bind_router(zmqlink_t *self, const char *address, err_t *err)
@@ -372,10 +378,10 @@
 	if (rc == 0)
 		rc = bind_router(self, address, err);
 	if (rc == 0)
-		rc = watch(self, self->router, &self->router_watch, on_router_readable);
+		rc = watch_socket(self, self->router, &self->router_watch, on_router_readable);
 	if (rc < 0)
 		return rc;
-	timers_arm(&loop->timers, &self->recheck_timer, clock_now(loop->clock), on_recheck);
+	timers_arm(&loop->timers, &self->recheck_timer, clock_now(loop->clock), on_recheck_timer);
 	return 0;
 }
 
