--- a/proxy/main.c
+++ b/proxy/main.c
@@ -1,4 +1,4 @@
-/* cyclamenspan: catches signals, then loads the proxy itself and hands over to it; see serve.h. */
+/* Installs the signal handlers, then loads the module of the proxy and runs it; see serve.h. */
 #include <dlfcn.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,30 +17,34 @@
 		signals.stop = 1;
 }
 
-/* They may be blocked, by a starter that sends some before they can be handled. */
+/*
+ * Install the handlers, then unblock the signals: a parent process may start this one with them
+ * blocked, so that a signal sent before the handlers are installed stays pending.
+ */
 static void catch_signals(void)
 {
-	static const int signos[] = {SIGTERM, SIGINT, SIGUSR1, SIGHUP};
+	static const int handled_signals[] = {SIGTERM, SIGINT, SIGUSR1, SIGHUP};
 	struct sigaction action = {.sa_handler = on_signal, .sa_flags = SA_RESTART};
-	sigset_t caught;
+	sigset_t handled;
 
-	sigemptyset(&caught);
-	for (size_t i = 0; i < sizeof(signos) / sizeof(signos[0]); i++) {
-		sigaction(signos[i], &action, NULL);
-		sigaddset(&caught, signos[i]);
+	sigemptyset(&handled);
+	for (size_t i = 0; i < sizeof(handled_signals) / sizeof(handled_signals[0]); i++) {
+		sigaction(handled_signals[i], &action, NULL);
+		sigaddset(&handled, handled_signals[i]);
 	}
 	signal(SIGPIPE, SIG_IGN);
-	sigprocmask(SIG_UNBLOCK, &caught, NULL);
+	sigprocmask(SIG_UNBLOCK, &handled, NULL);
 }
 
-/* The module's entry, or NULL after a message. */
+/* Load the module and return its entry function; on an error, print a message and return NULL. */
 static serve_t load_module(void)
 {
 	void *module = dlopen(SERVE_MODULE, RTLD_NOW);
 	serve_t serve = module != NULL ? (serve_t)dlsym(module, SERVE_ENTRY) : NULL;
 
 	if (serve == NULL)
-		fprintf(stderr, "cyclamenspan: module can't be loaded: %s\n", dlerror());
+		fprintf(stderr, "cyclamenspan: can't load module " SERVE_MODULE ": %s\n",
+			dlerror());
 	return serve;
 }
 
--- a/proxy/mode.h
+++ b/proxy/mode.h
@@ -27,4 +27,4 @@
 extern const run_mode_t mode_pooler;
 
 /* Set up the log with the level and the format of the settings; target is a log_target_t. */
-int mode_apply_log(const char *level, bool json, int target, err_t *err);
+int mode_apply_log(const char *level_name, bool json, int target, err_t *err);
--- a/proxy/mode_pooler.c
+++ b/proxy/mode_pooler.c
@@ -11,7 +11,7 @@
 #include "log.h"
 
 static deploy_t shared;
-static void (*tell_drained)(void);
+static void (*notify_drained)(void);
 
 static void *load(const char *path, usec_t *grace, err_t *err)
 {
@@ -30,30 +30,30 @@
 
 static int reload(const char *path, usec_t *grace, char *effect, size_t len, err_t *err)
 {
-	platform_conf_t *fresh = load(path, grace, err);
+	platform_conf_t *new_conf = load(path, grace, err);
 
-	if (fresh == NULL)
+	if (new_conf == NULL)
 		return -EINVAL;
-	deploy_set_addresses(&shared, fresh);
+	deploy_set_addresses(&shared, new_conf);
 	pooler_set_grace(shared.pooler, *grace);
 	snprintf(effect, len,
 		 "log.level=%s log.json=%d shutdown.grace_s=%g store.address=%s "
 		 "promotion.address=%s",
-		 fresh->log_level, fresh->log_json, fresh->shutdown_grace_s, fresh->store_address,
-		 fresh->promotion_address);
-	talloc_free(fresh);
+		 new_conf->log_level, new_conf->log_json, new_conf->shutdown_grace_s,
+		 new_conf->store_address, new_conf->promotion_address);
+	talloc_free(new_conf);
 	return 0;
 }
 
 static void on_drained(deploy_t *deploy)
 {
 	(void)deploy;
-	tell_drained();
+	notify_drained();
 }
 
-static void *make_context(kernel_t *kernel, const void *settings, void (*drained)(void))
+static void *create_context(kernel_t *kernel, const void *settings, void (*drained)(void))
 {
-	tell_drained = drained;
+	notify_drained = drained;
 	shared.env.ops = &shared.ops;
 	shared.kernel = kernel;
 	shared.conf = settings;
@@ -62,8 +62,8 @@
 	return &shared;
 }
 
-/* Its first tick already calls the links. */
-static void started(void)
+/* Called after all plug-ins have started, since the pooler's first tick already uses the links. */
+static void on_started(void)
 {
 	pooler_start(shared.pooler);
 }
@@ -79,7 +79,7 @@
 	.settings_len = &platform_settings_len,
 	.load = load,
 	.reload = reload,
-	.create_context = make_context,
-	.on_started = started,
+	.create_context = create_context,
+	.on_started = on_started,
 	.node_name = node_name,
 };
--- a/proxy/mode_requests.c
+++ b/proxy/mode_requests.c
@@ -11,15 +11,15 @@
 #include "log.h"
 
 static context_t shared;
-static void (*tell_drained)(void);
+static void (*notify_drained)(void);
 
-int mode_apply_log(const char *name, bool json, int target, err_t *err)
+int mode_apply_log(const char *level_name, bool json, int target, err_t *err)
 {
 	log_level_t level;
 
-	if (log_level_parse(name, &level) < 0)
+	if (log_level_parse(level_name, &level) < 0)
 		return err_set(err, -EINVAL, "read settings", "log.level",
-			       "\"%s\": expected error, warning, info or debug", name);
+			       "\"%s\": expected error, warning, info or debug", level_name);
 	log_init(level, json, (log_target_t)target);
 	return 0;
 }
@@ -40,36 +40,36 @@
 
 static int reload(const char *path, usec_t *grace, char *effect, size_t len, err_t *err)
 {
-	conf_t *fresh = load(path, grace, err);
+	conf_t *new_conf = load(path, grace, err);
 
-	if (fresh == NULL)
+	if (new_conf == NULL)
 		return -EINVAL;
-	snprintf(effect, len, "log.level=%s log.json=%d shutdown.grace_ms=%lld", fresh->log_level,
-		 fresh->log_json, (long long)fresh->shutdown_grace_ms);
-	talloc_free(fresh);
+	snprintf(effect, len, "log.level=%s log.json=%d shutdown.grace_ms=%lld",
+		 new_conf->log_level, new_conf->log_json, (long long)new_conf->shutdown_grace_ms);
+	talloc_free(new_conf);
 	return 0;
 }
 
 static void on_drained(context_t *context)
 {
 	(void)context;
-	tell_drained();
+	notify_drained();
 }
 
-static void *make_context(kernel_t *kernel, const void *settings, void (*drained)(void))
+static void *create_context(kernel_t *kernel, const void *settings, void (*drained)(void))
 {
-	tell_drained = drained;
+	notify_drained = drained;
 	shared.conf = settings;
 	shared.kernel = kernel;
 	shared.on_drained = on_drained;
 	return &shared;
 }
 
-static void started(void)
+static void on_started(void)
 {
-	event_t first = {.kind = EVENT_TICK};
+	event_t tick = {.kind = EVENT_TICK};
 
-	adapter_submit(shared.adapter, &first);
+	adapter_submit(shared.adapter, &tick);
 }
 
 static const char *node_name(const void *settings)
@@ -82,7 +82,7 @@
 	.settings_len = &conf_settings_len,
 	.load = load,
 	.reload = reload,
-	.create_context = make_context,
-	.on_started = started,
+	.create_context = create_context,
+	.on_started = on_started,
 	.node_name = node_name,
 };
--- a/proxy/serve.c
+++ b/proxy/serve.c
@@ -18,16 +18,16 @@
 #include "log.h"
 
 #define EXIT_USAGE 2
-/* How often the flags that signals set are looked at. */
-#define SIGNAL_CHECK (50 * USEC_PER_MSEC)
-/* How often the settings file is looked at for a change that came without a signal. */
-#define CONFIG_CHECK (1 * USEC_PER_SEC)
-/* Where the settings are if no option says so. */
-#define CONFIG_VARIABLE "CYCLAMENSPAN_SETTINGS"
-/* Between the last answer and the end, so that it leaves the socket. */
-#define FLUSH_TIME (100 * USEC_PER_MSEC)
-/* Between two looks at what came in late: time for the loop to read and answer it. */
-#define SETTLE_INTERVAL (10 * USEC_PER_MSEC)
+/* Interval at which the flags set by signal handlers are checked. */
+#define SIGNAL_CHECK_INTERVAL (50 * USEC_PER_MSEC)
+/* Interval at which the settings file is checked for a change that no signal has announced. */
+#define CONFIG_CHECK_INTERVAL (1 * USEC_PER_SEC)
+/* Environment variable with the path of the settings file, used without --config. */
+#define CONFIG_ENV "CYCLAMENSPAN_SETTINGS"
+/* Time for the last answers to be written to their sockets before the connections are closed. */
+#define FLUSH_DELAY (100 * USEC_PER_MSEC)
+/* Interval between attempts to close idle connections, in which the loop serves late requests. */
+#define CLOSE_IDLE_INTERVAL (10 * USEC_PER_MSEC)
 
 typedef struct options {
 	const char *config;
@@ -41,36 +41,36 @@
 	const run_mode_t *mode;
 	signals_t *signals;
 	const char *config_path;
-	struct timespec config_changed;
+	struct timespec config_mtime;
 	off_t config_size;
-	usec_t config_checked;
+	usec_t config_checked_at;
 	run_timer_t signal_timer;
 	run_timer_t grace_timer;
 	run_timer_t flush_timer;
 	bool draining;
-	bool cut_short;
+	bool grace_expired;
 	usec_t grace;
 } process_t;
 
-/* on_drained() finds it here; a process has one. */
-static process_t process_state;
+/* The only instance; on_drained() has no argument to find it by. */
+static process_t process_instance;
 
 static void print_help(FILE *out)
 {
 	fprintf(out,
 		"Usage: cyclamenspan [--pooler] [--config FILE] [OPTION]...\n"
 		"Database proxy with session consistency.\n\n"
-		"  -p, --pooler          serve the platform's wire (default: HTTP, PostgreSQL)\n"
-		"  -c, --config FILE     settings, TOML; default: $" CONFIG_VARIABLE "\n"
+		"  -p, --pooler          serve the platform's protocol (default: HTTP, PostgreSQL)\n"
+		"  -c, --config FILE     settings file (TOML); default: $" CONFIG_ENV "\n"
 		"  -t, --check-config    check the settings and exit\n"
 		"  -s, --help-settings   list every setting and exit\n"
-		"  -h, --help            this help\n"
-		"  -v, --version         the version\n\n"
+		"  -h, --help            print this help and exit\n"
+		"  -v, --version         print the version and exit\n\n"
 		"Signals: TERM and INT shut down gracefully, HUP reloads the settings,\n"
 		"USR1 writes the state as JSON to standard error.\n");
 }
 
-/* Returns 0 to go on, or 1 when the process is to end with *status. */
+/* Returns 0 to continue, or 1 if the process has to exit with *status. */
 static int parse_options(int argc, char **argv, options_t *options, int *status)
 {
 	static const struct option longopts[] = {
@@ -121,7 +121,7 @@
 	return 1;
 }
 
-static void report(const err_t *err)
+static void print_error(const err_t *err)
 {
 	char line[512];
 
@@ -129,34 +129,35 @@
 	fprintf(stderr, "cyclamenspan: %s\n", line);
 }
 
-static void on_flushed(run_timer_t *timer, usec_t now)
+static void on_flush_timer(run_timer_t *timer, usec_t now)
 {
 	process_t *process = list_entry(timer, process_t, flush_timer);
 
 	if (kernel_settle(&process->kernel))
 		loop_stop(&process->kernel.loop);
 	else
-		timers_arm(&process->kernel.loop.timers, timer, now + SETTLE_INTERVAL, on_flushed);
+		timers_arm(&process->kernel.loop.timers, timer, now + CLOSE_IDLE_INTERVAL,
+			   on_flush_timer);
 }
 
 static void on_drained(void)
 {
-	process_t *process = &process_state;
+	process_t *process = &process_instance;
 	loop_t *loop = &process->kernel.loop;
 
 	LOG_INFORM("all requests are finished");
-	timers_arm(&loop->timers, &process->flush_timer, clock_now(loop->clock) + FLUSH_TIME,
-		   on_flushed);
+	timers_arm(&loop->timers, &process->flush_timer, clock_now(loop->clock) + FLUSH_DELAY,
+		   on_flush_timer);
 }
 
-static void on_grace_over(run_timer_t *timer, usec_t now)
+static void on_grace_expired(run_timer_t *timer, usec_t now)
 {
 	process_t *process = list_entry(timer, process_t, grace_timer);
 
 	(void)now;
-	LOG_WARNING("shutdown cut short after %llu ms: requests were still in progress",
+	LOG_WARNING("shutdown grace of %llu ms expired with requests in progress",
 		    (unsigned long long)(process->grace / USEC_PER_MSEC));
-	process->cut_short = true;
+	process->grace_expired = true;
 	loop_stop(&process->kernel.loop);
 }
 
@@ -168,8 +169,8 @@
 		return;
 	process->draining = true;
 	timers_arm(&loop->timers, &process->grace_timer, clock_now(loop->clock) + process->grace,
-		   on_grace_over);
-	LOG_INFORM("stopping, at most %llu ms",
+		   on_grace_expired);
+	LOG_INFORM("shutting down, grace %llu ms",
 		   (unsigned long long)(process->grace / USEC_PER_MSEC));
 	kernel_drain(&process->kernel);
 }
@@ -183,46 +184,49 @@
 	json_decref(state);
 }
 
-/* Only what is marked reloadable takes effect. */
-static void reload(process_t *process, const char *why)
+/* Read the settings again and apply the reloadable ones; trigger is for the log. */
+static void reload(process_t *process, const char *trigger)
 {
 	err_t err = {0};
-	char effect[256];
-	int rc = process->mode->reload(process->config_path, &process->grace, effect,
-				       sizeof(effect), &err);
+	char new_values[256];
+	int rc = process->mode->reload(process->config_path, &process->grace, new_values,
+				       sizeof(new_values), &err);
 
 	if (rc < 0) {
 		char line[512];
 
 		err_format(&err, line, sizeof(line));
-		LOG_ERROR("reload refused, the old settings stay: %s", line);
+		LOG_ERROR("reload failed, the old settings stay in effect: %s", line);
 		return;
 	}
-	LOG_INFORM("reloaded: %s; the other settings need a restart (%s)", effect, why);
+	LOG_INFORM("reloaded: %s; the other settings need a restart (%s)", new_values, trigger);
 }
 
-/* Returns true if the settings file is not the one that was read last. */
-static bool config_has_changed(process_t *process)
+/*
+ * Record the modification time and the size of the settings file. Returns true if they differ from
+ * those recorded before.
+ */
+static bool update_config_stamp(process_t *process)
 {
 	struct stat status;
 	bool changed;
 
 	if (stat(process->config_path, &status) < 0)
 		return false;
-	changed = status.st_mtim.tv_sec != process->config_changed.tv_sec ||
-		  status.st_mtim.tv_nsec != process->config_changed.tv_nsec ||
+	changed = status.st_mtim.tv_sec != process->config_mtime.tv_sec ||
+		  status.st_mtim.tv_nsec != process->config_mtime.tv_nsec ||
 		  status.st_size != process->config_size;
-	process->config_changed = status.st_mtim;
+	process->config_mtime = status.st_mtim;
 	process->config_size = status.st_size;
 	return changed;
 }
 
-static void check_config(process_t *process, usec_t now)
+static void reload_changed_config(process_t *process, usec_t now)
 {
-	if (now < process->config_checked + CONFIG_CHECK)
+	if (now < process->config_checked_at + CONFIG_CHECK_INTERVAL)
 		return;
-	process->config_checked = now;
-	if (config_has_changed(process))
+	process->config_checked_at = now;
+	if (update_config_stamp(process))
 		reload(process, "the file has changed");
 }
 
@@ -230,7 +234,8 @@
 {
 	process_t *process = list_entry(timer, process_t, signal_timer);
 
-	timers_arm(&process->kernel.loop.timers, timer, now + SIGNAL_CHECK, on_signal_check);
+	timers_arm(&process->kernel.loop.timers, timer, now + SIGNAL_CHECK_INTERVAL,
+		   on_signal_check);
 	if (process->signals->stop)
 		start_drain(process);
 	if (process->signals->dump) {
@@ -239,13 +244,13 @@
 	}
 	if (process->signals->reload) {
 		process->signals->reload = 0;
-		config_has_changed(process);
-		reload(process, "asked by a signal");
+		update_config_stamp(process);
+		reload(process, "requested by SIGHUP");
 	}
-	check_config(process, now);
+	reload_changed_config(process, now);
 }
 
-static int run(process_t *process, const void *settings, err_t *err)
+static int run_process(process_t *process, const void *settings, err_t *err)
 {
 	const run_mode_t *mode = process->mode;
 	int rc = kernel_init(&process->kernel, clock_system(), mode->family, settings,
@@ -268,8 +273,8 @@
 
 int cyclamenspan_serve(int argc, char **argv, signals_t *signals)
 {
-	options_t options = {.config = getenv(CONFIG_VARIABLE), .mode = &mode_requests};
-	process_t *process = &process_state;
+	options_t options = {.config = getenv(CONFIG_ENV), .mode = &mode_requests};
+	process_t *process = &process_instance;
 	err_t err = {0};
 	void *settings;
 	int status;
@@ -279,23 +284,23 @@
 	process->signals = signals;
 	process->mode = options.mode;
 	process->config_path = options.config;
-	config_has_changed(process);
+	update_config_stamp(process);
 	settings = options.mode->load(options.config, &process->grace, &err);
 	if (settings == NULL) {
-		report(&err);
+		print_error(&err);
 		return EXIT_USAGE;
 	}
 	if (options.check_only) {
-		printf("%s: the settings are sound\n", options.config);
+		printf("%s: the settings are valid\n", options.config);
 		talloc_free(settings);
 		return EXIT_SUCCESS;
 	}
 	if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT) != CURLE_OK)
 		return EXIT_FAILURE;
-	status = run(process, settings, &err) < 0 || process->cut_short ? EXIT_FAILURE
-									: EXIT_SUCCESS;
+	status = run_process(process, settings, &err) < 0 || process->grace_expired ? EXIT_FAILURE
+										    : EXIT_SUCCESS;
 	if (err.code < 0)
-		report(&err);
+		print_error(&err);
 	talloc_free(settings);
 	curl_global_cleanup();
 	return status;
