--- a/proxy/serve.c
+++ b/proxy/serve.c
@@ -53,7 +53,7 @@
 } process_t;
 
 /* The only instance; on_drained() has no argument to find it by. */
-static process_t process_instance;
+static process_t process_state;
 
 static void print_help(FILE *out)
 {
@@ -142,7 +142,7 @@
 
 static void on_drained(void)
 {
-	process_t *process = &process_instance;
+	process_t *process = &process_state;
 	loop_t *loop = &process->kernel.loop;
 
 	LOG_INFORM("all requests are finished");
@@ -274,7 +274,7 @@
 int cyclamenspan_serve(int argc, char **argv, signals_t *signals)
 {
 	options_t options = {.config = getenv(CONFIG_ENV), .mode = &mode_requests};
-	process_t *process = &process_instance;
+	process_t *process = &process_state;
 	err_t err = {0};
 	void *settings;
 	int status;
