--- a/tests/test_failures.c
+++ b/tests/test_failures.c
@@ -1,6 +1,6 @@
 /*
- * Failures of real processes: kill, stop, cut, platform outage, shutdown. The
- * same cases as the golden sessions, to show that the links do their part.
+ * Failures of real processes: killed, suspended and isolated processes, an outage of the platform,
+ * and shutdown. The golden tests have the same cases for core alone; these include the links.
  */
 #include <signal.h>
 #include <stdlib.h>
@@ -8,24 +8,24 @@
 
 #include "harness.h"
 
-#define FOREVER_MS 20000
+#define EXIT_TIMEOUT_MS 20000
 
 static gboolean is_done(const json_t *answer)
 {
 	return strcmp(harness_text(answer, "outcome"), "done") == 0;
 }
 
-static char *value_of(const json_t *answer)
+static char *first_value(const json_t *answer)
 {
 	return g_strdup(json_string_value(
 		json_array_get(json_array_get(json_object_get(answer, "rows"), 0), 0)));
 }
 
-static void assert_reads(const harness_t *h, int proxy, const char *key, const char *value,
-			 const char *token)
+static void assert_read_value(const harness_t *h, int proxy, const char *key, const char *value,
+			      const char *token)
 {
 	json_t *answer = harness_read(h, proxy, "assignment", key, token);
-	char *got = value_of(answer);
+	char *got = first_value(answer);
 
 	g_assert_true(is_done(answer));
 	g_assert_cmpstr(got, ==, value);
@@ -33,8 +33,8 @@
 	json_decref(answer);
 }
 
-static char *write_done(const harness_t *h, int proxy, const char *key, const char *value,
-			const char *id)
+static char *write_record(const harness_t *h, int proxy, const char *key, const char *value,
+			  const char *id)
 {
 	json_t *answer = harness_write(h, proxy, key, value, id, NULL);
 	char *token;
@@ -48,28 +48,28 @@
 }
 
 /*
- * The primary's process is killed. The write that follows waits for the
- * takeover and is done on another member; the session reads it through any
- * proxy. The killed member's connections are reset, which is the evidence.
+ * The primary's process is killed, which resets its connections and is thus detected. The next
+ * write waits for the takeover and is done on another member; the session reads it through any
+ * proxy.
  */
 static void test_primary_killed(void)
 {
 	harness_t *h = harness_start_fleet(3, 5);
 	char *token;
 
-	g_free(write_done(h, 0, "job-1", "v1", "a1"));
+	g_free(write_record(h, 0, "job-1", "v1", "a1"));
 	harness_kill(&h->members[0]);
-	token = write_done(h, 1, "job-1", "v2", "a2");
-	assert_reads(h, 2, "job-1", "v2", token);
+	token = write_record(h, 1, "job-1", "v2", "a2");
+	assert_read_value(h, 2, "job-1", "v2", token);
 	g_assert_cmpint(harness_primary(h), !=, 0);
 	g_free(token);
 	harness_stop(h);
 }
 
 /*
- * The primary is stopped, replaced, and goes on unaware. Nothing it then thinks
- * is acknowledged: a strict read through any proxy sees the new history, and the
- * old primary has become a replica of the new one.
+ * The primary is suspended, replaced, and resumes without notice of the takeover. No state of its
+ * own is acknowledged then: a linearizable read through any proxy returns the new value, and the
+ * old primary becomes a replica of the new one.
  */
 static void test_primary_stopped(void)
 {
@@ -77,12 +77,12 @@
 	char *token;
 	char *value = NULL;
 
-	g_free(write_done(h, 0, "job-1", "v1", "a1"));
+	g_free(write_record(h, 0, "job-1", "v1", "a1"));
 	kill(h->members[0], SIGSTOP);
-	token = write_done(h, 1, "job-1", "v2", "a2");
+	token = write_record(h, 1, "job-1", "v2", "a2");
 	kill(h->members[0], SIGCONT);
 	for (int proxy = 0; proxy < 3; proxy++)
-		assert_reads(h, proxy, "job-1", "v2", NULL);
+		assert_read_value(h, proxy, "job-1", "v2", NULL);
 	for (int i = 0; i < 100 && g_strcmp0(value, "v2") != 0; i++) {
 		g_free(value);
 		g_usleep(50000);
@@ -95,11 +95,11 @@
 }
 
 /*
- * The primary loses its peers but not the proxies. It commits the write, which
- * no replica gets; the caller hears nothing until another member has it. The
- * counter is raised once in the history that survives.
+ * The primary is isolated from its replicas but not from the proxies. It commits the write locally,
+ * but the caller gets no answer until the write is done on another member. The counter is
+ * incremented once in the surviving history.
  */
-static void test_primary_cut(void)
+static void test_primary_isolated(void)
 {
 	harness_t *h = harness_start_fleet(3, 5);
 	json_t *answer;
@@ -115,14 +115,14 @@
 	g_assert_cmpstr(harness_text(answer, "member"), !=, "m0");
 	json_decref(answer);
 	g_free(harness_sql(h, 0, "SELECT standin_cut($1)", "false"));
-	assert_reads(h, 2, "fee", "1", NULL);
+	assert_read_value(h, 2, "fee", "1", NULL);
 	harness_stop(h);
 }
 
 /*
- * The platform is down, a proxy is replaced by a fresh one meanwhile, then the
- * primary dies. The fresh proxy gets the table from its peers; callers see a
- * short gap and nothing else; operators are told that an edit's fate is unknown.
+ * The platform is down; meanwhile a proxy is replaced by a new one, then the primary is killed. The
+ * new proxy receives the table from its peers, requests of callers are still done, and an edit of
+ * the table fails with outcome unknown until the platform is back.
  */
 static void test_platform_down(void)
 {
@@ -130,13 +130,13 @@
 
 	json_decref(harness_call(h->ports.first, "/control", json_pack("{s:b}", "down", 1), NULL));
 	g_usleep(4000000);
-	g_free(write_done(h, 0, "job-1", "v1", "a1"));
+	g_free(write_record(h, 0, "job-1", "v1", "a1"));
 	harness_kill(&h->proxies[2]);
 	harness_start_proxy(h, 2, NULL);
 	g_usleep(2000000);
-	g_free(write_done(h, 2, "job-2", "v1", "b1"));
+	g_free(write_record(h, 2, "job-2", "v1", "b1"));
 	harness_kill(&h->members[0]);
-	g_free(write_done(h, 1, "job-1", "v2", "a2"));
+	g_free(write_record(h, 1, "job-1", "v2", "a2"));
 	g_assert_cmpint(harness_ctl(h, 2, NULL, "table", "set", "row/dispatch/status",
 				    "max_age_ms=700", NULL),
 			==, 4);
@@ -149,9 +149,9 @@
 }
 
 /*
- * The proxy that serves the group is killed right after a filing was sent to it
- * through another. The filing has a request id, so it is repeated at the next
- * rank; the fee is charged once, whichever of the two got through.
+ * The home of the group is killed, then another proxy gets the same write three times, with one
+ * request id. The write is retried at the next-ranked proxy and increments the counter once,
+ * whichever attempt succeeds.
  */
 static void test_home_killed(void)
 {
@@ -161,7 +161,7 @@
 	json_t *answer;
 	json_t *body;
 
-	g_free(write_done(h, other, "job-1", "v1", "a1"));
+	g_free(write_record(h, other, "job-1", "v1", "a1"));
 	harness_kill(&h->proxies[home]);
 	for (int i = 0; i < 3; i++) {
 		body = json_pack("{s:s, s:s, s:s, s:[s], s:s, s:i}", "service", "dispatch", "class",
@@ -173,18 +173,18 @@
 		g_assert_true(is_done(answer));
 		json_decref(answer);
 	}
-	assert_reads(h, other, "fee", "1", NULL);
+	assert_read_value(h, other, "fee", "1", NULL);
 	harness_stop(h);
 }
 
-/* Begin through one proxy, statement through another; the transaction's handle, or NULL. */
+/* Begin a transaction through one proxy and insert through the next; returns its handle. */
 static char *open_transaction(const harness_t *h, int proxy, const char *key)
 {
 	json_t *begun = harness_call(
 		harness_caller_port(h, proxy), "/v1/begin",
 		json_pack("{s:s, s:s}", "service", "dispatch", "class", "assign"), NULL);
 	char *handle = g_strdup(harness_text(begun, "transaction"));
-	json_t *put =
+	json_t *inserted =
 		harness_call(harness_caller_port(h, (proxy + 1) % 3), "/v1/transaction/statement",
 			     json_pack("{s:s, s:s, s:[s, s]}", "transaction", handle, "statement",
 				       "INSERT INTO records (key, value) VALUES ($1, $2)", "params",
@@ -192,16 +192,15 @@
 			     NULL);
 
 	g_assert_true(is_done(begun));
-	g_assert_true(is_done(put));
+	g_assert_true(is_done(inserted));
 	json_decref(begun);
-	json_decref(put);
+	json_decref(inserted);
 	return handle;
 }
 
 /*
- * The proxy that holds an open transaction is killed. Its connection drops and
- * the server rolls back; a commit through another proxy is told so, and nothing
- * half done is left.
+ * The proxy that runs an open transaction is killed. Its connection is closed and the server rolls
+ * the transaction back; a commit through another proxy fails, and the inserted row is not there.
  */
 static void test_tx_home_killed(void)
 {
@@ -224,15 +223,15 @@
 	harness_stop(h);
 }
 
-typedef struct slow_call {
+typedef struct slow_statement {
 	const harness_t *h;
 	int proxy;
 	json_t *answer;
-} slow_call_t;
+} slow_statement_t;
 
-static gpointer ask_slowly(gpointer data)
+static gpointer run_slow_statement(gpointer data)
 {
-	slow_call_t *call = data;
+	slow_statement_t *call = data;
 
 	call->answer = harness_call(harness_caller_port(call->h, call->proxy), "/v1/statement",
 				    json_pack("{s:s, s:s, s:s, s:[s]}", "service", "dispatch",
@@ -242,10 +241,10 @@
 	return NULL;
 }
 
-/* Until the proxy has read a caller's request and not answered it yet. */
+/* Wait until the proxy has read a caller's request that it has not answered yet. */
 static void wait_for_request(const harness_t *h, int proxy)
 {
-	gint64 end = g_get_monotonic_time() + FOREVER_MS * 1000;
+	gint64 end = g_get_monotonic_time() + EXIT_TIMEOUT_MS * 1000;
 	json_int_t waiting = 0;
 
 	while (waiting == 0) {
@@ -260,9 +259,8 @@
 }
 
 /*
- * The serving proxy is told to stop while a slow statement runs and a
- * transaction is open. Both finish; new requests through it are refused at
- * once; it exits with 0 when nothing is left.
+ * The home of the group gets SIGTERM while a slow statement runs and a transaction is open. Both
+ * finish, new writes are done through another proxy, and the home exits with status 0.
  */
 static void test_graceful_shutdown(void)
 {
@@ -270,32 +268,31 @@
 	int home = harness_home(h, 0);
 	int other = (home + 1) % 3;
 	char *handle = open_transaction(h, other, "job-8");
-	slow_call_t slow = {.h = h, .proxy = home};
-	GThread *thread = g_thread_new("slow", ask_slowly, &slow);
+	slow_statement_t slow_statement = {.h = h, .proxy = home};
+	GThread *thread = g_thread_new("slow", run_slow_statement, &slow_statement);
 	json_t *answer;
 
 	wait_for_request(h, home);
 	kill(h->proxies[home], SIGTERM);
 	g_usleep(300000);
-	g_free(write_done(h, other, "job-9", "v1", "a9"));
+	g_free(write_record(h, other, "job-9", "v1", "a9"));
 	answer = harness_call(harness_caller_port(h, other), "/v1/commit",
 			      json_pack("{s:s, s:s}", "transaction", handle, "request_id", "t8"),
 			      NULL);
 	g_assert_true(is_done(answer));
 	json_decref(answer);
-	assert_reads(h, other, "job-8", "half", NULL);
+	assert_read_value(h, other, "job-8", "half", NULL);
 	g_thread_join(thread);
-	g_assert_true(is_done(slow.answer));
-	json_decref(slow.answer);
-	g_assert_cmpint(harness_wait(&h->proxies[home], FOREVER_MS), ==, 0);
+	g_assert_true(is_done(slow_statement.answer));
+	json_decref(slow_statement.answer);
+	g_assert_cmpint(harness_wait(&h->proxies[home], EXIT_TIMEOUT_MS), ==, 0);
 	g_free(handle);
 	harness_stop(h);
 }
 
 /*
- * A proxy is stopped for four seconds while the table is edited, and wakes up.
- * It never shows the old row's answer as if it were current: by the time it
- * serves, it has the new version.
+ * A proxy is suspended for four seconds while the table is edited. After it has resumed, it must
+ * not serve by the old row: when it answers the first request, it has the new version of the table.
  */
 static void test_proxy_stopped(void)
 {
@@ -308,7 +305,7 @@
 			==, 0);
 	g_usleep(4000000);
 	kill(h->proxies[2], SIGCONT);
-	g_free(write_done(h, 2, "job-1", "v1", "a1"));
+	g_free(write_record(h, 2, "job-1", "v1", "a1"));
 	table = harness_operate(h, 2, "/v1/table", NULL);
 	g_assert_cmpint(json_integer_value(json_object_get(table, "version")), ==, 2);
 	json_decref(table);
@@ -316,10 +313,9 @@
 }
 
 /*
- * The serving proxy is stopped while open transactions hold every slot of the
- * row's limit. The next rank acts in its place and ends sessions that hold
- * slots, so a write goes through. When the stopped proxy goes on, its
- * transactions are gone, and nothing half done is left.
+ * The home of the group is suspended while open transactions hold every slot of the row's limit.
+ * The next-ranked proxy takes its place and ends sessions that hold slots, so that a write is done.
+ * When the home resumes, its transactions are rolled back and their rows are not there.
  */
 static void test_home_stopped(void)
 {
@@ -336,7 +332,7 @@
 		g_free(key);
 	}
 	kill(h->proxies[home], SIGSTOP);
-	g_free(write_done(h, other, "job-1", "v1", "a1"));
+	g_free(write_record(h, other, "job-1", "v1", "a1"));
 	kill(h->proxies[home], SIGCONT);
 	g_usleep(500000);
 	for (int i = 0; i < 3; i++) {
@@ -352,34 +348,34 @@
 	harness_stop(h);
 }
 
-#define CROWD	     12
+#define CROWD_SIZE   12
 #define CROWD_ROUNDS 40
 
-typedef struct crowd_member {
+typedef struct crowd_caller {
 	const harness_t *h;
 	int number;
 	int home;
-	int done;
-	int wrong;
-} crowd_member_t;
+	int done_rounds;
+	int wrong_values;
+} crowd_caller_t;
 
-/* Writes and reads its own key; whatever comes back "done" must be its own. */
-static gpointer crowd_run(gpointer data)
+/* Write and read a key of its own; a read with outcome done must return the value just written. */
+static gpointer run_crowd_caller(gpointer data)
 {
-	crowd_member_t *me = data;
-	char *key = g_strdup_printf("crowd-%d", me->number);
+	crowd_caller_t *self = data;
+	char *key = g_strdup_printf("crowd-%d", self->number);
 
 	for (int i = 0; i < CROWD_ROUNDS; i++) {
-		int proxy = (me->home + 1 + (me->number + i) % 2) % 3;
-		char *value = g_strdup_printf("value-%d-%d", me->number, i);
-		json_t *wrote = harness_write(me->h, proxy, key, value, value, NULL);
-		json_t *read = harness_read(me->h, proxy, i % 2 ? "status" : "assignment", key,
+		int proxy = (self->home + 1 + (self->number + i) % 2) % 3;
+		char *value = g_strdup_printf("value-%d-%d", self->number, i);
+		json_t *wrote = harness_write(self->h, proxy, key, value, value, NULL);
+		json_t *read = harness_read(self->h, proxy, i % 2 ? "status" : "assignment", key,
 					    harness_text(wrote, "token"));
-		char *got = value_of(read);
+		char *got = first_value(read);
 
 		if (is_done(wrote) && is_done(read)) {
-			me->done++;
-			me->wrong += g_strcmp0(got, value) != 0;
+			self->done_rounds++;
+			self->wrong_values += g_strcmp0(got, value) != 0;
 		}
 		g_free(got);
 		g_free(value);
@@ -391,43 +387,43 @@
 }
 
 /*
- * Twelve callers at once write and read back their own records while the primary
- * is killed and then the serving proxy. Answers may come late or not at all, but
- * each that says "done" is the complete answer to its own request.
+ * Twelve callers at once write and read records of their own while first the primary and then the
+ * home is killed. Answers may be late or missing, but each with outcome done must be the complete
+ * answer to its own request.
  */
 static void test_own_answers(void)
 {
 	harness_t *h = harness_start_fleet(3, 5);
 	int home = harness_home(h, 0);
-	crowd_member_t crowd[CROWD] = {0};
-	GThread *threads[CROWD];
-	int done = 0;
+	crowd_caller_t crowd[CROWD_SIZE] = {0};
+	GThread *threads[CROWD_SIZE];
+	int done_rounds = 0;
 
-	for (int i = 0; i < CROWD; i++) {
-		crowd[i] = (crowd_member_t){.h = h, .number = i, .home = home};
-		threads[i] = g_thread_new("caller", crowd_run, &crowd[i]);
+	for (int i = 0; i < CROWD_SIZE; i++) {
+		crowd[i] = (crowd_caller_t){.h = h, .number = i, .home = home};
+		threads[i] = g_thread_new("caller", run_crowd_caller, &crowd[i]);
 	}
 	g_usleep(200000);
 	harness_kill(&h->members[0]);
 	g_usleep(400000);
 	harness_kill(&h->proxies[home]);
-	for (int i = 0; i < CROWD; i++) {
+	for (int i = 0; i < CROWD_SIZE; i++) {
 		g_thread_join(threads[i]);
-		g_assert_cmpint(crowd[i].wrong, ==, 0);
-		done += crowd[i].done;
+		g_assert_cmpint(crowd[i].wrong_values, ==, 0);
+		done_rounds += crowd[i].done_rounds;
 	}
-	g_test_message("%d of %d rounds done", done, CROWD * CROWD_ROUNDS);
-	g_assert_cmpint(done, >, CROWD * CROWD_ROUNDS / 2);
+	g_test_message("%d of %d rounds done", done_rounds, CROWD_SIZE * CROWD_ROUNDS);
+	g_assert_cmpint(done_rounds, >, CROWD_SIZE * CROWD_ROUNDS / 2);
 	harness_stop(h);
 }
 
-/* A member whose VM the platform lists as leaving gets no new work after a few seconds. */
+/* A member whose VM the platform lists as leaving gets no new statements after five seconds. */
 static void test_member_leaving(void)
 {
 	harness_t *h = harness_start_fleet(3, 5);
 	json_t *answer;
 
-	g_free(write_done(h, 0, "job-1", "v1", "a1"));
+	g_free(write_record(h, 0, "job-1", "v1", "a1"));
 	harness_list_vms(h, 0);
 	g_usleep(5000000);
 	for (int i = 0; i < 10; i++) {
@@ -444,7 +440,7 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/failures/primary-killed", test_primary_killed);
 	g_test_add_func("/failures/primary-stopped", test_primary_stopped);
-	g_test_add_func("/failures/primary-cut", test_primary_cut);
+	g_test_add_func("/failures/primary-cut", test_primary_isolated);
 	g_test_add_func("/failures/platform-down", test_platform_down);
 	g_test_add_func("/failures/home-killed", test_home_killed);
 	g_test_add_func("/failures/tx-home-killed", test_tx_home_killed);
--- a/tests/test_input.c
+++ b/tests/test_input.c
@@ -1,6 +1,6 @@
 /*
- * Bad input to real processes: each gets a clear error, nothing is sent on to a
- * backend server, and the proxy goes on serving.
+ * Invalid input to real processes: each case gets an error that names the fault, and the proxy
+ * still serves valid requests afterwards.
  */
 #include <arpa/inet.h>
 #include <signal.h>
@@ -13,7 +13,7 @@
 
 static harness_t *h;
 
-static void assert_serves(void)
+static void assert_proxy_serves(void)
 {
 	json_t *answer = harness_write(h, 0, "after", "bad input", NULL, NULL);
 
@@ -21,12 +21,12 @@
 	json_decref(answer);
 }
 
-typedef struct bad_body {
+typedef struct bad_request {
 	const char *path;
 	const char *body;
 	long status;
 	const char *detail;
-} bad_body_t;
+} bad_request_t;
 
 #define ROW "\"service\": \"dispatch\", \"class\": \"assign\""
 
@@ -34,7 +34,7 @@
 #define TWENTY	   FIVE "," FIVE "," FIVE "," FIVE
 #define SIXTY_FIVE TWENTY "," TWENTY "," TWENTY "," FIVE
 
-static const bad_body_t bad_bodies[] = {
+static const bad_request_t bad_requests[] = {
 	{"/v1/statement", "{", 400, "no JSON object"},
 	{"/v1/statement", "[1]", 400, "no JSON object"},
 	{"/v1/statement", "{" ROW "}", 400, "statement is missing"},
@@ -46,7 +46,7 @@
 	 "deadline_ms: expected milliseconds"},
 	{"/v1/statement", "{" ROW ", \"statement\": \"SELECT 1\", \"params\": [[1]]}", 400,
 	 "params: expected a list"},
-	/* Cut off, the rest would be another statement than the caller meant. */
+	/* Not truncated to 64 parameters: the statement would not be the one that was requested. */
 	{"/v1/statement", "{" ROW ", \"statement\": \"SELECT 1\", \"params\": [" SIXTY_FIVE "]}",
 	 400, "params: expected a list of at most 64"},
 	{"/v1/statement", "{" ROW ", \"statement\": \"COMMIT\"}", 400, "no transaction"},
@@ -64,19 +64,19 @@
 
 static void test_bodies(void)
 {
-	for (gsize i = 0; i < G_N_ELEMENTS(bad_bodies); i++) {
-		const bad_body_t *bad = &bad_bodies[i];
+	for (gsize i = 0; i < G_N_ELEMENTS(bad_requests); i++) {
+		const bad_request_t *bad_request = &bad_requests[i];
 		long status = 0;
-		json_t *answer =
-			harness_post_raw(harness_caller_port(h, 0), bad->path, bad->body, &status);
+		json_t *answer = harness_post_raw(harness_caller_port(h, 0), bad_request->path,
+						  bad_request->body, &status);
 
-		g_test_message("%s %s", bad->path, bad->body);
-		g_assert_cmpint(status, ==, bad->status);
+		g_test_message("%s %s", bad_request->path, bad_request->body);
+		g_assert_cmpint(status, ==, bad_request->status);
 		g_assert_cmpstr(harness_text(answer, "outcome"), ==, "not_run");
-		g_assert_nonnull(strstr(harness_text(answer, "detail"), bad->detail));
+		g_assert_nonnull(strstr(harness_text(answer, "detail"), bad_request->detail));
 		json_decref(answer);
 	}
-	assert_serves();
+	assert_proxy_serves();
 }
 
 static void test_oversize(void)
@@ -89,10 +89,10 @@
 	json_decref(harness_post_raw(harness_caller_port(h, 0), "/v1/statement", body, &status));
 	g_assert_cmpint(status, ==, 413);
 	g_free(body);
-	assert_serves();
+	assert_proxy_serves();
 }
 
-/* A session token of another fleet has another key. */
+/* Requests of operators without the bearer token are rejected. */
 static void test_operators_token(void)
 {
 	long status = 0;
@@ -101,7 +101,7 @@
 	g_assert_cmpint(status, ==, 401);
 	json_decref(harness_call(harness_operator_port(h, 0), "/v1/drain", json_object(), &status));
 	g_assert_cmpint(status, ==, 401);
-	assert_serves();
+	assert_proxy_serves();
 }
 
 static void test_ctl(void)
@@ -127,16 +127,16 @@
 	g_free(out);
 }
 
-/* A peer without the fleet's key is not let in: the fleet sees no proxy of that name. */
+/* A peer with another key than the fleet's is refused: no proxy lists it as part of the fleet. */
 static void test_peer_key(void)
 {
 	json_t *state;
 	const json_t *fleet;
-	char *settings = g_strdup_printf("%s/peers.key", h->dir);
-	char *right = NULL;
+	char *key_path = g_strdup_printf("%s/peers.key", h->dir);
+	char *correct_key = NULL;
 
-	g_assert_true(g_file_get_contents(settings, &right, NULL, NULL));
-	g_assert_true(g_file_set_contents(settings, "0000000000000000000000000000000000000000", -1,
+	g_assert_true(g_file_get_contents(key_path, &correct_key, NULL, NULL));
+	g_assert_true(g_file_set_contents(key_path, "0000000000000000000000000000000000000000", -1,
 					  NULL));
 	harness_start_proxy(h, 5, NULL);
 	g_usleep(1500000);
@@ -146,9 +146,9 @@
 	g_assert_null(json_object_get(fleet, "p5"));
 	json_decref(state);
 	harness_kill(&h->proxies[5]);
-	g_assert_true(g_file_set_contents(settings, right, -1, NULL));
-	g_free(right);
-	g_free(settings);
+	g_assert_true(g_file_set_contents(key_path, correct_key, -1, NULL));
+	g_free(correct_key);
+	g_free(key_path);
 }
 
 static void test_settings(void)
@@ -169,55 +169,54 @@
 }
 
 /*
- * Two callers happen to choose the same request id. The second gets neither the
- * first one's answer nor its own write: it is told that the id is taken. The
- * first one's resend still finds its answer.
+ * Two callers happen to choose the same request id. The second one's write is not done, and it gets
+ * an error instead of the first one's answer. A resend of the first one still gets its answer.
  */
 static void test_same_request_id(void)
 {
 	json_t *first = harness_write(h, 0, "id-1", "mine", "the-id", NULL);
 	json_t *second = harness_write(h, 1, "id-2", "yours", "the-id", NULL);
-	json_t *again = harness_write(h, 1, "id-1", "mine", "the-id", NULL);
+	json_t *resent = harness_write(h, 1, "id-1", "mine", "the-id", NULL);
 	json_t *read = harness_read(h, 0, "assignment", "id-2", NULL);
 
 	g_assert_cmpstr(harness_text(first, "outcome"), ==, "done");
 	g_assert_cmpstr(harness_text(second, "outcome"), ==, "not_run");
 	g_assert_nonnull(strstr(harness_text(second, "detail"), "used for another request"));
-	g_assert_cmpstr(harness_text(again, "outcome"), ==, "done");
-	g_assert_true(json_is_true(json_object_get(again, "repeated")));
+	g_assert_cmpstr(harness_text(resent, "outcome"), ==, "done");
+	g_assert_true(json_is_true(json_object_get(resent, "repeated")));
 	g_assert_cmpuint(json_array_size(json_object_get(read, "rows")), ==, 0);
 	json_decref(first);
 	json_decref(second);
-	json_decref(again);
+	json_decref(resent);
 	json_decref(read);
 }
 
-/* Send raw text; what came back until the other side closed. */
-static char *exchange(int port, const char *text)
+/* Send raw text; returns what is received until the server closes the connection. */
+static char *send_raw(int port, const char *text)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET,
 				  .sin_port = htons((uint16_t)port),
 				  .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-	struct timeval patience = {.tv_sec = 5};
+	struct timeval timeout = {.tv_sec = 5};
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-	GString *got = g_string_new(NULL);
+	GString *reply = g_string_new(NULL);
 	char buffer[4096];
 	ssize_t n;
 
-	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
 	g_assert_cmpint(connect(fd, (struct sockaddr *)&sin, sizeof(sin)), ==, 0);
 	g_assert_cmpint(send(fd, text, strlen(text), MSG_NOSIGNAL), ==, (ssize_t)strlen(text));
 	while ((n = recv(fd, buffer, sizeof(buffer), 0)) > 0)
-		g_string_append_len(got, buffer, n);
+		g_string_append_len(reply, buffer, n);
 	g_assert_cmpint(n, ==, 0);
 	close(fd);
-	return g_string_free(got, FALSE);
+	return g_string_free(reply, FALSE);
 }
 
 #define HEAD "POST /v1/statement HTTP/1.1\r\nHost: x\r\n"
 
-/* A request with one reading, which leaves the connection open. */
-static char *clear_request(void)
+/* A request with an unambiguous length, after which the connection stays open. */
+static char *unambiguous_request(void)
 {
 	static const char body[] = "{\"service\": \"dispatch\", \"class\": \"assignment\", "
 				   "\"statement\": \"SELECT value FROM records WHERE key = $1\", "
@@ -226,7 +225,7 @@
 	return g_strdup_printf(HEAD "Content-Length: %zu\r\n\r\n%s", strlen(body), body);
 }
 
-/* Two readings of where the body ends; whatever comes behind it must not be run. */
+/* Requests whose body has an ambiguous length; a request behind them must not be run. */
 static const char *const ambiguous[] = {
 	HEAD "Content-Length: 2\r\nContent-Length: 40\r\n\r\n{}",
 	HEAD "content-length: 2\r\nX: y\r\nCONTENT-LENGTH:3\r\n\r\n{} ",
@@ -235,45 +234,45 @@
 };
 
 /*
- * What callers see: an answer to a request that they have not sent. What happens: something between
- * us and them reads the end of a body elsewhere than we do, and takes the rest for a request of its
- * own. Why refusing suffices: with the connection closed there is no next request to mistake.
+ * Guards against request smuggling: an intermediary finds the end of a body at another place than
+ * the proxy, so that a part of the body is run as a request that no caller has sent. The proxy must
+ * reject the request and close the connection, so that no further request is read from it.
  */
 static void test_ambiguous_length(void)
 {
-	char *before = clear_request();
+	char *before = unambiguous_request();
 
 	for (gsize i = 0; i < G_N_ELEMENTS(ambiguous); i++) {
 		char *text = g_strconcat(before, ambiguous[i], before, NULL);
-		char *got = exchange(harness_caller_port(h, 0), text);
-		const char *refused = strstr(got, "two readings");
+		char *reply = send_raw(harness_caller_port(h, 0), text);
+		const char *refusal = strstr(reply, "two readings");
 
 		g_test_message("%s", ambiguous[i]);
-		g_assert_true(g_str_has_prefix(got, "HTTP/1.1 200"));
-		g_assert_nonnull(strstr(got, "HTTP/1.1 400"));
-		g_assert_nonnull(refused);
-		g_assert_null(strstr(refused, "HTTP/1.1"));
-		g_free(got);
+		g_assert_true(g_str_has_prefix(reply, "HTTP/1.1 200"));
+		g_assert_nonnull(strstr(reply, "HTTP/1.1 400"));
+		g_assert_nonnull(refusal);
+		g_assert_null(strstr(refusal, "HTTP/1.1"));
+		g_free(reply);
 		g_free(text);
 	}
 	g_free(before);
-	assert_serves();
+	assert_proxy_serves();
 }
 
-/* The same length told twice has one reading, and so has a transfer encoding alone. */
-static void test_clear_length(void)
+/* Two equal Content-Length fields are unambiguous, and so is Transfer-Encoding alone. */
+static void test_unambiguous_length(void)
 {
-	static const char *const clear[] = {
+	static const char *const unambiguous[] = {
 		HEAD "Connection: close\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n{}",
 		HEAD "Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
 		     "2\r\n{}\r\n0\r\n\r\n",
 	};
 
-	for (gsize i = 0; i < G_N_ELEMENTS(clear); i++) {
-		char *got = exchange(harness_caller_port(h, 0), clear[i]);
+	for (gsize i = 0; i < G_N_ELEMENTS(unambiguous); i++) {
+		char *reply = send_raw(harness_caller_port(h, 0), unambiguous[i]);
 
-		g_assert_nonnull(strstr(got, "service is missing"));
-		g_free(got);
+		g_assert_nonnull(strstr(reply, "service is missing"));
+		g_free(reply);
 	}
 }
 
@@ -283,7 +282,7 @@
 	long status = 0;
 
 	harness_http2 = TRUE;
-	assert_serves();
+	assert_proxy_serves();
 	json_decref(harness_post_raw(harness_caller_port(h, 0), "/v1/statement", "{", &status));
 	harness_http2 = FALSE;
 	g_assert_cmpint(status, ==, 400);
@@ -304,7 +303,7 @@
 	return log;
 }
 
-/* Signals: a reload says what took effect, a dump tells the group's primary and why. */
+/* SIGHUP logs the settings that took effect; SIGUSR1 dumps each group's primary and its reason. */
 static void test_signals(void)
 {
 	char *log;
@@ -317,7 +316,7 @@
 	log = wait_for_log("\"last_takeover_reason\"");
 	g_assert_nonnull(strstr(log, "\"primary\": \"m0\""));
 	g_free(log);
-	assert_serves();
+	assert_proxy_serves();
 }
 
 int main(int argc, char **argv)
@@ -333,7 +332,7 @@
 	g_test_add_func("/input/settings", test_settings);
 	g_test_add_func("/input/same-request-id", test_same_request_id);
 	g_test_add_func("/input/ambiguous-length", test_ambiguous_length);
-	g_test_add_func("/input/clear-length", test_clear_length);
+	g_test_add_func("/input/clear-length", test_unambiguous_length);
 	g_test_add_func("/input/http2", test_http2);
 	g_test_add_func("/input/signals", test_signals);
 	g_test_add_func("/input/peer-key", test_peer_key);
--- a/tests/test_shutdown.c
+++ b/tests/test_shutdown.c
@@ -1,6 +1,6 @@
 /*
- * What becomes of requests that a proxy has not read yet when it ends. Every
- * caller that had sent its request whole gets an answer, if only a refusal.
+ * Requests that a proxy has received but not read when it shuts down. Every caller that has sent a
+ * complete request must get an answer, be it a refusal.
  */
 #include <arpa/inet.h>
 #include <poll.h>
@@ -13,18 +13,18 @@
 #include "harness.h"
 #include "site.h"
 
-/* More than the events that one turn of the loop takes from the kernel. */
+/* More connections than the loop serves in one iteration. */
 #define OPEN_CONNS 300
-/* Fewer: they wait in a listener's queue. */
-#define NEW_CONNS   40
-#define ANSWER_MSEC 5000
-/* Requests are sent so long before the proxy goes on, microseconds: no close can cross them. */
-#define SENT_BEFORE_USEC 250000
-/* Longest wait for a proxy's end, or for a line of its log. */
-#define END_MSEC     10000
-#define ANSWER_BYTES 4096
-
-static int open_conn(int port)
+/* Few enough connections to fit into the queue of a listener. */
+#define NEW_CONNS	    40
+#define ANSWER_TIMEOUT_MSEC 5000
+/* Time between sending requests and resuming the proxy, so that they arrive before any close. */
+#define ARRIVAL_WAIT_USEC 250000
+/* Longest wait for the exit of a proxy, or for a line of its log. */
+#define EXIT_TIMEOUT_MSEC 10000
+#define ANSWER_BYTES_MAX  4096
+
+static int connect_to(int port)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET,
 				  .sin_port = htons((uint16_t)port),
@@ -40,8 +40,8 @@
 	g_assert_cmpint(send(fd, text, strlen(text), MSG_NOSIGNAL), ==, (ssize_t)strlen(text));
 }
 
-/* An answer tells its length, or ends with an empty chunk, or with its connection. */
-static bool is_whole(const char *answer, bool at_end)
+/* An answer ends by its Content-Length, by an empty chunk, or by the close of the connection. */
+static bool is_complete(const char *answer, bool at_end)
 {
 	const char *body = strstr(answer, "\r\n\r\n");
 	const char *length = strcasestr(answer, "\r\ncontent-length: ");
@@ -55,16 +55,16 @@
 	return g_str_has_suffix(answer, "\r\n0\r\n\r\n");
 }
 
-/* The status of the next answer, 0 if the connection ends without a whole one. */
+/* Receive an answer; returns its status, or 0 if the connection ends before it is complete. */
 static long receive_status(int fd)
 {
 	struct pollfd ready = {.fd = fd, .events = POLLIN};
-	char answer[ANSWER_BYTES] = "";
+	char answer[ANSWER_BYTES_MAX] = "";
 	size_t len = 0;
 	ssize_t n = 1;
 
-	while (!is_whole(answer, n == 0)) {
-		if (n <= 0 || poll(&ready, 1, ANSWER_MSEC) != 1)
+	while (!is_complete(answer, n == 0)) {
+		if (n <= 0 || poll(&ready, 1, ANSWER_TIMEOUT_MSEC) != 1)
 			return 0;
 		n = recv(fd, answer + len, sizeof(answer) - 1 - len, 0);
 		len += n > 0 ? (size_t)n : 0;
@@ -72,10 +72,10 @@
 	return strtol(answer + strlen("HTTP/1.1 "), NULL, 10);
 }
 
-static void open_conns(int *conns, int count, int port)
+static void connect_all(int *conns, int count, int port)
 {
 	for (int i = 0; i < count; i++)
-		conns[i] = open_conn(port);
+		conns[i] = connect_to(port);
 }
 
 static void send_all(const int *conns, int count, const char *request)
@@ -84,7 +84,7 @@
 		send_text(conns[i], request);
 }
 
-/* Receive on all and close them; how many got no whole answer. */
+/* Receive from and close all connections; returns how many got no complete answer. */
 static int count_unanswered(const int *conns, int count)
 {
 	int unanswered = 0;
@@ -107,10 +107,13 @@
 			       strlen(body), body);
 }
 
-/* Wait until the proxy logs text, looking often enough to act within its last 100 ms. */
-static void wait_for_line(const char *path, const char *text)
+/*
+ * Wait until the proxy logs text. The log is checked every millisecond, so that the caller can act
+ * in the 100 ms between the line and the exit.
+ */
+static void wait_for_log_line(const char *path, const char *text)
 {
-	gint64 end = g_get_monotonic_time() + END_MSEC * 1000;
+	gint64 end = g_get_monotonic_time() + EXIT_TIMEOUT_MSEC * 1000;
 	bool found = false;
 
 	while (!found) {
@@ -124,118 +127,118 @@
 }
 
 /*
- * What callers see: a connection that is reset although the request on it was sent long ago. What
- * happens: the proxy's loop is late, requests wait in its sockets and whole connections in the
- * listener's queue; the order to stop is taken up first. Why taking up what waits suffices: the
- * listener's queue is emptied before it is closed, and what was sent is answered before the end.
+ * Guards against connections that are reset although their requests were sent long before. The
+ * proxy's loop is late: requests are unread in its sockets, new connections are in the listener's
+ * queue, and the proxy handles SIGTERM first. It must accept the queued connections before it
+ * closes the listener, and answer the received requests before it exits.
  */
 static void test_late_loop(void)
 {
 	harness_t *h = harness_start_fleet(2, 5);
 	char *request = statement_request();
-	int open[OPEN_CONNS];
-	int fresh[NEW_CONNS];
+	int old_conns[OPEN_CONNS];
+	int new_conns[NEW_CONNS];
 
-	open_conns(open, OPEN_CONNS, harness_caller_port(h, 0));
-	send_all(open, 1, request);
-	g_assert_cmpint(receive_status(open[0]), ==, 200);
+	connect_all(old_conns, OPEN_CONNS, harness_caller_port(h, 0));
+	send_all(old_conns, 1, request);
+	g_assert_cmpint(receive_status(old_conns[0]), ==, 200);
 	kill(h->proxies[0], SIGSTOP);
-	open_conns(fresh, NEW_CONNS, harness_caller_port(h, 0));
-	send_all(fresh, NEW_CONNS, request);
-	send_all(open, OPEN_CONNS, request);
-	g_usleep(SENT_BEFORE_USEC);
+	connect_all(new_conns, NEW_CONNS, harness_caller_port(h, 0));
+	send_all(new_conns, NEW_CONNS, request);
+	send_all(old_conns, OPEN_CONNS, request);
+	g_usleep(ARRIVAL_WAIT_USEC);
 	kill(h->proxies[0], SIGTERM);
 	kill(h->proxies[0], SIGCONT);
-	g_assert_cmpint(count_unanswered(open, OPEN_CONNS), ==, 0);
-	g_assert_cmpint(count_unanswered(fresh, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&h->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(count_unanswered(old_conns, OPEN_CONNS), ==, 0);
+	g_assert_cmpint(count_unanswered(new_conns, NEW_CONNS), ==, 0);
+	g_assert_cmpint(harness_wait(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	g_free(request);
 	harness_stop(h);
 }
 
 /*
- * What callers see: a request on an open connection that ends without an answer. What happens: all
- * requests are answered, the proxy waits for its last words to leave, and is held up just then;
- * when it goes on, the wait is over, and it ends with requests unread. Why a look before the end
- * suffices: a connection is closed in the same moment in which nothing is found on it.
+ * Guards against requests on open connections that get no answer. After the last answer the proxy
+ * waits until it is written, and is paused just then. When it resumes, the wait is over, and it
+ * would exit with new requests unread. It must close a connection only right after a check that
+ * nothing is unread on it.
  */
-static void test_held_up_at_the_end(void)
+static void test_paused_before_exit(void)
 {
 	harness_t *h = harness_start_fleet(2, 5);
 	char *log = g_build_filename(h->dir, "p0.log", NULL);
 	char *request = statement_request();
-	int open[OPEN_CONNS];
+	int old_conns[OPEN_CONNS];
 
-	open_conns(open, OPEN_CONNS, harness_caller_port(h, 0));
+	connect_all(old_conns, OPEN_CONNS, harness_caller_port(h, 0));
 	for (int i = 0; i < OPEN_CONNS; i++) {
-		send_text(open[i], request);
-		g_assert_cmpint(receive_status(open[i]), ==, 200);
+		send_text(old_conns[i], request);
+		g_assert_cmpint(receive_status(old_conns[i]), ==, 200);
 	}
 	kill(h->proxies[0], SIGTERM);
-	wait_for_line(log, "all requests are finished");
+	wait_for_log_line(log, "all requests are finished");
 	kill(h->proxies[0], SIGSTOP);
-	send_all(open, OPEN_CONNS, request);
-	g_usleep(SENT_BEFORE_USEC);
+	send_all(old_conns, OPEN_CONNS, request);
+	g_usleep(ARRIVAL_WAIT_USEC);
 	kill(h->proxies[0], SIGCONT);
-	g_assert_cmpint(count_unanswered(open, OPEN_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&h->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(count_unanswered(old_conns, OPEN_CONNS), ==, 0);
+	g_assert_cmpint(harness_wait(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	g_free(request);
 	g_free(log);
 	harness_stop(h);
 }
 
-/* The same for an operator, whose address stays open to the end. */
-static void test_operator_held_up(void)
+/* The same for the operators' address, which accepts connections until the exit. */
+static void test_operator_paused(void)
 {
 	static const char request[] = "GET /v1/state HTTP/1.1\r\nHost: x\r\n\r\n"; /* no token */
 	harness_t *h = harness_start_fleet(2, 5);
 	char *log = g_build_filename(h->dir, "p0.log", NULL);
-	int open[NEW_CONNS];
-	int fresh[NEW_CONNS];
+	int old_conns[NEW_CONNS];
+	int new_conns[NEW_CONNS];
 
-	open_conns(open, NEW_CONNS, harness_operator_port(h, 0));
+	connect_all(old_conns, NEW_CONNS, harness_operator_port(h, 0));
 	kill(h->proxies[0], SIGTERM);
-	wait_for_line(log, "all requests are finished");
+	wait_for_log_line(log, "all requests are finished");
 	kill(h->proxies[0], SIGSTOP);
-	open_conns(fresh, NEW_CONNS, harness_operator_port(h, 0));
-	send_all(open, NEW_CONNS, request);
-	send_all(fresh, NEW_CONNS, request);
-	g_usleep(SENT_BEFORE_USEC);
+	connect_all(new_conns, NEW_CONNS, harness_operator_port(h, 0));
+	send_all(old_conns, NEW_CONNS, request);
+	send_all(new_conns, NEW_CONNS, request);
+	g_usleep(ARRIVAL_WAIT_USEC);
 	kill(h->proxies[0], SIGCONT);
-	g_assert_cmpint(count_unanswered(open, NEW_CONNS), ==, 0);
-	g_assert_cmpint(count_unanswered(fresh, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&h->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(count_unanswered(old_conns, NEW_CONNS), ==, 0);
+	g_assert_cmpint(count_unanswered(new_conns, NEW_CONNS), ==, 0);
+	g_assert_cmpint(harness_wait(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	g_free(log);
 	harness_stop(h);
 }
 
-/* The balancer's question and an operator's, to a proxy for sessions that is held up at its end. */
-static void test_pooler_held_up(void)
+/* The same for the load balancer's probes and operators' requests in pooler mode. */
+static void test_pooler_paused(void)
 {
 	static const char ready[] = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 	static const char state[] = "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n";
 	site_harness_t *site = site_start(2);
 	char *log = g_build_filename(site->dir, "p0.log", NULL);
-	int probes[NEW_CONNS];
-	int operators[NEW_CONNS];
+	int probe_conns[NEW_CONNS];
+	int operator_conns[NEW_CONNS];
 
 	kill(site->proxies[0], SIGTERM);
-	wait_for_line(log, "all requests are finished");
+	wait_for_log_line(log, "all requests are finished");
 	kill(site->proxies[0], SIGSTOP);
-	open_conns(probes, NEW_CONNS, site_probe_port(site, 0));
-	open_conns(operators, NEW_CONNS, site_operators_port(site, 0));
-	send_all(probes, NEW_CONNS, ready);
-	send_all(operators, NEW_CONNS, state);
-	g_usleep(SENT_BEFORE_USEC);
+	connect_all(probe_conns, NEW_CONNS, site_probe_port(site, 0));
+	connect_all(operator_conns, NEW_CONNS, site_operators_port(site, 0));
+	send_all(probe_conns, NEW_CONNS, ready);
+	send_all(operator_conns, NEW_CONNS, state);
+	g_usleep(ARRIVAL_WAIT_USEC);
 	kill(site->proxies[0], SIGCONT);
-	g_assert_cmpint(count_unanswered(probes, NEW_CONNS), ==, 0);
-	g_assert_cmpint(count_unanswered(operators, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&site->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(count_unanswered(probe_conns, NEW_CONNS), ==, 0);
+	g_assert_cmpint(count_unanswered(operator_conns, NEW_CONNS), ==, 0);
+	g_assert_cmpint(harness_wait(&site->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	g_free(log);
 	site_stop(site);
 }
 
-/* How many sessions got neither the end of an answer nor a refusal; closes them. */
+/* Receive from and close all sessions; returns how many got no answer and no refusal. */
 static int count_unanswered_sessions(site_caller_t **callers, int count)
 {
 	int unanswered = 0;
@@ -251,10 +254,9 @@
 }
 
 /*
- * What callers see: on a session that was open for long, a statement that gets neither an answer
- * nor a refusal. What happens: the proxy's loop is late, the statements wait in its sockets, and
- * the order to stop is taken up first, which closes sessions that rest. Why a look suffices: it is
- * one step with the close.
+ * Guards against statements on open sessions that get neither an answer nor a refusal. The proxy's
+ * loop is late: statements are unread in its sockets, and the proxy handles SIGTERM first, which
+ * closes idle sessions. It must check each session for unread data right before it closes it.
  */
 static void test_sessions_late_loop(void)
 {
@@ -264,59 +266,59 @@
 
 	for (int i = 0; i < OPEN_CONNS; i++)
 		callers[i] = site_open(site, 0, "jobs");
-	g_usleep(2 * SENT_BEFORE_USEC);
+	g_usleep(2 * ARRIVAL_WAIT_USEC);
 	kill(site->proxies[0], SIGSTOP);
 	for (int i = 0; i < OPEN_CONNS; i++)
 		site_send(callers[i], statement, strlen(statement));
-	g_usleep(SENT_BEFORE_USEC);
+	g_usleep(ARRIVAL_WAIT_USEC);
 	kill(site->proxies[0], SIGTERM);
 	kill(site->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered_sessions(callers, OPEN_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&site->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait(&site->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	site_stop(site);
 }
 
 /*
- * What callers see: a session that they open is reset without a word. What happens: the balancer
- * still sends callers to a proxy that shuts down; it is held up until the moment in which it takes
- * no new ones, and closes its listener with theirs in the queue. Why a refusal suffices: they go to
- * another proxy at once.
+ * Guards against new sessions that are reset without a refusal. The load balancer still sends
+ * callers to a proxy that shuts down; the proxy is paused until it stops accepting sessions, and
+ * would close its listener with connections in the queue. It must refuse them, so that the callers
+ * connect to another proxy at once.
  */
 static void test_sessions_in_the_queue(void)
 {
 	static const char start[] = "START jobs x\r\n";
-	/* New callers are taken for 2.3 s, and the grace is 4 s. */
-	static const gulong before = 2000000;
-	static const gulong held_up = 600000;
+	/* The proxy accepts new sessions for 2.3 s after SIGTERM; the grace is 4 s. */
+	static const gulong accepting_usec = 2000000;
+	static const gulong paused_usec = 600000;
 	site_harness_t *site = site_start(2);
 	site_caller_t *callers[NEW_CONNS];
 
 	kill(site->proxies[0], SIGTERM);
-	g_usleep(before);
+	g_usleep(accepting_usec);
 	kill(site->proxies[0], SIGSTOP);
 	for (int i = 0; i < NEW_CONNS; i++) {
 		callers[i] = site_connect(site, 0);
 		site_send(callers[i], start, strlen(start));
 	}
-	g_usleep(held_up);
+	g_usleep(paused_usec);
 	kill(site->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered_sessions(callers, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&site->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait(&site->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	site_stop(site);
 }
 
-/* A caller that never reads its answers doesn't keep the process from its end. */
+/* A caller that never reads its answers must not delay the exit of the process. */
 static void test_caller_that_does_not_read(void)
 {
 	harness_t *h = harness_start_fleet(2, 5);
 	char *request = statement_request();
-	int conn = open_conn(harness_caller_port(h, 0));
+	int conn = connect_to(harness_caller_port(h, 0));
 
-	/* A request of which the rest never comes, and one whose answer stays unread. */
+	/* One request whose answer stays unread, and one that is never sent to the end. */
 	send_all(&conn, 1, request);
 	send_text(conn, "POST /v1/statement HTTP/1.1\r\nHost: x\r\nContent-Le");
 	kill(h->proxies[0], SIGTERM);
-	g_assert_cmpint(harness_wait(&h->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	close(conn);
 	g_free(request);
 	harness_stop(h);
@@ -326,9 +328,9 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/shutdown/late-loop", test_late_loop);
-	g_test_add_func("/shutdown/held-up-at-the-end", test_held_up_at_the_end);
-	g_test_add_func("/shutdown/operator-held-up", test_operator_held_up);
-	g_test_add_func("/shutdown/pooler-held-up", test_pooler_held_up);
+	g_test_add_func("/shutdown/held-up-at-the-end", test_paused_before_exit);
+	g_test_add_func("/shutdown/operator-held-up", test_operator_paused);
+	g_test_add_func("/shutdown/pooler-held-up", test_pooler_paused);
 	g_test_add_func("/shutdown/caller-that-does-not-read", test_caller_that_does_not_read);
 	g_test_add_func("/shutdown/sessions-late-loop", test_sessions_late_loop);
 	g_test_add_func("/shutdown/sessions-in-the-queue", test_sessions_in_the_queue);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -1,4 +1,4 @@
-/* Messages between proxies: round trip, unknown fields, other versions, garbage. */
+/* Encoding of messages between proxies: round trip, unknown fields, invalid and corrupt input. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,19 +7,19 @@
 
 #include "wire.h"
 
-static message_t *through(void *parent, const message_t *message)
+static message_t *round_trip(void *parent, const message_t *message)
 {
 	msgpack_sbuffer buffer;
 	char *from = NULL;
-	message_t *back;
+	message_t *decoded;
 
 	msgpack_sbuffer_init(&buffer);
 	wire_encode(&buffer, "p1", message);
-	back = wire_decode(parent, buffer.data, buffer.size, &from);
+	decoded = wire_decode(parent, buffer.data, buffer.size, &from);
 	msgpack_sbuffer_destroy(&buffer);
-	if (back != NULL)
+	if (decoded != NULL)
 		g_assert_cmpstr(from, ==, "p1");
-	return back;
+	return decoded;
 }
 
 static void test_execute(void)
@@ -41,16 +41,16 @@
 			     .echo = 8,
 			     .request = 42,
 			     .query = &query};
-	message_t *back = through(parent, &message);
+	message_t *decoded = round_trip(parent, &message);
 
-	g_assert_nonnull(back);
-	g_assert_cmpuint(back->request, ==, 42);
-	g_assert_cmpuint(back->echo, ==, 8);
-	g_assert_cmpstr(back->query->text, ==, "SELECT 1");
-	g_assert_null(back->query->request_id);
-	g_assert_true(back->query->repeatable);
-	g_assert_false(back->query->resend);
-	g_assert_cmpuint(back->query->floor.lsn, ==, 1ull << 40);
+	g_assert_nonnull(decoded);
+	g_assert_cmpuint(decoded->request, ==, 42);
+	g_assert_cmpuint(decoded->echo, ==, 8);
+	g_assert_cmpstr(decoded->query->text, ==, "SELECT 1");
+	g_assert_null(decoded->query->request_id);
+	g_assert_true(decoded->query->repeatable);
+	g_assert_false(decoded->query->resend);
+	g_assert_cmpuint(decoded->query->floor.lsn, ==, 1ull << 40);
 	talloc_free(parent);
 }
 
@@ -63,23 +63,23 @@
 			     .table_version = 4,
 			     .entries = entries,
 			     .entry_count = 2};
-	message_t *back = through(parent, &message);
+	message_t *decoded = round_trip(parent, &message);
 
-	g_assert_cmpuint(back->entry_count, ==, 2);
-	g_assert_cmpstr(back->entries[0].value, ==, "{}");
-	g_assert_null(back->entries[1].value);
-	g_assert_cmpuint(back->entries[1].version, ==, 4);
+	g_assert_cmpuint(decoded->entry_count, ==, 2);
+	g_assert_cmpstr(decoded->entries[0].value, ==, "{}");
+	g_assert_null(decoded->entries[1].value);
+	g_assert_cmpuint(decoded->entries[1].version, ==, 4);
 	talloc_free(parent);
 }
 
-/* A later version of the program may add fields: they are skipped. */
+/* Fields that a later version of the program may add are skipped. */
 static void test_unknown_field(void)
 {
 	void *parent = talloc_new(NULL);
 	msgpack_sbuffer buffer;
 	msgpack_packer pk;
 	char *from = NULL;
-	message_t *back;
+	message_t *decoded;
 	const char *const keys[] = {"v", "inc", "news", "from"};
 
 	msgpack_sbuffer_init(&buffer);
@@ -98,21 +98,21 @@
 			msgpack_pack_str_body(&pk, "p9", 2);
 		}
 	}
-	back = wire_decode(parent, buffer.data, buffer.size, &from);
-	g_assert_nonnull(back);
+	decoded = wire_decode(parent, buffer.data, buffer.size, &from);
+	g_assert_nonnull(decoded);
 	g_assert_cmpstr(from, ==, "p9");
-	g_assert_cmpint(back->kind, ==, MESSAGE_HEARTBEAT);
+	g_assert_cmpint(decoded->kind, ==, MESSAGE_HEARTBEAT);
 	msgpack_sbuffer_destroy(&buffer);
 	talloc_free(parent);
 }
 
-/* What core could not rely on never reaches it. */
-static void test_unsound(void)
+/* The decoder rejects messages that lack required parts or have enum values out of range. */
+static void test_invalid_messages(void)
 {
 	void *parent = talloc_new(NULL);
 	query_t no_text = {.verb = VERB_STATEMENT, .service = "s", .class_name = "c"};
 	query_t no_row = {.verb = VERB_BEGIN};
-	answer_t odd = {.outcome = (outcome_t)9};
+	answer_t bad_outcome = {.outcome = (outcome_t)9};
 	const message_t bad[] = {
 		{.kind = MESSAGE_HEARTBEAT},
 		{.kind = (message_kind_t)77, .incarnation = 1},
@@ -120,16 +120,16 @@
 		{.kind = MESSAGE_EXECUTE, .incarnation = 1, .query = &no_text},
 		{.kind = MESSAGE_EXECUTE, .incarnation = 1, .query = &no_row},
 		{.kind = MESSAGE_ANSWER, .incarnation = 1},
-		{.kind = MESSAGE_ANSWER, .incarnation = 1, .answer = &odd},
+		{.kind = MESSAGE_ANSWER, .incarnation = 1, .answer = &bad_outcome},
 	};
 
 	for (gsize i = 0; i < G_N_ELEMENTS(bad); i++)
-		g_assert_null(through(parent, &bad[i]));
+		g_assert_null(round_trip(parent, &bad[i]));
 	talloc_free(parent);
 }
 
-/* Every prefix of a message, and the message with one byte changed: no crash, at most a message. */
-static void test_garbage(void)
+/* Truncated messages are rejected, and a message with one bit flipped causes no crash. */
+static void test_corrupt_messages(void)
 {
 	void *parent = talloc_new(NULL);
 	query_t query = {.verb = VERB_BEGIN, .service = "s", .class_name = "c", .left = 5};
@@ -158,7 +158,7 @@
 	g_test_add_func("/wire/execute", test_execute);
 	g_test_add_func("/wire/table-push", test_table_push);
 	g_test_add_func("/wire/unknown-field", test_unknown_field);
-	g_test_add_func("/wire/unsound", test_unsound);
-	g_test_add_func("/wire/garbage", test_garbage);
+	g_test_add_func("/wire/unsound", test_invalid_messages);
+	g_test_add_func("/wire/garbage", test_corrupt_messages);
 	return g_test_run();
 }
--- a/tests/test_zmqlink.c
+++ b/tests/test_zmqlink.c
@@ -1,5 +1,4 @@
-/* Messages between proxies, over real sockets: many at once, and what becomes of them at the end.
- */
+/* Transport of messages between proxies over real sockets: long queues, idle links, the stop. */
 #include <string.h>
 
 #include "ports.h"
@@ -8,15 +7,15 @@
 #define MESSAGES      500
 #define MESSAGE_BYTES 4096
 #define WAIT_USEC     (10 * G_USEC_PER_SEC)
-/* Long enough for all of them to lie in the receiver's queue. */
-#define ARRIVAL_USEC (300 * 1000)
-/* Messages after which everything else of the process has its turn; with some room. */
-#define AT_ONCE_MOST 100
+/* Time in which all messages reach the receiver's queue. */
+#define ARRIVAL_WAIT_USEC (300 * 1000)
+/* Most messages handled in one iteration of the loop; higher than the limit in zmqlink.c. */
+#define BATCH_LIMIT 100
 
 static loop_t loop;
 
 typedef struct receiver {
-	zmqlink_t link; /* first: frames find the receiver by it */
+	zmqlink_t link; /* first, so that on_frame() can cast the link to its receiver */
 	int received;
 } receiver_t;
 
@@ -36,7 +35,7 @@
 	(void)len;
 }
 
-static void start(zmqlink_t *link, zmqlink_frame_t on_message, int port)
+static void start_link(zmqlink_t *link, zmqlink_frame_t on_message, int port)
 {
 	char *address = g_strdup_printf("127.0.0.1:%d", port);
 	err_t err = {0};
@@ -46,21 +45,21 @@
 	g_free(address);
 }
 
-static void turn(void)
+static void run_loop_once(void)
 {
 	h2o_evloop_run(loop.h2o, 10);
 	timers_expire(&loop.timers, clock_now(loop.clock));
 }
 
-static void receive(receiver_t *receiver, int count)
+static void receive_until(receiver_t *receiver, int count)
 {
 	gint64 end = g_get_monotonic_time() + WAIT_USEC;
 
 	while (receiver->received < count && g_get_monotonic_time() < end)
-		turn();
+		run_loop_once();
 }
 
-/* The first message goes out once the connection is up. */
+/* Send until the connection is open and the first message has been received. */
 static void connect_to(zmqlink_t *sender, receiver_t *receiver, const char *address,
 		       const char *message)
 {
@@ -68,13 +67,13 @@
 
 	while (zmqlink_send(sender, "b", address, message, MESSAGE_BYTES) < 0) {
 		g_assert_cmpint(g_get_monotonic_time(), <, end);
-		turn();
+		run_loop_once();
 	}
-	receive(receiver, 1);
+	receive_until(receiver, 1);
 	g_assert_cmpint(receiver->received, ==, 1);
 }
 
-/* Two proxies of which the first has a connection to the second. */
+/* Two links, the first of which is connected to the second. */
 typedef struct pair {
 	ports_t ports;
 	zmqlink_t sender;
@@ -88,13 +87,13 @@
 
 	ports_take(&pair->ports);
 	address = g_strdup_printf("127.0.0.1:%d", pair->ports.first + 1);
-	start(&pair->receiver.link, on_frame, pair->ports.first + 1);
-	start(&pair->sender, ignore_frame, pair->ports.first);
+	start_link(&pair->receiver.link, on_frame, pair->ports.first + 1);
+	start_link(&pair->sender, ignore_frame, pair->ports.first);
 	connect_to(&pair->sender, &pair->receiver, address, pair->message);
 	g_free(address);
 }
 
-/* Messages that were handed over. */
+/* Send count messages; returns how many zmqlink_send() has accepted. */
 static int pair_send(pair_t *pair, int count)
 {
 	int sent = 0;
@@ -105,25 +104,25 @@
 }
 
 /*
- * What callers see: "unknown" for a write that was done, and refusals after 250 ms of waiting. What
- * happens: a proxy that ends has handed its last answers to ZeroMQ, whose thread has not written
- * them yet when the sockets are closed. Why lingering suffices: the peer is connected and reads.
+ * Guards against answers lost at the exit of a proxy: ZeroMQ's thread had not written them when the
+ * sockets were closed, so callers got outcome unknown for a write that was done, or a refusal after
+ * 250 ms. The sockets must linger, which suffices since the peer is connected and reads.
  */
-static void test_last_messages_arrive(void)
+static void test_stop_sends_queue(void)
 {
 	pair_t pair = {0};
 
 	pair_start(&pair);
 	g_assert_cmpint(pair_send(&pair, MESSAGES), ==, MESSAGES);
 	zmqlink_stop(&pair.sender);
-	receive(&pair.receiver, MESSAGES + 1);
+	receive_until(&pair.receiver, MESSAGES + 1);
 	g_assert_cmpint(pair.receiver.received, ==, MESSAGES + 1);
 	zmqlink_stop(&pair.receiver.link);
 	ports_release(&pair.ports);
 }
 
-/* A peer that has gone doesn't keep the process from its end. */
-static void test_peer_is_gone(void)
+/* Queued messages to a peer that has stopped must not delay the exit of the process. */
+static void test_stop_without_peer(void)
 {
 	pair_t pair = {0};
 	gint64 stopped;
@@ -137,7 +136,7 @@
 	ports_release(&pair.ports);
 }
 
-/* Guards against links that pile up: each costs memory at both ends, and heartbeats. */
+/* Guards against unused links that stay open: each needs memory and heartbeats at both ends. */
 static void test_unused_link_is_closed(void)
 {
 	const run_clock_t *clock = loop.clock;
@@ -157,8 +156,8 @@
 	ports_release(&pair.ports);
 }
 
-/* A message that came before the end is taken up although the loop has not told of it. */
-static void test_receive_before_the_end(void)
+/* zmqlink_receive_all() handles an arrived message that the event loop has not reported yet. */
+static void test_receive_all(void)
 {
 	gint64 end = g_get_monotonic_time() + WAIT_USEC;
 	pair_t pair = {0};
@@ -174,28 +173,27 @@
 }
 
 /*
- * What callers saw: the holder of the duty lost it, though it lived and the store answered. What
- * happened: after a loss of power 1,813 messages lay in its queue, and 4.3 s went by until it had
- * handled them all and came to renew its lease. Why it suffices to take some at a time: timers have
- * their turn in between, and the queue is read on at once.
+ * Guards against a leader that loses its leader lease although it runs and the store answers: after
+ * a power failure 1,813 messages were in its queue, and it took 4.3 s to handle them all before it
+ * renewed the lease. Messages must be handled in batches, with timers served in between.
  */
 static void test_timers_between_messages(void)
 {
 	gint64 end = g_get_monotonic_time() + WAIT_USEC;
 	pair_t pair = {0};
-	int most = 0;
+	int max_batch = 0;
 
 	pair_start(&pair);
 	g_assert_cmpint(pair_send(&pair, MESSAGES), ==, MESSAGES);
-	g_usleep(ARRIVAL_USEC);
+	g_usleep(ARRIVAL_WAIT_USEC);
 	while (pair.receiver.received < MESSAGES + 1 && g_get_monotonic_time() < end) {
 		int before = pair.receiver.received;
 
-		turn();
-		most = MAX(most, pair.receiver.received - before);
+		run_loop_once();
+		max_batch = MAX(max_batch, pair.receiver.received - before);
 	}
 	g_assert_cmpint(pair.receiver.received, ==, MESSAGES + 1);
-	g_assert_cmpint(most, <=, AT_ONCE_MOST);
+	g_assert_cmpint(max_batch, <=, BATCH_LIMIT);
 	zmqlink_stop(&pair.sender);
 	zmqlink_stop(&pair.receiver.link);
 	ports_release(&pair.ports);
@@ -206,9 +204,9 @@
 	g_test_init(&argc, &argv, NULL);
 	g_assert_cmpint(loop_init(&loop, clock_system()), ==, 0);
 	g_test_add_func("/zmqlink/unused-link", test_unused_link_is_closed);
-	g_test_add_func("/zmqlink/last-messages-arrive", test_last_messages_arrive);
-	g_test_add_func("/zmqlink/peer-is-gone", test_peer_is_gone);
-	g_test_add_func("/zmqlink/receive-before-the-end", test_receive_before_the_end);
+	g_test_add_func("/zmqlink/last-messages-arrive", test_stop_sends_queue);
+	g_test_add_func("/zmqlink/peer-is-gone", test_stop_without_peer);
+	g_test_add_func("/zmqlink/receive-before-the-end", test_receive_all);
 	g_test_add_func("/zmqlink/timers-between", test_timers_between_messages);
 	return g_test_run();
 }
