--- a/links/pgio.h
+++ b/links/pgio.h
@@ -26,7 +26,8 @@
 	loop_watch_t watch;
 	bool ready;
 	size_t pending; /* results and sync points not received yet */
-	bool *closed; /* set while callbacks run; becomes true if the owner closes the connection */
+	/* NULL, or a flag of the running callback loop, set when the owner closes the connection */
+	bool *closed;
 	const char *options; /* libpq's "options": server settings for the session; may be NULL */
 	run_timer_t timer;   /* connect time-out, or an error that is reported from the loop */
 } pgio_t;
--- a/links/platform.c
+++ b/links/platform.c
@@ -529,7 +529,7 @@
 	rc = httpc_init(&self->httpc, &kernel->loop);
 	if (rc < 0)
 		return err_set(err, rc, "start platform link", self->conf->platform_url,
-			       "no HTTP client");
+			       "can't create the HTTP client");
 	adapter_register(self->adapter, ACTION_STORE_LOAD, on_load, self);
 	adapter_register(self->adapter, ACTION_STORE_COMMIT, on_commit, self);
 	adapter_register(self->adapter, ACTION_STORE_WATCH, on_watch, self);
--- a/links/run.h
+++ b/links/run.h
@@ -41,8 +41,8 @@
 typedef struct run {
 	query_t *query;
 	run_part_t part;
-	run_step_t
-		sent_steps[RUN_STEPS_MAX]; /* steps of this part, in the order of their results */
+	/* steps of this part, in the order of their results */
+	run_step_t sent_steps[RUN_STEPS_MAX];
 	size_t sent_count;
 	size_t next_result;
 	bool commit_sent;
--- a/links/zmqlink.c
+++ b/links/zmqlink.c
@@ -32,8 +32,8 @@
 #define HEARTBEAT_TIMEOUT_MSEC 1200
 #define UNACKED_TIMEOUT_MSEC   1200
 /*
- * The receiving end closes the connection of a peer that lost power after 5 s and three TCP
- * keep-alive probes 2 s apart.
+ * TCP keep-alive at the receiving end, which sends no heartbeat: the connection of a peer that lost
+ * power is closed after 5 s of silence and three probes 2 s apart.
  */
 #define KEEPALIVE_IDLE_SEC     5
 #define KEEPALIVE_INTERVAL_SEC 2
@@ -346,7 +346,7 @@
 	self->zap = zmq_socket(self->zmq, ZMQ_REP);
 	set_int(self->zap, ZMQ_LINGER, 0);
 	if (zmq_bind(self->zap, ZAP_ENDPOINT) < 0)
-		return err_set(err, -errno, "authenticate peers", "", "no ZAP socket");
+		return err_set(err, -errno, "authenticate peers", "", "can't bind the ZAP socket");
 	return watch_socket(self, self->zap, &self->zap_watch, on_zap_readable);
 }
 
--- a/proxy/mode_pooler.c
+++ b/proxy/mode_pooler.c
@@ -13,7 +13,7 @@
 static deploy_t shared;
 static void (*notify_drained)(void);
 
-static void *load(const char *path, usec_t *grace, err_t *err)
+static void *load_settings(const char *path, usec_t *grace, err_t *err)
 {
 	platform_conf_t *conf = platform_conf_load(NULL, path, err);
 
@@ -28,9 +28,9 @@
 	return conf;
 }
 
-static int reload(const char *path, usec_t *grace, char *effect, size_t len, err_t *err)
+static int reload_settings(const char *path, usec_t *grace, char *effect, size_t len, err_t *err)
 {
-	platform_conf_t *new_conf = load(path, grace, err);
+	platform_conf_t *new_conf = load_settings(path, grace, err);
 
 	if (new_conf == NULL)
 		return -EINVAL;
@@ -68,7 +68,7 @@
 	pooler_start(shared.pooler);
 }
 
-static const char *node_name(const void *settings)
+static const char *get_node_name(const void *settings)
 {
 	return ((const platform_conf_t *)settings)->node_name;
 }
@@ -77,9 +77,9 @@
 	.family = POOLER_FAMILY,
 	.settings = platform_settings,
 	.settings_len = &platform_settings_len,
-	.load = load,
-	.reload = reload,
+	.load = load_settings,
+	.reload = reload_settings,
 	.create_context = create_context,
 	.on_started = on_started,
-	.node_name = node_name,
+	.node_name = get_node_name,
 };
--- a/proxy/mode_requests.c
+++ b/proxy/mode_requests.c
@@ -24,7 +24,7 @@
 	return 0;
 }
 
-static void *load(const char *path, usec_t *grace, err_t *err)
+static void *load_settings(const char *path, usec_t *grace, err_t *err)
 {
 	conf_t *conf = conf_load(NULL, path, err);
 
@@ -38,9 +38,9 @@
 	return conf;
 }
 
-static int reload(const char *path, usec_t *grace, char *effect, size_t len, err_t *err)
+static int reload_settings(const char *path, usec_t *grace, char *effect, size_t len, err_t *err)
 {
-	conf_t *new_conf = load(path, grace, err);
+	conf_t *new_conf = load_settings(path, grace, err);
 
 	if (new_conf == NULL)
 		return -EINVAL;
@@ -72,7 +72,7 @@
 	adapter_submit(shared.adapter, &tick);
 }
 
-static const char *node_name(const void *settings)
+static const char *get_node_name(const void *settings)
 {
 	return ((const conf_t *)settings)->node_name;
 }
@@ -80,9 +80,9 @@
 const run_mode_t mode_requests = {
 	.settings = conf_settings,
 	.settings_len = &conf_settings_len,
-	.load = load,
-	.reload = reload,
+	.load = load_settings,
+	.reload = reload_settings,
 	.create_context = create_context,
 	.on_started = on_started,
-	.node_name = node_name,
+	.node_name = get_node_name,
 };
--- a/proxy/serve.c
+++ b/proxy/serve.c
@@ -185,7 +185,7 @@
 }
 
 /* Read the settings again and apply the reloadable ones; trigger is for the log. */
-static void reload(process_t *process, const char *trigger)
+static void reload_settings(process_t *process, const char *trigger)
 {
 	err_t err = {0};
 	char new_values[256];
@@ -227,7 +227,7 @@
 		return;
 	process->config_checked_at = now;
 	if (update_config_stamp(process))
-		reload(process, "the file has changed");
+		reload_settings(process, "the file has changed");
 }
 
 static void on_signal_check(run_timer_t *timer, usec_t now)
@@ -245,7 +245,7 @@
 	if (process->signals->reload) {
 		process->signals->reload = 0;
 		update_config_stamp(process);
-		reload(process, "requested by SIGHUP");
+		reload_settings(process, "requested by SIGHUP");
 	}
 	reload_changed_config(process, now);
 }
@@ -257,7 +257,7 @@
 			     mode->create_context(&process->kernel, settings, on_drained));
 
 	if (rc < 0)
-		return err_set(err, rc, "start", "", "no event loop");
+		return err_set(err, rc, "start", "", "can't create the event loop");
 	rc = kernel_start(&process->kernel, err);
 	if (rc == 0) {
 		LOG_INFORM("started version=%s name=%s", CYCLAMENSPAN_VERSION,
