--- a/ctl/changes.c
+++ b/ctl/changes.c
@@ -17,14 +17,7 @@
 #define AT_ONCE_MSEC 2000
 #define NOT_YET	     INT64_MIN
 
-typedef enum {
-	PART_DETECT,
-	PART_DECIDE,
-	PART_PROMOTE,
-	PART_RESUME,
-	PART_WHOLE,
-	PART_COUNT
-} run_part_t;
+typedef enum { PART_DETECT, PART_DECIDE, PART_PROMOTE, PART_RESUME, PART_WHOLE, PART_COUNT } part_t;
 
 static const char *const part_names[PART_COUNT] = {
 	[PART_DETECT] = "detect",   /* first sign at any proxy, to the decision */
@@ -161,7 +154,7 @@
 	return change->resumed != NOT_YET && change->promoted != NOT_YET;
 }
 
-static int64_t part_of(const primary_change_t *change, run_part_t part)
+static int64_t part_of(const primary_change_t *change, part_t part)
 {
 	switch (part) {
 	case PART_DETECT:
@@ -184,7 +177,7 @@
 		printf(" not ended, or without a promote\n");
 		return;
 	}
-	for (run_part_t part = 0; part < PART_COUNT; part++)
+	for (part_t part = 0; part < PART_COUNT; part++)
 		printf(" %s %lld", part_names[part], (long long)part_of(change, part));
 	printf(" ms\n");
 }
@@ -201,7 +194,7 @@
 {
 	int64_t *values = talloc_array(NULL, int64_t, list->count);
 
-	for (run_part_t part = 0; part < PART_COUNT; part++) {
+	for (part_t part = 0; part < PART_COUNT; part++) {
 		size_t count = 0;
 
 		for (size_t i = 0; i < list->count; i++) {
