--- a/access/key.c
+++ b/access/key.c
@@ -4,10 +4,10 @@
 
 #include <sodium.h>
 
-#define VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
+#define BASE64_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
-_Static_assert(KEY_DIGEST_TEXT == sodium_base64_ENCODED_LEN(KEY_DIGEST_SIZE, VARIANT),
-	       "room for the text");
+_Static_assert(KEY_DIGEST_TEXT_SIZE == sodium_base64_ENCODED_LEN(KEY_DIGEST_SIZE, BASE64_VARIANT),
+	       "KEY_DIGEST_TEXT_SIZE must match the base64 encoding");
 
 key_digest_t key_digest(const char *key, size_t len)
 {
@@ -18,9 +18,10 @@
 	return digest;
 }
 
-void key_digest_text(const key_digest_t *digest, char text[KEY_DIGEST_TEXT])
+void key_digest_format(const key_digest_t *digest, char text[KEY_DIGEST_TEXT_SIZE])
 {
-	sodium_bin2base64(text, KEY_DIGEST_TEXT, digest->bytes, sizeof(digest->bytes), VARIANT);
+	sodium_bin2base64(text, KEY_DIGEST_TEXT_SIZE, digest->bytes, sizeof(digest->bytes),
+			  BASE64_VARIANT);
 }
 
 bool key_digest_parse(const char *text, key_digest_t *digest)
@@ -28,15 +29,15 @@
 	size_t len;
 
 	return sodium_base642bin(digest->bytes, sizeof(digest->bytes), text, strlen(text), NULL,
-				 &len, NULL, VARIANT) == 0 &&
+				 &len, NULL, BASE64_VARIANT) == 0 &&
 	       len == sizeof(digest->bytes);
 }
 
-void key_label(const key_digest_t *digest, char text[KEY_LABEL_TEXT])
+void key_label(const key_digest_t *digest, char text[KEY_LABEL_TEXT_SIZE])
 {
-	char whole[KEY_DIGEST_TEXT];
+	char full[KEY_DIGEST_TEXT_SIZE];
 
-	key_digest_text(digest, whole);
-	memcpy(text, whole, KEY_LABEL_TEXT - 1);
-	text[KEY_LABEL_TEXT - 1] = '\0';
+	key_digest_format(digest, full);
+	memcpy(text, full, KEY_LABEL_TEXT_SIZE - 1);
+	text[KEY_LABEL_TEXT_SIZE - 1] = '\0';
 }
--- a/core/core.c
+++ b/core/core.c
@@ -22,30 +22,30 @@
 core_timings_t core_timings_default(void)
 {
 	return (core_timings_t){
-		.heartbeat = 200 * MSEC,
+		.heartbeat_interval = 200 * MSEC,
 		.suspect_after = 1000 * MSEC,
-		.ack = 250 * MSEC,
-		.poll = 100 * MSEC,
-		.standby_poll = 500 * MSEC,
+		.ack_timeout = 250 * MSEC,
+		.poll_interval = 100 * MSEC,
+		.standby_poll_interval = 500 * MSEC,
 		.order_timeout = 300 * MSEC,
 		.detect_floor = 100 * MSEC,
 		.stagger = 1500 * MSEC,
 		.seal_timeout = 300 * MSEC,
-		.confirm_poll = 2 * MSEC,
+		.confirm_poll_interval = 2 * MSEC,
 		.stall_after = 500 * MSEC,
-		.away_after = 500 * MSEC,
-		.table_stale = 3000 * MSEC,
+		.pause_threshold = 500 * MSEC,
+		.table_max_age = 3000 * MSEC,
 		.tx_idle = 10000 * MSEC,
 		.conn_idle = 2000 * MSEC,
-		.store_retry = 300 * MSEC,
-		.store_check = 1000 * MSEC,
-		.vm_poll = 2000 * MSEC,
+		.store_retry_interval = 300 * MSEC,
+		.store_check_interval = 1000 * MSEC,
+		.vm_poll_interval = 2000 * MSEC,
 		.forget_after = 10000 * MSEC,
 		.edit_timeout = 4000 * MSEC,
 	};
 }
 
-action_t *core_act(core_t *core, action_kind_t kind)
+action_t *core_add_action(core_t *core, action_kind_t kind)
 {
 	action_t *action = talloc_zero(NULL, action_t);
 
@@ -54,23 +54,23 @@
 	return action;
 }
 
-void core_note(core_t *core, bool warning, const char *fmt, ...)
+void core_log(core_t *core, bool warning, const char *fmt, ...)
 {
-	action_t *action = core_act(core, ACTION_NOTE);
+	action_t *action = core_add_action(core, ACTION_LOG);
 	va_list ap;
 
 	va_start(ap, fmt);
-	action->note.text = talloc_vasprintf(action, fmt, ap);
+	action->log.text = talloc_vasprintf(action, fmt, ap);
 	va_end(ap);
-	action->note.warning = warning;
+	action->log.warning = warning;
 }
 
-uint64_t core_id(core_t *core)
+uint64_t core_next_id(core_t *core)
 {
 	return ++core->next_id;
 }
 
-/* splitmix64: small, seeded, and the same on every VM, as golden files need. */
+/* splitmix64: the golden tests need the same sequence on every VM. */
 uint64_t core_random(core_t *core, uint64_t limit)
 {
 	uint64_t z = core->rng += 0x9e3779b97f4a7c15u;
@@ -84,7 +84,7 @@
 {
 	action_t *action;
 
-	while ((action = core_take_action(core)) != NULL)
+	while ((action = core_pop_action(core)) != NULL)
 		talloc_free(action);
 	timers_destroy(&core->timers);
 	HASH_CLEAR(hh, core->groups);
@@ -114,12 +114,12 @@
 	return core;
 }
 
-void core_add_seed(core_t *core, const vm_t *vm)
+void core_add_configured_proxy(core_t *core, const vm_t *vm)
 {
 	fleet_add(core->fleet, core->now, vm->name, vm->zone, vm->address, true);
 }
 
-action_t *core_take_action(core_t *core)
+action_t *core_pop_action(core_t *core)
 {
 	action_t *action;
 
@@ -130,69 +130,71 @@
 	return action;
 }
 
-usec_t core_next_wake(const core_t *core)
+usec_t core_next_tick(const core_t *core)
 {
-	return timers_next(&core->timers);
+	return timers_next_due(&core->timers);
 }
 
 /*
- * A process can be stopped for a minute and go on unaware: what it believed of
- * others then is old although no timer of its own has fired meanwhile. A big
- * step of the clock voids it all; nobody is judged on what we missed.
+ * A process can be stopped for a minute and continue without noticing: its state
+ * about peers and members is then outdated although none of its timers has fired.
+ * A gap between two events that exceeds pause_threshold invalidates that state, so
+ * that no peer or member counts as silent because of the pause.
  */
-static void notice_pause(core_t *core, usec_t now)
+static void detect_pause(core_t *core, usec_t now)
 {
 	group_t *group;
 	group_t *next;
 
-	if (core->last_wake != 0 && now - core->last_wake > core->config.timings.away_after) {
+	if (core->last_event_at != 0 &&
+	    now - core->last_event_at > core->config.timings.pause_threshold) {
 		core->pauses++;
-		core->awake_since = now;
-		core->store_contact = 0;
-		core->store_op = 0;
-		fleet_forgive(core->fleet);
+		core->resumed_at = now;
+		core->table_current_at = 0;
+		core->load_id = 0;
+		fleet_reset_health(core->fleet);
 		HASH_ITER (hh, core->groups, group, next)
-			group_forget_health(group);
+			group_reset_health(group);
 		router_after_pause(core);
-		core_note(core, true, "this process was paused for %llu ms",
-			  (unsigned long long)((now - core->last_wake) / MSEC));
+		core_log(core, true, "this process was paused for %llu ms",
+			 (unsigned long long)((now - core->last_event_at) / MSEC));
 	}
-	core->last_wake = now;
+	core->last_event_at = now;
 }
 
-static void start(core_t *core)
+static void start_timers(core_t *core)
 {
-	core->awake_since = core->now;
+	core->resumed_at = core->now;
 	peers_start(core);
 	tablesync_start(core);
 }
 
-static bool is_idle(const core_t *core)
+static bool has_no_work(const core_t *core)
 {
 	return HASH_COUNT(core->requests) == 0 && HASH_COUNT(core->txs) == 0;
 }
 
-static void drain(core_t *core)
+static void start_draining(core_t *core)
 {
 	if (core->draining)
 		return;
 	core->draining = true;
-	core_note(core, false, "shutting down: %u requests and %u transactions to finish",
-		  HASH_COUNT(core->requests), HASH_COUNT(core->txs));
+	core_log(core, false, "shutting down: %u requests and %u transactions to finish",
+		 HASH_COUNT(core->requests), HASH_COUNT(core->txs));
 	fleet_set_leaving(core->fleet, core->fleet->self);
-	watch_refresh(core);
-	peers_spread(core);
+	watch_update_groups(core);
+	peers_send_heartbeats(core);
 }
 
 static void check_drained(core_t *core)
 {
-	if (!core->draining || core->drained || !is_idle(core))
+	if (!core->draining || core->drained || !has_no_work(core))
 		return;
 	core->drained = true;
-	core_act(core, ACTION_DRAINED);
+	core_add_action(core, ACTION_DRAINED);
 }
 
-static void handle(core_t *core, const event_t *event)
+static void dispatch_event(core_t *core, const event_t *event)
 {
 	switch (event->kind) {
 	case EVENT_TICK:
@@ -204,7 +206,7 @@
 		request_caller_gone(core, event->id);
 		break;
 	case EVENT_MESSAGE:
-		peers_take(core, event->message.peer, event->message.message);
+		peers_receive(core, event->message.peer, event->message.message);
 		break;
 	case EVENT_UNSENT:
 		router_unsent(core, event->id);
@@ -225,22 +227,22 @@
 		group_control_down(core, &event->control);
 		break;
 	case EVENT_STORE_LOADED:
-		tablesync_loaded(core, event->id, &event->store);
+		tablesync_on_load(core, event->id, &event->store);
 		break;
 	case EVENT_STORE_DONE:
 		edit_store_done(core, event->id, &event->store);
 		break;
 	case EVENT_WATCH_DOWN:
-		tablesync_watch_down(core);
+		tablesync_on_watch_down(core);
 		break;
 	case EVENT_VMS:
-		tablesync_vms(core, &event->vms);
+		tablesync_on_vms(core, &event->vms);
 		break;
 	case EVENT_EDIT:
 		edit_start(core, event->id, &event->edit);
 		break;
 	case EVENT_DRAIN:
-		drain(core);
+		start_draining(core);
 		break;
 	case EVENT_COUNT:
 		break;
@@ -252,12 +254,12 @@
 	bool first = core->now == 0;
 
 	core->now = now;
-	notice_pause(core, now);
+	detect_pause(core, now);
 	if (first)
-		start(core);
-	handle(core, event);
+		start_timers(core);
+	dispatch_event(core, event);
 	timers_expire(&core->timers, now);
 	if (core->fleet_epoch != core->fleet->epoch)
-		watch_refresh(core);
+		watch_update_groups(core);
 	check_drained(core);
 }
--- a/core/group.c
+++ b/core/group.c
@@ -10,14 +10,14 @@
 #include "samples.h"
 #include "takeover.h"
 
-/* Smoothing of round-trip times, as TCP does it (RFC 6298). */
+/* Weights of a new sample in the round-trip time and its variation, as in RFC 6298. */
 #define SRTT_SHIFT   3
 #define RTTVAR_SHIFT 2
-/* A member is responsive if it answered within so many polls. */
+/* A member is responsive if it answered within this many poll intervals. */
 #define RESPONSIVE_POLLS 3
-/* What a slot is taken to work on a run at least, between round trips. */
+/* Lower bound for the time that a slot works on a run, in member_run_limit(). */
 #define MIN_BUSY_TIME USEC_PER_MSEC
-/* A refused connection is asked again soon: two in a row prove that nobody is there. */
+/* After a refused connection: two in a row prove that the process is gone. */
 #define UNREACHABLE_RECHECK (10 * USEC_PER_MSEC)
 #define FOLLOW_RETRY	    (300 * USEC_PER_MSEC)
 
@@ -31,7 +31,7 @@
 	return group;
 }
 
-member_t *group_member(const group_t *group, const char *name)
+member_t *group_find_member(const group_t *group, const char *name)
 {
 	for (size_t i = 0; i < group->member_count; i++) {
 		if (strcmp(group->members[i].spec.name, name) == 0)
@@ -49,7 +49,8 @@
 {
 	const core_timings_t *timings = &group->core->config.timings;
 
-	return fleet_acting_rank(&group->ranks) == 0 ? timings->poll : timings->standby_poll;
+	return fleet_acting_rank(&group->ranks) == 0 ? timings->poll_interval
+						     : timings->standby_poll_interval;
 }
 
 static bool is_responsive(const member_t *member)
@@ -58,10 +59,10 @@
 	usec_t within = RESPONSIVE_POLLS * poll_interval(member->group) +
 			core->config.timings.order_timeout;
 
-	return member->known && core->now - member->reported < within;
+	return member->has_report && core->now - member->reported_as_of < within;
 }
 
-size_t group_responsive(const group_t *group)
+size_t group_count_responsive(const group_t *group)
 {
 	size_t n = 0;
 
@@ -72,11 +73,12 @@
 
 bool member_is_current(const member_t *member)
 {
-	return member->known && !member->leaving && member->report.sealed == member->group->term &&
+	return member->has_report && !member->leaving &&
+	       member->report.sealed == member->group->term &&
 	       member->report.log.term == member->group->term && is_responsive(member);
 }
 
-int64_t member_limit(const member_t *member)
+int64_t member_run_limit(const member_t *member)
 {
 	const group_t *group = member->group;
 	usec_t rtt = member->srtt;
@@ -87,12 +89,13 @@
 	return member->spec.slots + (extra < member->spec.slots ? extra : member->spec.slots);
 }
 
-uint64_t member_order(member_t *member, order_kind_t kind, uint64_t term, const member_t *target)
+uint64_t member_send_order(member_t *member, order_kind_t kind, uint64_t term,
+			   const member_t *target)
 {
 	core_t *core = member->group->core;
-	action_t *action = core_act(core, ACTION_ORDER);
+	action_t *action = core_add_action(core, ACTION_ORDER);
 
-	action->id = core_id(core);
+	action->id = core_next_id(core);
 	action->order.group = talloc_strdup(action, member->group->name);
 	action->order.member = talloc_strdup(action, member->spec.name);
 	action->order.address = talloc_strdup(action, member->spec.address);
@@ -104,33 +107,33 @@
 	return action->id;
 }
 
-static void ask_report(member_t *member)
+static void request_report(member_t *member)
 {
 	core_t *core = member->group->core;
 
 	if (member->report_order != 0)
 		return;
-	member->report_order = member_order(member, ORDER_REPORT, 0, NULL);
+	member->report_order = member_send_order(member, ORDER_REPORT, 0, NULL);
 	member->report_sent = core->now;
 	member->next_report = core->now + poll_interval(member->group);
 }
 
-void group_poll_now(group_t *group)
+void group_request_reports(group_t *group)
 {
 	for (size_t i = 0; i < group->member_count; i++)
-		ask_report(&group->members[i]);
+		request_report(&group->members[i]);
 }
 
-/* While answers wait for a majority, ask more often than the poll. */
-static void set_next_report(member_t *member)
+/* While answers wait for a majority, request reports more often than poll_interval. */
+static void hasten_next_report(member_t *member)
 {
 	group_t *group = member->group;
-	usec_t soon = group->core->now + group->core->config.timings.confirm_poll;
+	usec_t soon = group->core->now + group->core->config.timings.confirm_poll_interval;
 
-	/* The primary's word adds nothing: it holds what it ran. */
+	/* A report of the primary is not needed: it holds all that it ran. */
 	if (member == group->primary)
 		return;
-	if (!list_empty(&group->confirms) && member->next_report > soon)
+	if (!list_empty(&group->confirming) && member->next_report > soon)
 		member->next_report = soon;
 }
 
@@ -144,7 +147,7 @@
 		if (group->members[i].report_order == 0 && group->members[i].next_report < at)
 			at = group->members[i].next_report;
 	}
-	due = takeover_due(group);
+	due = takeover_silence_deadline(group);
 	if (due > core->now && due < at)
 		at = due;
 	timers_arm(&core->timers, &group->timer, at, on_timer);
@@ -156,13 +159,13 @@
 
 	for (size_t i = 0; i < group->member_count; i++) {
 		if (group->members[i].next_report <= now)
-			ask_report(&group->members[i]);
+			request_report(&group->members[i]);
 	}
 	for (size_t i = 0; i < group->member_count; i++) {
 		if (!is_responsive(&group->members[i]))
 			pool_close_stuck_reads(&group->members[i]);
 	}
-	takeover_consider(group);
+	takeover_start_if_due(group);
 	pool_close_idle(group);
 	exec_dispatch(group);
 	group_arm_timer(group);
@@ -175,17 +178,17 @@
 	if (group->primary == primary)
 		return;
 	group->primary = primary;
-	group->primary_lost = primary == NULL ? core->now : 0;
+	group->primary_lost_at = primary == NULL ? core->now : 0;
 	for (size_t i = 0; primary != NULL && i < group->member_count; i++) {
 		if (&group->members[i] != primary)
 			pool_close_superseded(&group->members[i]);
 	}
 	if (primary != NULL)
-		core_note(core, false, "primary group=%s member=%s term=%llu", group->name,
-			  primary->spec.name, (unsigned long long)group->term);
+		core_log(core, false, "primary group=%s member=%s term=%llu", group->name,
+			 primary->spec.name, (unsigned long long)group->term);
 	else
-		core_note(core, true, "no primary group=%s term=%llu", group->name,
-			  (unsigned long long)group->term);
+		core_log(core, true, "no primary group=%s term=%llu", group->name,
+			 (unsigned long long)group->term);
 }
 
 static void raise_term(group_t *group, uint64_t term)
@@ -199,25 +202,28 @@
 }
 
 /*
- * Once it has obeyed, a member that lags is left alone: told again, it would
- * start to fetch the log anew and might never catch up.
+ * A member that has obeyed the order in this term is not sent it again, even if it
+ * lags: it would restart the transfer of the log and might never catch up.
  */
 void group_order_follow(member_t *member)
 {
 	group_t *group = member->group;
 	core_t *core = group->core;
-	bool obeyed = member->followed == group->term && member->report.sealed == group->term;
+	bool obeyed = member->followed_term == group->term && member->report.sealed == group->term;
 
 	if (group->primary == NULL || group->primary == member || obeyed)
 		return;
 	if (core->now - member->follow_sent < FOLLOW_RETRY)
 		return;
 	member->follow_sent = core->now;
-	member->follow_order = member_order(member, ORDER_FOLLOW, group->term, group->primary);
+	member->follow_order = member_send_order(member, ORDER_FOLLOW, group->term, group->primary);
 }
 
-/* A member that is behind in term, or still thinks itself primary, may not follow yet. */
-static void check_follows(member_t *member)
+/*
+ * A member that is behind in term, or still counts itself primary, may not replicate
+ * from the primary yet.
+ */
+static void order_follow_if_behind(member_t *member)
 {
 	const group_t *group = member->group;
 	const report_t *report = &member->report;
@@ -228,29 +234,29 @@
 		group_order_follow(member);
 }
 
-void group_take_report(group_t *group, member_t *member, const report_t *report, usec_t sent)
+void group_apply_report(group_t *group, member_t *member, const report_t *report, usec_t sent)
 {
-	/* Answers can overtake each other; an older question must not undo a newer answer. */
-	if (member->known && sent < member->reported)
+	/* Answers can arrive out of order: ignore one to an earlier request than the last. */
+	if (member->has_report && sent < member->reported_as_of)
 		return;
-	member->known = true;
+	member->has_report = true;
 	member->report = *report;
-	member->reported = sent;
+	member->reported_as_of = sent;
 	member->misses = 0;
 	member->unreachable = 0;
 	raise_term(group, report->sealed);
 	if (report->primary && report->sealed == group->term) {
 		set_primary(group, member);
-		samples_take(group, report, sent);
+		samples_add(group, report, sent);
 	} else if (group->primary == member) {
 		set_primary(group, NULL);
 	}
-	check_follows(member);
+	order_follow_if_behind(member);
 	samples_confirm(group);
-	samples_refresh_ages(group);
+	samples_update_members(group);
 }
 
-static void measure_rtt(member_t *member, usec_t rtt)
+static void update_rtt(member_t *member, usec_t rtt)
 {
 	usec_t gap;
 
@@ -264,14 +270,14 @@
 	member->srtt += (rtt >> SRTT_SHIFT) - (member->srtt >> SRTT_SHIFT);
 }
 
-static void report_done(group_t *group, member_t *member, const order_event_t *event)
+static void handle_report_done(group_t *group, member_t *member, const order_event_t *event)
 {
 	usec_t sent = member->report_sent;
 
 	member->report_order = 0;
 	if (event->status == ORDER_OK) {
-		measure_rtt(member, group->core->now - sent);
-		group_take_report(group, member, &event->report, sent);
+		update_rtt(member, group->core->now - sent);
+		group_apply_report(group, member, &event->report, sent);
 	} else {
 		member->misses++;
 		if (event->status == ORDER_UNREACHABLE) {
@@ -279,30 +285,30 @@
 			member->next_report = group->core->now + UNREACHABLE_RECHECK;
 		}
 	}
-	confirm_check(group);
-	set_next_report(member);
-	takeover_consider(group);
+	confirm_answer_ready(group);
+	hasten_next_report(member);
+	takeover_start_if_due(group);
 	exec_dispatch(group);
 	group_arm_timer(group);
 }
 
-static void follow_done(member_t *member, const order_event_t *event)
+static void handle_follow_done(member_t *member, const order_event_t *event)
 {
 	if (event->status == ORDER_OK)
-		member->followed = event->report.sealed;
+		member->followed_term = event->report.sealed;
 }
 
 void group_order_done(core_t *core, uint64_t id, const order_event_t *event)
 {
 	group_t *group = group_find(core, event->group);
-	member_t *member = group != NULL ? group_member(group, event->member) : NULL;
+	member_t *member = group != NULL ? group_find_member(group, event->member) : NULL;
 
 	if (member == NULL)
 		return;
 	if (id == member->report_order)
-		report_done(group, member, event);
+		handle_report_done(group, member, event);
 	else if (id == member->follow_order)
-		follow_done(member, event);
+		handle_follow_done(member, event);
 	else
 		takeover_order_done(group, member, id, event);
 }
@@ -310,42 +316,42 @@
 void group_control_down(core_t *core, const control_event_t *event)
 {
 	group_t *group = group_find(core, event->group);
-	member_t *member = group != NULL ? group_member(group, event->member) : NULL;
+	member_t *member = group != NULL ? group_find_member(group, event->member) : NULL;
 
 	if (member == NULL)
 		return;
-	/* Ask at once: a process that is gone refuses the new connection. */
-	ask_report(member);
+	/* Request a report at once: if the process is gone, the new connection is refused. */
+	request_report(member);
 	group_arm_timer(group);
 }
 
-void group_primary_denied(member_t *member)
+void group_on_not_primary(member_t *member)
 {
 	group_t *group = member->group;
 
 	if (group->primary != member)
 		return;
 	set_primary(group, NULL);
-	group_poll_now(group);
+	group_request_reports(group);
 	group_arm_timer(group);
 }
 
-void group_forget_health(group_t *group)
+void group_reset_health(group_t *group)
 {
 	for (size_t i = 0; i < group->member_count; i++) {
 		group->members[i].misses = 0;
 		group->members[i].unreachable = 0;
-		group->members[i].known = false;
-		group->members[i].fresh_at = 0;
-		group->members[i].reported = group->core->now;
+		group->members[i].has_report = false;
+		group->members[i].data_as_of = 0;
+		group->members[i].reported_as_of = group->core->now;
 		group->members[i].next_report = group->core->now;
 	}
 	samples_clear(group);
-	if (group->primary_lost != 0)
-		group->primary_lost = group->core->now;
+	if (group->primary_lost_at != 0)
+		group->primary_lost_at = group->core->now;
 }
 
-void groups_take_vms(core_t *core, const vm_t *vms, size_t count)
+void groups_apply_vms(core_t *core, const vm_t *vms, size_t count)
 {
 	group_t *group;
 	group_t *next;
--- a/core/placement.c
+++ b/core/placement.c
@@ -4,20 +4,20 @@
 {
 	(void)core;
 	for (size_t i = 0; i < ranks->len; i++) {
-		if (ranks->at[i]->self)
+		if (ranks->proxies[i]->self)
 			return (int)i;
 	}
 	return -1;
 }
 
-/* The members hold the limit themselves, slot by slot, so a home may ask for all of it. */
+/* Slots claimed at the member enforce the limit, so a home may use all of it. */
 static int64_t whole_limit(const core_t *core, int64_t limit)
 {
 	(void)core;
 	return limit;
 }
 
-static int rank_everybody(const core_t *core, const ranks_t *ranks)
+static int rank_all_first(const core_t *core, const ranks_t *ranks)
 {
 	(void)core;
 	(void)ranks;
@@ -40,7 +40,7 @@
 
 const placement_ops_t placement_equal_shares = {
 	.name = "equal shares",
-	.rank = rank_everybody,
+	.rank = rank_all_first,
 	.runs_all = true,
 	.share = equal_share,
 };
--- a/core/pool.c
+++ b/core/pool.c
@@ -8,12 +8,12 @@
 #include "placement.h"
 #include "tx.h"
 
-/* After a connect that failed or found no free slot. */
+/* Until the next connect after one that failed or found no free slot. */
 #define CONNECT_BACKOFF (20 * USEC_PER_MSEC)
-/* Once another proxy serves the group, its connections are needed there. */
-#define IDLE_WHEN_MOVED (200 * USEC_PER_MSEC)
+/* Idle time-out once another proxy is the group's home and needs the slots. */
+#define CONN_IDLE_AFTER_MOVE (200 * USEC_PER_MSEC)
 
-conn_t *pool_find(const core_t *core, uint64_t id)
+conn_t *pool_find_conn(const core_t *core, uint64_t id)
 {
 	conn_t *conn;
 
@@ -32,7 +32,7 @@
 	return NULL;
 }
 
-static pool_t *get_pool(member_t *member, const char *row)
+static pool_t *find_or_create_pool(member_t *member, const char *row)
 {
 	pool_t *pool = find_pool(member, row);
 
@@ -46,7 +46,7 @@
 	return pool;
 }
 
-conn_t *pool_take(member_t *member, const row_t *row)
+conn_t *pool_acquire(member_t *member, const row_t *row)
 {
 	pool_t *pool = find_pool(member, row->name);
 
@@ -55,7 +55,7 @@
 	list_for_each (it, &pool->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
 
-		/* A slot above a lowered limit is no longer ours to use. */
+		/* A slot above a lowered limit may no longer be used. */
 		if (conn->state != CONN_IDLE || conn->slot >= row->connections)
 			continue;
 		conn->state = CONN_BUSY;
@@ -64,37 +64,37 @@
 	return NULL;
 }
 
-void pool_grow(member_t *member, const row_t *row)
+void pool_connect(member_t *member, const row_t *row)
 {
 	core_t *core = member->group->core;
-	pool_t *pool = get_pool(member, row->name);
+	pool_t *pool = find_or_create_pool(member, row->name);
 	action_t *action;
 	conn_t *conn;
 
-	if (pool->pass != member->group->pass) {
-		pool->pass = member->group->pass;
+	if (pool->dispatch_pass != member->group->dispatch_pass) {
+		pool->dispatch_pass = member->group->dispatch_pass;
 		pool->wanted = 0;
 	}
 	pool->wanted++;
-	if ((int64_t)pool->total >= core->placement->share(core, row->connections) ||
+	if ((int64_t)pool->conn_count >= core->placement->share(core, row->connections) ||
 	    core->now < pool->connect_after || pool->connecting >= pool->wanted)
 		return;
 	conn = talloc_zero(core, conn_t);
-	conn->id = core_id(core);
+	conn->id = core_next_id(core);
 	conn->pool = pool;
 	conn->state = CONN_CONNECTING;
 	HASH_ADD(hh, core->conns, id, sizeof(conn->id), conn);
 	list_add_tail(&pool->conns, &conn->node);
-	pool->total++;
+	pool->conn_count++;
 	pool->connecting++;
-	action = core_act(core, ACTION_CONNECT);
+	action = core_add_action(core, ACTION_CONNECT);
 	action->id = conn->id;
 	action->connect.group = talloc_strdup(action, member->group->name);
 	action->connect.member = talloc_strdup(action, member->spec.name);
 	action->connect.address = talloc_strdup(action, member->spec.address);
 	action->connect.row = talloc_strdup(action, row->name);
 	action->connect.limit = row->connections;
-	/* A dead home's slots would be free only when the server has noticed. */
+	/* The slots of a dead home stay claimed until the server ends its sessions. */
 	action->connect.evict = fleet_replaces_suspect(&member->group->ranks);
 }
 
@@ -106,11 +106,11 @@
 	conn->idle_since = conn->pool->member->group->core->now;
 }
 
-static void forget(core_t *core, conn_t *conn)
+static void free_conn(core_t *core, conn_t *conn)
 {
 	pool_t *pool = conn->pool;
 
-	pool->total--;
+	pool->conn_count--;
 	if (conn->state == CONN_CONNECTING)
 		pool->connecting--;
 	list_del(&conn->node);
@@ -118,20 +118,20 @@
 	talloc_free(conn);
 }
 
-void pool_close(conn_t *conn)
+void pool_close_conn(conn_t *conn)
 {
 	core_t *core = conn->pool->member->group->core;
-	action_t *action = core_act(core, ACTION_CLOSE);
+	action_t *action = core_add_action(core, ACTION_CLOSE);
 
 	action->id = conn->id;
-	/* A busy one is forgotten when the link has told how its run ended. */
+	/* A busy one is freed by EVENT_CONN_DOWN, after the result of its run. */
 	if (conn->state == CONN_CONNECTING || conn->state == CONN_IDLE)
-		forget(core, conn);
+		free_conn(core, conn);
 }
 
 void pool_conn_up(core_t *core, uint64_t id, const conn_up_event_t *event)
 {
-	conn_t *conn = pool_find(core, id);
+	conn_t *conn = pool_find_conn(core, id);
 
 	if (conn == NULL)
 		return;
@@ -143,7 +143,7 @@
 
 void pool_conn_down(core_t *core, uint64_t id, const conn_down_event_t *event)
 {
-	conn_t *conn = pool_find(core, id);
+	conn_t *conn = pool_find_conn(core, id);
 	group_t *group;
 
 	if (conn == NULL)
@@ -151,21 +151,21 @@
 	group = conn->pool->member->group;
 	if (conn->state == CONN_CONNECTING) {
 		conn->pool->connect_after = core->now + CONNECT_BACKOFF;
-		core_note(core, false, "connect failed group=%s member=%s row=%s: %s", group->name,
-			  conn->pool->member->spec.name, conn->pool->row,
-			  event->detail != NULL ? event->detail : "");
+		core_log(core, false, "connect failed group=%s member=%s row=%s: %s", group->name,
+			 conn->pool->member->spec.name, conn->pool->row,
+			 event->detail != NULL ? event->detail : "");
 	}
 	if (conn->tx != NULL)
 		tx_lost(conn->tx);
-	forget(core, conn);
+	free_conn(core, conn);
 	exec_dispatch(group);
 }
 
-static bool is_surplus(const group_t *group, const conn_t *conn)
+static bool should_close_idle(const group_t *group, const conn_t *conn)
 {
 	const core_t *core = group->core;
-	const row_t *row = table_row_named(core->table, conn->pool->row);
-	usec_t allowed = group->rank == 0 ? core->config.timings.conn_idle : IDLE_WHEN_MOVED;
+	const row_t *row = table_find_row_named(core->table, conn->pool->row);
+	usec_t allowed = group->rank == 0 ? core->config.timings.conn_idle : CONN_IDLE_AFTER_MOVE;
 
 	if (conn->state != CONN_IDLE)
 		return false;
@@ -183,8 +183,8 @@
 			list_for_each_safe (it, &pool->conns) {
 				conn_t *conn = list_entry(it, conn_t, node);
 
-				if (is_surplus(group, conn))
-					pool_close(conn);
+				if (should_close_idle(group, conn))
+					pool_close_conn(conn);
 			}
 		}
 	}
@@ -197,7 +197,7 @@
 			pool_t *pool = list_entry(p, pool_t, node);
 
 			list_for_each_safe (it, &pool->conns)
-				pool_close(list_entry(it, conn_t, node));
+				pool_close_conn(list_entry(it, conn_t, node));
 		}
 	}
 }
@@ -206,10 +206,11 @@
 {
 	if (conn->state == CONN_IN_TX)
 		return true;
-	return conn->request != NULL && (conn->request->kind == ROW_WRITE || conn->request->strict);
+	return conn->request != NULL &&
+	       (conn->request->kind == ROW_WRITE || conn->request->linearizable);
 }
 
-/* One without a request is a read that was given up on. */
+/* True if the connection runs a read; without a request the read has been abandoned. */
 static bool is_read(const conn_t *conn)
 {
 	if (conn->state != CONN_BUSY)
@@ -226,7 +227,7 @@
 			conn_t *conn = list_entry(it, conn_t, node);
 
 			if (matches(conn))
-				pool_close(conn);
+				pool_close_conn(conn);
 		}
 	}
 }
@@ -241,7 +242,7 @@
 	close_matching(member, is_read);
 }
 
-bool pool_is_busy(const member_t *member)
+bool member_has_busy_conn(const member_t *member)
 {
 	list_for_each (p, &member->pools) {
 		const pool_t *pool = list_entry(p, pool_t, node);
--- a/core/request.c
+++ b/core/request.c
@@ -23,10 +23,10 @@
 	request_t *request = talloc_zero(core, request_t);
 
 	request->core = core;
-	request->id = core_id(core);
+	request->id = core_next_id(core);
 	request->query = query_copy(request, query);
 	request->arrived = core->now;
-	request->deadline = core->now + query->left;
+	request->deadline = core->now + query->time_left;
 	request->state = REQUEST_FORWARDED;
 	list_init(&request->node);
 	HASH_ADD(hh, core->requests, id, sizeof(request->id), request);
@@ -63,7 +63,7 @@
 
 bool request_is_repeatable(const request_t *request)
 {
-	/* A transaction that was begun unseen changes nothing, and is closed when it stays idle. */
+	/* A transaction opened by a lost BEGIN changes nothing and is rolled back after tx_idle. */
 	return request->kind == ROW_READ || request->query->repeatable ||
 	       request->query->request_id != NULL || request->query->verb == VERB_BEGIN;
 }
@@ -71,7 +71,7 @@
 static void answer_caller(request_t *request, const answer_t *answer)
 {
 	core_t *core = request->core;
-	action_t *action = core_act(core, ACTION_ANSWER);
+	action_t *action = core_add_action(core, ACTION_ANSWER);
 
 	action->id = request->caller;
 	action->answer.answer = answer_copy(action, answer);
@@ -80,7 +80,7 @@
 	action->answer.token = session_encode(action, core->config.token_key, request->session);
 }
 
-static void release(request_t *request)
+static void free_request(request_t *request)
 {
 	core_t *core = request->core;
 
@@ -104,7 +104,7 @@
 		router_answer_peer(request, answer);
 	else
 		answer_caller(request, answer);
-	release(request);
+	free_request(request);
 }
 
 void request_refuse(request_t *request, refusal_t refusal, usec_t retry_after, const char *fmt, ...)
@@ -121,9 +121,9 @@
 	va_start(ap, fmt);
 	answer.detail = talloc_vasprintf(request, fmt, ap);
 	va_end(ap);
-	core_note(request->core, false, "refused request=%llu row=%s outcome=%s reason=%s: %s",
-		  (unsigned long long)request->id, request->row != NULL ? request->row : "none",
-		  outcome_name(answer.outcome), refusal_name(refusal), answer.detail);
+	core_log(request->core, false, "refused request=%llu row=%s outcome=%s reason=%s: %s",
+		 (unsigned long long)request->id, request->row != NULL ? request->row : "none",
+		 outcome_name(answer.outcome), refusal_name(refusal), answer.detail);
 	request_finish(request, &answer);
 }
 
@@ -135,7 +135,7 @@
 	HASH_ITER (hh, core->requests, request, next) {
 		if (request->peer == NULL && request->caller == caller) {
 			if (request->state == REQUEST_QUEUED)
-				release(request);
+				free_request(request);
 			return;
 		}
 	}
--- a/core/samples.c
+++ b/core/samples.c
@@ -5,9 +5,9 @@
 #include "group.h"
 
 /*
- * A superseded primary's log stands still, and data compared with it looks
- * fresh for ever. So a sample counts only after a majority, asked later than
- * the primary was, still obeyed the primary's term.
+ * The log of a superseded primary may stop growing, and data compared with it would
+ * look fresh for ever. So a sample counts only once a majority has reported, for
+ * requests sent no earlier than the sample's, that it still obeys the primary's term.
  */
 void samples_confirm(group_t *group)
 {
@@ -20,14 +20,14 @@
 		for (size_t i = 0; i < group->member_count; i++) {
 			const member_t *member = &group->members[i];
 
-			witnesses += member->known && member->reported >= sample->at &&
+			witnesses += member->has_report && member->reported_as_of >= sample->at &&
 				     member->report.sealed == group->term;
 		}
 		sample->confirmed = witnesses >= group_majority(group);
 	}
 }
 
-usec_t samples_time(const group_t *group, uint64_t lsn)
+usec_t samples_time_of(const group_t *group, uint64_t lsn)
 {
 	usec_t best = 0;
 
@@ -40,13 +40,14 @@
 	return best;
 }
 
-void samples_refresh_ages(group_t *group)
+void samples_update_members(group_t *group)
 {
 	for (size_t i = 0; i < group->member_count; i++) {
 		member_t *member = &group->members[i];
 
-		member->fresh_at =
-			member_is_current(member) ? samples_time(group, member->report.log.lsn) : 0;
+		member->data_as_of = member_is_current(member)
+					     ? samples_time_of(group, member->report.log.lsn)
+					     : 0;
 	}
 }
 
@@ -57,7 +58,7 @@
 	group->sample_next = 0;
 }
 
-void samples_take(group_t *group, const report_t *report, usec_t sent)
+void samples_add(group_t *group, const report_t *report, usec_t sent)
 {
 	const sample_t *last =
 		&group->samples[(group->sample_next + GROUP_SAMPLES - 1) % GROUP_SAMPLES];
--- a/core/tablesync.c
+++ b/core/tablesync.c
@@ -8,91 +8,93 @@
 #include "peers.h"
 #include "watch.h"
 
-#define KEEPERS_KEY "table"
-/* A pull is not repeated before this, whoever offers the version. */
+/* The key for which rendezvous hashing selects the store watchers. */
+#define STORE_WATCHERS_KEY "table"
+/* The least time between two pulls as long as no push has answered the first. */
 #define PULL_INTERVAL (100 * USEC_PER_MSEC)
-/* A load that gets no answer is given up after this. */
+/* A load without an answer for this time is abandoned. */
 #define LOAD_TIMEOUT (3 * USEC_PER_SEC)
-/* The platform's list is asked for less often in a large fleet: at most so many calls a second. */
+/* Limit for the whole fleet on queries of the platform's list: a large fleet polls less often. */
 #define VM_CALLS_PER_SECOND 50
 
 static void on_store_timer(run_timer_t *timer, usec_t now);
 static void on_vm_timer(run_timer_t *timer, usec_t now);
 
-/* News from before this time no longer counts; never 0, which stands for "never heard". */
-static usec_t stale_limit(const core_t *core)
+/* Confirmations from before this time have expired; never 0, which stands for "none". */
+static usec_t oldest_valid_time(const core_t *core)
 {
-	usec_t stale = core->config.timings.table_stale;
+	usec_t stale = core->config.timings.table_max_age;
 
 	return core->now > stale ? core->now - stale : 1;
 }
 
-bool tablesync_hears_majority(const core_t *core)
+bool tablesync_reaches_majority(const core_t *core)
 {
-	return fleet_majority_heard(core->fleet, stale_limit(core));
+	return fleet_majority_is_alive(core->fleet, oldest_valid_time(core));
 }
 
 bool table_is_current(const core_t *core)
 {
 	if (core->table->version == 0)
 		return false;
-	if (core->store_contact != 0 && core->store_contact >= stale_limit(core))
+	if (core->table_current_at != 0 && core->table_current_at >= oldest_valid_time(core))
 		return true;
-	return tablesync_hears_majority(core);
+	return tablesync_reaches_majority(core);
 }
 
-static bool is_keeper(core_t *core)
+static bool is_store_watcher(core_t *core)
 {
-	fleet_rank(core->fleet, KEEPERS_KEY, &core->keepers);
-	for (size_t i = 0; i < core->keepers.len; i++) {
-		if (core->keepers.at[i]->self)
+	fleet_rank(core->fleet, STORE_WATCHERS_KEY, &core->store_watchers);
+	for (size_t i = 0; i < core->store_watchers.len; i++) {
+		if (core->store_watchers.proxies[i]->self)
 			return true;
 	}
 	return false;
 }
 
-static void load(core_t *core)
+static void load_table(core_t *core)
 {
 	action_t *action;
 
-	if (core->store_op != 0 && core->now - core->store_op_sent < LOAD_TIMEOUT)
+	if (core->load_id != 0 && core->now - core->load_sent < LOAD_TIMEOUT)
 		return;
-	action = core_act(core, ACTION_STORE_LOAD);
-	core->store_op = core_id(core);
-	core->store_op_sent = core->now;
-	action->id = core->store_op;
+	action = core_add_action(core, ACTION_STORE_LOAD);
+	core->load_id = core_next_id(core);
+	core->load_sent = core->now;
+	action->id = core->load_id;
 	action->load.table_version = core->table->version;
 	action->load.head_revision = core->head_revision;
 }
 
-static usec_t jitter(core_t *core, usec_t base)
+static usec_t add_jitter(core_t *core, usec_t base)
 {
 	return base + core_random(core, base / 2 + 1);
 }
 
-/* Keepers look regularly; others only when nobody tells them that their table is current. */
+/* Store watchers load regularly, others only if no heartbeat confirms their table for long. */
 static void on_store_timer(run_timer_t *timer, usec_t now)
 {
 	core_t *core = list_entry(timer, core_t, store_timer);
 	const core_timings_t *timings = &core->config.timings;
-	usec_t stale = timings->table_stale / 2;
-	bool lonely = core->table->version == 0 || now - core->store_contact > stale;
+	usec_t stale = timings->table_max_age / 2;
+	bool is_unconfirmed = core->table->version == 0 || now - core->table_current_at > stale;
 
-	timers_arm(&core->timers, timer, now + jitter(core, timings->store_check), on_store_timer);
-	if (is_keeper(core) || lonely)
-		load(core);
+	timers_arm(&core->timers, timer, now + add_jitter(core, timings->store_check_interval),
+		   on_store_timer);
+	if (is_store_watcher(core) || is_unconfirmed)
+		load_table(core);
 }
 
 static void on_vm_timer(run_timer_t *timer, usec_t now)
 {
 	core_t *core = list_entry(timer, core_t, vm_timer);
 	usec_t spread = HASH_COUNT(core->fleet->proxies) * USEC_PER_SEC / VM_CALLS_PER_SECOND;
-	usec_t interval = core->config.timings.vm_poll;
-	action_t *action = core_act(core, ACTION_VMS);
+	usec_t interval = core->config.timings.vm_poll_interval;
+	action_t *action = core_add_action(core, ACTION_VMS);
 
-	action->id = core_id(core);
-	timers_arm(&core->timers, timer, now + jitter(core, interval > spread ? interval : spread),
-		   on_vm_timer);
+	action->id = core_next_id(core);
+	timers_arm(&core->timers, timer,
+		   now + add_jitter(core, interval > spread ? interval : spread), on_vm_timer);
 }
 
 void tablesync_start(core_t *core)
@@ -101,10 +103,10 @@
 	on_vm_timer(&core->vm_timer, core->now);
 }
 
-void tablesync_contact(core_t *core, usec_t at)
+void tablesync_set_current_at(core_t *core, usec_t at)
 {
-	if (at > core->store_contact)
-		core->store_contact = at;
+	if (at > core->table_current_at)
+		core->table_current_at = at;
 }
 
 int tablesync_merge(core_t *core, const table_entry_t *entries, size_t count, uint64_t version,
@@ -115,90 +117,89 @@
 	int changed = table_merge(core->table, entries, count, version, &err);
 
 	if (changed < 0) {
-		core_note(core, true, "table entry unreadable source=%s peer=%s: %s", source,
-			  err.peer, err.text);
+		core_log(core, true, "table entry unreadable source=%s peer=%s: %s", source,
+			 err.peer, err.text);
 		return changed;
 	}
 	if (core->table->version == before)
 		return 0;
-	core_note(core, false, "table in force version=%llu changed=%d source=%s",
-		  (unsigned long long)core->table->version, changed, source);
-	watch_refresh(core);
-	peers_spread(core);
+	core_log(core, false, "table in force version=%llu changed=%d source=%s",
+		 (unsigned long long)core->table->version, changed, source);
+	watch_update_groups(core);
+	peers_send_heartbeats(core);
 	return changed;
 }
 
-static void pull(core_t *core, const proxy_t *from)
+static void pull_table(core_t *core, const proxy_t *from)
 {
 	message_t message = {.kind = MESSAGE_TABLE_PULL, .since = core->table->version};
 
-	if (core->pulled != 0 && core->now - core->pulled < PULL_INTERVAL)
+	if (core->last_pull != 0 && core->now - core->last_pull < PULL_INTERVAL)
 		return;
-	core->pulled = core->now;
+	core->last_pull = core->now;
 	peers_send(core, from->name, &message);
 }
 
-void tablesync_heard(core_t *core, proxy_t *from, const message_t *message)
+void tablesync_on_heartbeat(core_t *core, proxy_t *from, const message_t *message)
 {
 	if (message->table_version > core->table->version) {
-		pull(core, from);
+		pull_table(core, from);
 		return;
 	}
-	/* Sent after the echo of our clock in it, so its news is no younger than that. */
+	/* The message was sent after the clock reading that it echoes, so that bounds its age. */
 	if (message->table_version < core->table->version || message->store_age == USEC_NEVER ||
 	    message->echo <= message->store_age)
 		return;
-	tablesync_contact(core, message->echo - message->store_age);
+	tablesync_set_current_at(core, message->echo - message->store_age);
 }
 
-void tablesync_pulled(core_t *core, proxy_t *from, const message_t *message)
+void tablesync_on_pull(core_t *core, proxy_t *from, const message_t *message)
 {
 	message_t push = {.kind = MESSAGE_TABLE_PUSH, .table_version = core->table->version};
 
 	if (core->table->version <= message->since)
 		return;
-	push.entries = table_changes(core, core->table, message->since, &push.entry_count);
+	push.entries = table_changes_since(core, core->table, message->since, &push.entry_count);
 	push.since = message->since;
 	peers_send(core, from->name, &push);
 	talloc_free(push.entries);
 }
 
-void tablesync_pushed(core_t *core, proxy_t *from, const message_t *message)
+void tablesync_on_push(core_t *core, proxy_t *from, const message_t *message)
 {
-	/* It answers a pull since a version we have passed or still hold, else a part is missing.
-	 */
+	/* A push that starts after the version held here would leave out the changes in between. */
 	if (message->since > core->table->version)
 		return;
-	core->pulled = 0;
+	core->last_pull = 0;
 	tablesync_merge(core, message->entries, message->entry_count, message->table_version,
 			from->name);
 }
 
-static void watch(core_t *core)
+static void watch_store(core_t *core)
 {
 	action_t *action;
 
-	if (core->watching || !is_keeper(core))
+	if (core->watching_store || !is_store_watcher(core))
 		return;
-	core->watching = true;
-	action = core_act(core, ACTION_STORE_WATCH);
-	action->id = core_id(core);
+	core->watching_store = true;
+	action = core_add_action(core, ACTION_STORE_WATCH);
+	action->id = core_next_id(core);
 	action->load.head_revision = core->head_revision;
 	action->load.table_version = core->table->version;
 }
 
-void tablesync_loaded(core_t *core, uint64_t id, const store_event_t *event)
+void tablesync_on_load(core_t *core, uint64_t id, const store_event_t *event)
 {
-	bool ours = id == core->store_op;
-	usec_t asked = ours ? core->store_op_sent : core->now;
+	bool is_own_load = id == core->load_id;
+	usec_t requested_at = is_own_load ? core->load_sent : core->now;
 
-	if (ours)
-		core->store_op = 0;
+	if (is_own_load)
+		core->load_id = 0;
 	if (event->status != STORE_OK)
 		return;
-	/* A watch brings single edits: after a gap the entries in between would be missing. */
-	if (!ours && event->table_version > core->table->version + 1) {
-		load(core);
+	/* A watch delivers single edits: after a gap, load the table to get those in between. */
+	if (!is_own_load && event->table_version > core->table->version + 1) {
+		load_table(core);
 		return;
 	}
 	if (tablesync_merge(core, event->entries, event->entry_count, event->table_version,
@@ -206,18 +207,18 @@
 		return;
 	if (event->head_revision > core->head_revision)
 		core->head_revision = event->head_revision;
-	/* A store restored from a backup may lag behind: what was accepted stays in force. */
+	/* A store restored from a backup may be older; accepted edits stay in force here. */
 	if (event->table_version == core->table->version)
-		tablesync_contact(core, asked);
-	watch(core);
+		tablesync_set_current_at(core, requested_at);
+	watch_store(core);
 }
 
-void tablesync_watch_down(core_t *core)
+void tablesync_on_watch_down(core_t *core)
 {
-	core->watching = false;
+	core->watching_store = false;
 }
 
-void tablesync_vms(core_t *core, const vms_event_t *event)
+void tablesync_on_vms(core_t *core, const vms_event_t *event)
 {
 	vm_t *proxies;
 	size_t count = 0;
@@ -229,7 +230,7 @@
 		if (!event->vms[i].backend)
 			proxies[count++] = event->vms[i];
 	}
-	fleet_take_list(core->fleet, core->now, proxies, count, core->config.timings.forget_after);
+	fleet_apply_list(core->fleet, core->now, proxies, count, core->config.timings.forget_after);
 	talloc_free(proxies);
-	groups_take_vms(core, event->vms, event->count);
+	groups_apply_vms(core, event->vms, event->count);
 }
--- a/core/watch.c
+++ b/core/watch.c
@@ -10,10 +10,11 @@
 #include "retry.h"
 #include "samples.h"
 
+/* Start values of the moving averages of a new group. */
 #define INITIAL_SERVICE_TIME (5 * USEC_PER_MSEC)
 #define INITIAL_CONFIRM_TIME (5 * USEC_PER_MSEC)
 
-static void copy_spec(member_t *member, const member_spec_t *spec)
+static void copy_member_spec(member_t *member, const member_spec_t *spec)
 {
 	member->spec = *spec;
 	member->spec.name = talloc_strdup(member->group->members, spec->name);
@@ -28,17 +29,17 @@
 	group->members = talloc_zero_array(group, member_t, spec->member_count);
 	group->member_count = spec->member_count;
 	group->samples = talloc_zero_array(group->members, sample_t, GROUP_SAMPLES);
-	group->primary_lost = core->now;
+	group->primary_lost_at = core->now;
 	group->watched_since = core->now;
 	for (size_t i = 0; i < spec->member_count; i++) {
 		member_t *member = &group->members[i];
 
 		member->group = group;
-		member->reported = core->now;
+		member->reported_as_of = core->now;
 		list_init(&member->pools);
-		copy_spec(member, &spec->members[i]);
+		copy_member_spec(member, &spec->members[i]);
 	}
-	group_poll_now(group);
+	group_request_reports(group);
 	group_arm_timer(group);
 }
 
@@ -69,25 +70,25 @@
 	group->service_time[ROW_READ] = INITIAL_SERVICE_TIME;
 	group->service_time[ROW_WRITE] = INITIAL_SERVICE_TIME;
 	group->confirm_time = INITIAL_CONFIRM_TIME;
-	retry_init(group);
+	retry_budget_init(group);
 	list_init(&group->queue);
-	list_init(&group->confirms);
+	list_init(&group->confirming);
 	HASH_ADD_KEYPTR(hh, core->groups, group->name, strlen(group->name), group);
 	return group;
 }
 
 static bool has_runs(const group_t *group)
 {
-	if (!list_empty(&group->confirms))
+	if (!list_empty(&group->confirming))
 		return true;
 	for (size_t i = 0; i < group->member_count; i++) {
-		if (pool_is_busy(&group->members[i]))
+		if (member_has_busy_conn(&group->members[i]))
 			return true;
 	}
 	return false;
 }
 
-static bool same_members(const group_t *group, const group_spec_t *spec)
+static bool has_same_members(const group_t *group, const group_spec_t *spec)
 {
 	if (group->member_count != spec->member_count)
 		return false;
@@ -101,7 +102,7 @@
 	return true;
 }
 
-static void update_limits(group_t *group, const group_spec_t *spec)
+static void update_member_limits(group_t *group, const group_spec_t *spec)
 {
 	for (size_t i = 0; i < spec->member_count; i++) {
 		group->members[i].spec.slots = spec->members[i].slots;
@@ -110,18 +111,18 @@
 }
 
 /*
- * Let go of the members once nothing runs on them. Until then changing holds
- * new runs back, so that a busy group takes up a new list of members too.
+ * Stop watching once nothing runs on the members. Until then members_changing holds
+ * back new runs, so that a new list of members takes effect in a busy group too.
  */
-static void try_stop(group_t *group)
+static void stop_watching_if_unused(group_t *group)
 {
 	bool moved = group->rank < 0;
 
-	group->changing = !moved;
+	group->members_changing = !moved;
 	if (has_runs(group) || (moved && !list_empty(&group->queue)))
 		return;
 	stop_watching(group);
-	group->changing = false;
+	group->members_changing = false;
 }
 
 static void refresh_group(group_t *group, const table_item_t *item)
@@ -133,17 +134,18 @@
 	if (group->members != NULL) {
 		if (item->group == NULL)
 			group->rank = -1;
-		if (group->rank >= 0 && same_members(group, item->group))
-			update_limits(group, item->group);
+		if (group->rank >= 0 && has_same_members(group, item->group))
+			update_member_limits(group, item->group);
 		else
-			try_stop(group);
+			stop_watching_if_unused(group);
 	}
 	if (group->members == NULL && group->rank >= 0 && item->group != NULL)
 		start_watching(group, item->group);
-	core->refresh_pending |= group->members != NULL && (group->changing || group->rank < 0);
+	core->refresh_pending |=
+		group->members != NULL && (group->members_changing || group->rank < 0);
 }
 
-void watch_refresh(core_t *core)
+void watch_update_groups(core_t *core)
 {
 	table_item_t *item;
 	table_item_t *next;
--- a/kernel/timer.c
+++ b/kernel/timer.c
@@ -3,7 +3,7 @@
 #include <errno.h>
 #include <stdlib.h>
 
-#define FIRST_SIZE 16
+#define INITIAL_CAPACITY 16
 
 void timers_init(timer_set_t *set)
 {
@@ -18,7 +18,7 @@
 	*set = (timer_set_t){0};
 }
 
-static void place(timer_set_t *set, size_t i, run_timer_t *timer)
+static void set_slot(timer_set_t *set, size_t i, run_timer_t *timer)
 {
 	set->heap[i] = timer;
 	timer->index = i + 1;
@@ -31,12 +31,12 @@
 	while (i > 0) {
 		size_t parent = (i - 1) / 2;
 
-		if (set->heap[parent]->at <= timer->at)
+		if (set->heap[parent]->due_at <= timer->due_at)
 			break;
-		place(set, i, set->heap[parent]);
+		set_slot(set, i, set->heap[parent]);
 		i = parent;
 	}
-	place(set, i, timer);
+	set_slot(set, i, timer);
 }
 
 static void sift_down(timer_set_t *set, size_t i)
@@ -48,19 +48,19 @@
 
 		if (child >= set->len)
 			break;
-		if (child + 1 < set->len && set->heap[child + 1]->at < set->heap[child]->at)
+		if (child + 1 < set->len && set->heap[child + 1]->due_at < set->heap[child]->due_at)
 			child++;
-		if (set->heap[child]->at >= timer->at)
+		if (set->heap[child]->due_at >= timer->due_at)
 			break;
-		place(set, i, set->heap[child]);
+		set_slot(set, i, set->heap[child]);
 		i = child;
 	}
-	place(set, i, timer);
+	set_slot(set, i, timer);
 }
 
 static int reserve(timer_set_t *set)
 {
-	size_t size = set->size != 0 ? set->size * 2 : FIRST_SIZE;
+	size_t size = set->size != 0 ? set->size * 2 : INITIAL_CAPACITY;
 	run_timer_t **heap;
 
 	if (set->len < set->size)
@@ -73,14 +73,14 @@
 	return 0;
 }
 
-int timers_arm(timer_set_t *set, run_timer_t *timer, usec_t at, timer_cb_t cb)
+int timers_arm(timer_set_t *set, run_timer_t *timer, usec_t due_at, timer_cb_t cb)
 {
 	timers_cancel(set, timer);
 	if (reserve(set) < 0)
 		return -ENOMEM;
-	timer->at = at;
+	timer->due_at = due_at;
 	timer->cb = cb;
-	place(set, set->len++, timer);
+	set_slot(set, set->len++, timer);
 	sift_up(set, set->len - 1);
 	return 0;
 }
@@ -97,19 +97,19 @@
 	last = set->heap[--set->len];
 	if (last == timer)
 		return;
-	place(set, i, last);
+	set_slot(set, i, last);
 	sift_up(set, i);
 	sift_down(set, last->index - 1);
 }
 
-usec_t timers_next(const timer_set_t *set)
+usec_t timers_next_due(const timer_set_t *set)
 {
-	return set->len != 0 ? set->heap[0]->at : USEC_NEVER;
+	return set->len != 0 ? set->heap[0]->due_at : USEC_NEVER;
 }
 
 void timers_expire(timer_set_t *set, usec_t now)
 {
-	while (set->len != 0 && set->heap[0]->at <= now) {
+	while (set->len != 0 && set->heap[0]->due_at <= now) {
 		run_timer_t *timer = set->heap[0];
 
 		timers_cancel(set, timer);
--- a/links/adapter.c
+++ b/links/adapter.c
@@ -11,8 +11,8 @@
 #include "counter.h"
 #include "log.h"
 
-COUNTER_DEFINE(events_total, "events_total", COUNTER_SUM, "Events given to core.");
-COUNTER_DEFINE(actions_total, "actions_total", COUNTER_SUM, "Actions decided by core.");
+COUNTER_DEFINE(events_total, "events_total", COUNTER_SUM, "Events submitted to core.");
+COUNTER_DEFINE(actions_total, "actions_total", COUNTER_SUM, "Actions returned by core.");
 COUNTER_DEFINE(warnings_total, "notes_warning_total", COUNTER_SUM,
 	       "Decisions logged as warnings: takeovers, lost primaries, pauses.");
 
@@ -37,11 +37,11 @@
 	adapter_submit(adapter, &event);
 }
 
-static void carry_out(adapter_t *adapter)
+static void run_actions(adapter_t *adapter)
 {
 	action_t *action;
 
-	while ((action = core_take_action(adapter->core)) != NULL) {
+	while ((action = core_pop_action(adapter->core)) != NULL) {
 		counter_add(&actions_total, 1);
 		if (adapter->handlers[action->kind].handle != NULL)
 			adapter->handlers[action->kind].handle(adapter->handlers[action->kind].data,
@@ -54,24 +54,24 @@
 {
 	counter_add(&events_total, 1);
 	core_handle(adapter->core, clock_now(adapter->loop->clock), event);
-	/* A handler may submit events itself; the outermost call carries out all actions. */
-	if (adapter->draining_actions)
+	/* A handler may submit events itself; only the outermost call runs the actions. */
+	if (adapter->running_actions)
 		return;
-	adapter->draining_actions = true;
-	carry_out(adapter);
-	adapter->draining_actions = false;
-	timers_arm(&adapter->loop->timers, &adapter->timer, core_next_wake(adapter->core),
+	adapter->running_actions = true;
+	run_actions(adapter);
+	adapter->running_actions = false;
+	timers_arm(&adapter->loop->timers, &adapter->timer, core_next_tick(adapter->core),
 		   on_timer);
 }
 
-static void on_note(void *data, action_t *action)
+static void on_log_action(void *data, action_t *action)
 {
 	(void)data;
-	if (action->note.warning) {
+	if (action->log.warning) {
 		counter_add(&warnings_total, 1);
-		LOG_WARNING("%s", action->note.text);
+		LOG_WARNING("%s", action->log.text);
 	} else {
-		LOG_INFORM("%s", action->note.text);
+		LOG_INFORM("%s", action->log.text);
 	}
 }
 
@@ -83,7 +83,7 @@
 	context->on_drained(context);
 }
 
-static uint64_t wall_msec(void)
+static uint64_t wall_clock_msec(void)
 {
 	struct timespec ts;
 
@@ -117,7 +117,7 @@
 	if (sscanf(text, "%63[^,],%63[^,],%63[^,]", name, zone, address) != 3)
 		return err_set(err, -EINVAL, "read settings", text,
 			       "peers.seeds: expected NAME,ZONE,IP:PORT");
-	core_add_seed(core, &vm);
+	core_add_configured_proxy(core, &vm);
 	return 0;
 }
 
@@ -127,18 +127,21 @@
 		.name = conf->node_name,
 		.zone = conf->node_zone,
 		.address = conf->peers_listen,
-		/* Wall time only orders the lives of one VM's process; nothing compares clocks. */
-		.incarnation = wall_msec(),
-		.seed = wall_msec() ^ (uint64_t)(uintptr_t)conf,
+		/*
+		 * The wall clock only orders the incarnations of one proxy; it is never compared
+		 * with the clock of another VM.
+		 */
+		.incarnation = wall_clock_msec(),
+		.seed = wall_clock_msec() ^ (uint64_t)(uintptr_t)conf,
 		.fixed_detection = conf->failover_fixed,
 		.fixed_timeout = (usec_t)conf->failover_fixed_timeout_ms * USEC_PER_MSEC,
 		.timings = core_timings_default(),
 	};
 
-	config.timings.poll = (usec_t)conf->failover_poll_ms * USEC_PER_MSEC;
+	config.timings.poll_interval = (usec_t)conf->failover_poll_ms * USEC_PER_MSEC;
 	config.timings.detect_floor = (usec_t)conf->failover_detect_floor_ms * USEC_PER_MSEC;
 	config.timings.stall_after = (usec_t)conf->failover_stall_ms * USEC_PER_MSEC;
-	config.timings.table_stale = (usec_t)conf->table_stale_ms * USEC_PER_MSEC;
+	config.timings.table_max_age = (usec_t)conf->table_stale_ms * USEC_PER_MSEC;
 	return config;
 }
 
@@ -155,7 +158,7 @@
 	self->adapter.loop = &kernel->loop;
 	self->adapter.core = core_create(NULL, &config);
 	context->adapter = &self->adapter;
-	adapter_register(&self->adapter, ACTION_NOTE, on_note, NULL);
+	adapter_register(&self->adapter, ACTION_LOG, on_log_action, NULL);
 	adapter_register(&self->adapter, ACTION_DRAINED, on_drained, context);
 	for (size_t i = 0; i < context->conf->peers_seeds.len; i++) {
 		rc = add_seed(self->adapter.core, context->conf->peers_seeds.items[i], err);
--- a/links/etcd.c
+++ b/links/etcd.c
@@ -6,12 +6,15 @@
 #include <glib.h>
 #include <talloc.h>
 
-/* Edit ids kept in head: enough for every edit whose answer may still be outstanding. */
-#define KEPT_EDITS 32
-/* Lines of history kept in the store. */
+/*
+ * Edit ids kept in head. They must cover every edit whose result is still unknown to a proxy, which
+ * looks for its id there.
+ */
+#define KEPT_EDIT_IDS 32
+/* Edits whose history is kept in the store. */
 #define KEPT_HISTORY 1000
 
-json_t *etcd_key(const char *prefix, const char *key)
+json_t *etcd_encode_key(const char *prefix, const char *key)
 {
 	char *full = talloc_asprintf(NULL, "%s%s", prefix, key);
 	gchar *base64 = g_base64_encode((const guchar *)full, strlen(full));
@@ -31,24 +34,22 @@
 	return out;
 }
 
-/* The decoded field as a child of parent, NULL if there is none. */
-char *etcd_text(void *parent, const json_t *field)
+char *etcd_decode_text(void *parent, const json_t *field)
 {
 	const char *text = json_string_value(field);
 	gsize len;
 	guchar *raw;
-	char *copy;
+	char *out;
 
 	if (text == NULL)
 		return NULL;
 	raw = g_base64_decode(text, &len);
-	copy = talloc_strndup(parent, (const char *)raw, len);
+	out = talloc_strndup(parent, (const char *)raw, len);
 	g_free(raw);
-	return copy;
+	return out;
 }
 
-/* etcd's gateway writes 64-bit numbers as strings. */
-int64_t etcd_number(const json_t *object, const char *key)
+int64_t etcd_read_number(const json_t *object, const char *key)
 {
 	const json_t *field = json_object_get(object, key);
 
@@ -59,21 +60,21 @@
 
 void etcd_read_head(const json_t *kv, etcd_head_t *head)
 {
-	char *text = etcd_text(NULL, json_object_get(kv, "value"));
+	char *text = etcd_decode_text(NULL, json_object_get(kv, "value"));
 	json_t *value = text != NULL ? json_loads(text, 0, NULL) : NULL;
 
-	head->revision = etcd_number(kv, "mod_revision");
-	head->version = (uint64_t)etcd_number(value, "version");
+	head->revision = etcd_read_number(kv, "mod_revision");
+	head->version = (uint64_t)etcd_read_number(value, "version");
 	head->edits = json_incref(json_object_get(value, "edits"));
 	json_decref(value);
 	talloc_free(text);
 }
 
-/* One stored entry; false if it can't be read. */
-static bool read_entry(const char *prefix, void *parent, const json_t *kv, table_entry_t *out)
+/* Decode a stored entry; returns false if the entry is malformed. */
+static bool decode_entry(const char *prefix, void *parent, const json_t *kv, table_entry_t *out)
 {
-	char *key = etcd_text(parent, json_object_get(kv, "key"));
-	char *text = etcd_text(parent, json_object_get(kv, "value"));
+	char *key = etcd_decode_text(parent, json_object_get(kv, "key"));
+	char *text = etcd_decode_text(parent, json_object_get(kv, "value"));
 	json_t *stored = text != NULL ? json_loads(text, 0, NULL) : NULL;
 	size_t skip = strlen(prefix) + strlen("item/");
 	const json_t *value = json_object_get(stored, "value");
@@ -83,7 +84,7 @@
 	if (readable) {
 		dumped = json_is_object(value) ? json_dumps(value, JSON_COMPACT) : NULL;
 		out->key = talloc_strdup(parent, key + skip);
-		out->version = (uint64_t)etcd_number(stored, "version");
+		out->version = (uint64_t)etcd_read_number(stored, "version");
 		out->value = talloc_strdup(parent, dumped);
 		free(dumped);
 	}
@@ -94,21 +95,21 @@
 size_t etcd_read_entries(const char *prefix, void *parent, const json_t *kvs, table_entry_t **out)
 {
 	size_t count = json_array_size(kvs);
-	size_t taken = 0;
+	size_t decoded = 0;
 
 	*out = talloc_zero_array(parent, table_entry_t, count + 1);
 	for (size_t i = 0; i < count; i++) {
-		if (read_entry(prefix, *out, json_array_get(kvs, i), &(*out)[taken]))
-			taken++;
+		if (decode_entry(prefix, *out, json_array_get(kvs, i), &(*out)[decoded]))
+			decoded++;
 	}
-	return taken;
+	return decoded;
 }
 
-static json_t *put(const char *prefix, const char *key, json_t *value)
+static json_t *put_request(const char *prefix, const char *key, json_t *value)
 {
 	char *text = json_dumps(value, JSON_COMPACT);
-	json_t *request = json_pack("{s:{s:o, s:o}}", "requestPut", "key", etcd_key(prefix, key),
-				    "value", encode_text(text));
+	json_t *request = json_pack("{s:{s:o, s:o}}", "requestPut", "key",
+				    etcd_encode_key(prefix, key), "value", encode_text(text));
 
 	free(text);
 	json_decref(value);
@@ -117,15 +118,15 @@
 
 static json_t *head_value(const commit_action_t *commit, const json_t *edits)
 {
-	json_t *kept = json_array();
+	json_t *kept_edits = json_array();
 	size_t count = json_array_size(edits);
-	size_t first = count >= KEPT_EDITS ? count - KEPT_EDITS + 1 : 0;
+	size_t first = count >= KEPT_EDIT_IDS ? count - KEPT_EDIT_IDS + 1 : 0;
 
 	for (size_t i = first; i < count; i++)
-		json_array_append(kept, json_array_get(edits, i));
-	json_array_append_new(kept, json_string(commit->edit_id));
+		json_array_append(kept_edits, json_array_get(edits, i));
+	json_array_append_new(kept_edits, json_string(commit->edit_id));
 	return json_pack("{s:I, s:s, s:s, s:o}", "version", (json_int_t)commit->table_version,
-			 "edit", commit->edit_id, "author", commit->author, "edits", kept);
+			 "edit", commit->edit_id, "author", commit->author, "edits", kept_edits);
 }
 
 static json_t *item_value(const table_entry_t *entry)
@@ -135,7 +136,7 @@
 	return json_pack("{s:I, s:o}", "version", (json_int_t)entry->version, "value", value);
 }
 
-/* A line of the history, kept beside the table. */
+/* The value of a history key: author and changes of one edit. */
 static json_t *history_value(const commit_action_t *commit)
 {
 	json_t *changes = json_object();
@@ -147,26 +148,27 @@
 			 "edit", commit->edit_id, "author", commit->author, "changes", changes);
 }
 
-json_t *etcd_commit(const char *prefix, const commit_action_t *commit, const json_t *edits)
+json_t *etcd_commit_request(const char *prefix, const commit_action_t *commit, const json_t *edits)
 {
 	json_t *success = json_array();
-	json_t *compare = json_pack("{s:o, s:s, s:s, s:s}", "key", etcd_key(prefix, "head"),
+	json_t *compare = json_pack("{s:o, s:s, s:s, s:s}", "key", etcd_encode_key(prefix, "head"),
 				    "target", "MOD", "result", "EQUAL", "mod_revision", "0");
 	char key[600];
 
 	json_object_set_new(compare, "mod_revision", json_integer(commit->head_revision));
-	json_array_append_new(success, put(prefix, "head", head_value(commit, edits)));
+	json_array_append_new(success, put_request(prefix, "head", head_value(commit, edits)));
 	for (size_t i = 0; i < commit->entry_count; i++) {
 		snprintf(key, sizeof(key), "item/%s", commit->entries[i].key);
-		json_array_append_new(success, put(prefix, key, item_value(&commit->entries[i])));
+		json_array_append_new(success,
+				      put_request(prefix, key, item_value(&commit->entries[i])));
 	}
 	snprintf(key, sizeof(key), "history/%012llu", (unsigned long long)commit->table_version);
-	json_array_append_new(success, put(prefix, key, history_value(commit)));
+	json_array_append_new(success, put_request(prefix, key, history_value(commit)));
 	if (commit->table_version > KEPT_HISTORY) {
 		snprintf(key, sizeof(key), "history/%012llu",
 			 (unsigned long long)(commit->table_version - KEPT_HISTORY));
 		json_array_append_new(success, json_pack("{s:{s:o}}", "requestDeleteRange", "key",
-							 etcd_key(prefix, key)));
+							 etcd_encode_key(prefix, key)));
 	}
 	return json_pack("{s:[o], s:o}", "compare", compare, "success", success);
 }
--- a/links/peerlink.c
+++ b/links/peerlink.c
@@ -1,4 +1,4 @@
-/* Peers' link: core's messages between proxies. */
+/* The link to peers: sends and receives core's messages between proxies. */
 #include <errno.h>
 
 #include <talloc.h>
@@ -9,7 +9,7 @@
 #include "zmqlink.h"
 
 COUNTER_DEFINE(bad_total, "peer_messages_bad_total", COUNTER_SUM,
-	       "Messages that could not be read.");
+	       "Malformed messages received from peers.");
 
 typedef struct peerlink {
 	plugin_t base;
@@ -34,7 +34,7 @@
 	talloc_free(message);
 }
 
-static void tell_unsent(peerlink_t *self, const action_t *action)
+static void report_unsent(peerlink_t *self, const action_t *action)
 {
 	event_t event = {.kind = EVENT_UNSENT, .id = action->id};
 
@@ -51,7 +51,7 @@
 	wire_encode(&buffer, self->conf->node_name, action->send.message);
 	if (zmqlink_send(&self->zmq, action->send.peer, action->send.address, buffer.data,
 			 buffer.size) < 0)
-		tell_unsent(self, action);
+		report_unsent(self, action);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
@@ -72,7 +72,7 @@
 	peerlink_t *self = (peerlink_t *)plugin;
 	int rc;
 
-	self->adapter = adapter_of(kernel);
+	self->adapter = adapter_from_kernel(kernel);
 	self->conf = kernel->settings;
 	self->zmq.on_frame = on_frame;
 	rc = read_keys(self, err);
@@ -91,10 +91,10 @@
 			 "authenticated", self->secret_key != NULL);
 }
 
-/* Messages that have come but were not read would be lost with the process. */
-static bool settle(plugin_t *plugin)
+/* Handle the messages that have arrived; the process would lose them at its exit. */
+static bool close_idle(plugin_t *plugin)
 {
-	zmqlink_receive(&((peerlink_t *)plugin)->zmq);
+	zmqlink_receive_all(&((peerlink_t *)plugin)->zmq);
 	return true;
 }
 
@@ -111,7 +111,7 @@
 	.order = 30,
 	.start = start,
 	.dump = dump,
-	.settle = settle,
+	.close_idle = close_idle,
 	.destroy = destroy,
 };
 
--- a/measure/paused.c
+++ b/measure/paused.c
@@ -180,11 +180,12 @@
 	}
 	for (int i = 1; i <= number; i++) {
 		char *name = g_strdup_printf("w%06d", i);
-		const told_t *told = world_told(world, name);
+		const result_t *told = world_result(world, name);
 
 		if (told != NULL && told->answered && told->outcome == OUTCOME_DONE &&
-		    told->asked >= fault_at && (first_done == 0 || told->at < first_done))
-			first_done = told->at;
+		    told->requested_at >= fault_at &&
+		    (first_done == 0 || told->answered_at < first_done))
+			first_done = told->answered_at;
 		g_free(name);
 	}
 	marks = world_marks(world);
@@ -292,13 +293,13 @@
 {
 	for (int i = 1; i <= number; i++) {
 		char *name = g_strdup_printf("r%06d", i);
-		const told_t *told = world_told(world, name);
-		usec_t took = told->at - told->asked;
+		const result_t *told = world_result(world, name);
+		usec_t took = told->answered_at - told->requested_at;
 
 		mix->asked++;
 		if (told->answered && told->outcome == OUTCOME_DONE) {
 			mix->done++;
-			if (told->written == NULL)
+			if (told->written_value == NULL)
 				g_array_append_val(mix->read_times, took);
 		}
 		g_free(name);
@@ -317,13 +318,13 @@
 	world_t *world;
 
 	config.replication_lag = lag;
-	config.replica_lean = variant->replica_lean;
-	config.zone_blind = variant->zone_blind;
+	config.replica_share = variant->replica_lean;
+	config.ignore_zones = variant->zone_blind;
 	world = world_create(&config);
 	world_run(world, 3 * USEC_PER_SEC);
 	while (world_now(world) < (3 + READ_SECONDS) * USEC_PER_SEC) {
 		char *before = g_strdup_printf("r%06d", number - 200);
-		const told_t *told = number > 200 ? world_told(world, before) : NULL;
+		const result_t *told = number > 200 ? world_result(world, before) : NULL;
 
 		ask_mixed(world, ++number, told != NULL ? told->token : NULL);
 		g_free(before);
@@ -381,16 +382,17 @@
 {
 	for (int i = 1; i <= number; i++) {
 		char *name = g_strdup_printf("r%06d", i);
-		const told_t *told = world_told(world, name);
+		const result_t *told = world_result(world, name);
 		bool in_time = told->answered && told->outcome == OUTCOME_DONE &&
-			       told->at - told->asked <= LOAD_DEADLINE;
+			       told->answered_at - told->requested_at <= LOAD_DEADLINE;
 
 		result->asked++;
 		result->in_time += in_time;
-		result->late += !told->answered || told->at - told->asked > LOAD_DEADLINE;
+		result->late +=
+			!told->answered || told->answered_at - told->requested_at > LOAD_DEADLINE;
 		result->refused += told->answered && told->outcome == OUTCOME_NOT_RUN;
 		result->unknown += told->answered && told->outcome == OUTCOME_UNKNOWN;
-		if (told->written != NULL) {
+		if (told->written_value != NULL) {
 			result->writes++;
 			result->writes_in_time += in_time;
 		}
--- a/pooler/admission.c
+++ b/pooler/admission.c
@@ -10,46 +10,48 @@
 #include "counter.h"
 #include "log.h"
 
-/* As whom a member knows callers that need no key. */
-#define NO_CUSTOMER "public"
+/* Customer name that members are sent for callers without a key. */
+#define PUBLIC_CUSTOMER "public"
 
 COUNTER_DEFINE(unknown_total, "keys_unknown_total", COUNTER_SUM,
-	       "Sessions refused since no customer has their key.");
+	       "Sessions refused because no customer has their key.");
 COUNTER_DEFINE(no_database_total, "databases_unknown_total", COUNTER_SUM,
-	       "Sessions refused since the configuration names no such database.");
+	       "Sessions refused because the configuration has no such database.");
 COUNTER_DEFINE(barred_total, "sessions_barred_total", COUNTER_SUM,
-	       "Open sessions whose key was taken from their customer.");
+	       "Open sessions whose key was revoked.");
 
 static const customer_t *customer_of(const pooler_t *pooler, const key_digest_t *key)
 {
-	return customers_by_key(pooler->routes->customers, key);
+	return customers_find_by_key(pooler->routes->customers, key);
 }
 
 static void log_refused(const pooler_t *pooler, const char *database, const key_digest_t *key,
 			reason_t reason)
 {
-	char label[KEY_LABEL_TEXT];
+	char label[KEY_LABEL_TEXT_SIZE];
 
 	key_label(key, label);
-	LOG_EVENT(LOG_WARN, "session refused", LOG_STR("database", database), LOG_STR("key", label),
-		  LOG_STR("reason", reason_text(reason)),
-		  LOG_INT("config", pooler->routes->version),
-		  LOG_INT("heard", pooler->config_heard),
-		  LOG_INT("keys_age_ms",
-			  usec_age_ms(proof_age(&pooler->config_proof, now_of(pooler)))));
+	LOG_EVENT(
+		LOG_WARN, "session refused", LOG_STR("database", database), LOG_STR("key", label),
+		LOG_STR("reason", reason_text(reason)), LOG_INT("config", pooler->routes->version),
+		LOG_INT("heard", pooler->newest_config_version),
+		LOG_INT("keys_age_ms",
+			usec_age_ms(cache_validity_age(&pooler->config_validity, now_of(pooler)))));
 }
 
 /*
- * True if what the configuration lacks is unknown: no newer one is heard of, and none can have been
- * in force for its bound.
+ * True if a key or database that is missing in the configuration does not exist: no newer version
+ * has been reported, and the store has confirmed this one as the newest within the bound in which a
+ * new configuration must be in force.
  */
 static bool is_current(const pooler_t *pooler)
 {
-	return pooler->routes->version >= pooler->config_heard &&
-	       proof_age(&pooler->config_proof, now_of(pooler)) < pooler->config.config_bound;
+	return pooler->routes->version >= pooler->newest_config_version &&
+	       cache_validity_age(&pooler->config_validity, now_of(pooler)) <
+		       pooler->config.config_bound;
 }
 
-code_t admission_unknown(const pooler_t *pooler, reason_t *reason)
+code_t admission_unknown_database(const pooler_t *pooler, reason_t *reason)
 {
 	bool current = is_current(pooler);
 
@@ -57,22 +59,22 @@
 	return current ? CODE_NO_DATABASE : CODE_BUSY;
 }
 
-bool admission_opens(const pooler_t *pooler, const char *database, const key_digest_t *key,
-		     code_t *code)
+bool admission_check_session(const pooler_t *pooler, const char *database, const key_digest_t *key,
+			     code_t *code)
 {
 	const route_t *route = routes_find(pooler->routes, database);
 	reason_t reason;
 
 	if (route == NULL) {
-		*code = admission_unknown(pooler, &reason);
+		*code = admission_unknown_database(pooler, &reason);
 		counter_add(&no_database_total, 1);
 		log_refused(pooler, database, key, reason);
 		return false;
 	}
-	if (route->open)
+	if (route->keyless)
 		return true;
-	/* What is too old does not show that a key is unknown either. */
-	if (!proof_holds(&pooler->config_proof, now_of(pooler)) ||
+	/* A configuration that is not current does not prove that a key is unknown. */
+	if (!cache_is_valid(&pooler->config_validity, now_of(pooler)) ||
 	    (customer_of(pooler, key) == NULL && !is_current(pooler))) {
 		*code = CODE_BUSY;
 		log_refused(pooler, database, key, REASON_KEYS_TOO_OLD);
@@ -93,33 +95,33 @@
 		talloc_free(caller->customer);
 		caller->customer = talloc_strdup(caller, customer);
 	}
-	caller->line = service_line(caller->service, customer);
+	caller->customer_pool = service_customer_pool(caller->service, customer);
 }
 
-bool admission_begins(caller_t *caller, const route_t *route, reason_t *reason)
+bool admission_check_operation(caller_t *caller, const route_t *route, reason_t *reason)
 {
 	const pooler_t *pooler = caller->pooler;
 	const customer_t *customer = customer_of(pooler, &caller->key);
 
-	caller->by_open_route = route->open;
-	if (route->open) {
-		admission_set_customer(caller, customer != NULL ? customer->name : NO_CUSTOMER);
+	caller->keyless = route->keyless;
+	if (route->keyless) {
+		admission_set_customer(caller, customer != NULL ? customer->name : PUBLIC_CUSTOMER);
 		return true;
 	}
-	if (!proof_holds(&pooler->config_proof, now_of(pooler))) {
+	if (!cache_is_valid(&pooler->config_validity, now_of(pooler))) {
 		*reason = REASON_KEYS_TOO_OLD;
 		return false;
 	}
 	if (customer == NULL) {
-		*reason = REASON_KEY_TAKEN;
+		*reason = REASON_KEY_REVOKED;
 		return false;
 	}
 	admission_set_customer(caller, customer->name);
 	return true;
 }
 
-/* True if the session's operations would run by the same name as the last one. */
-static bool is_same(const caller_t *caller)
+/* True if the session's key still belongs to the customer of its last operation. */
+static bool has_same_customer(const caller_t *caller)
 {
 	const customer_t *customer = customer_of(caller->pooler, &caller->key);
 
@@ -127,57 +129,58 @@
 	       strcmp(customer->name, caller->customer) == 0;
 }
 
-bool admission_goes_on(const caller_t *caller, reason_t *reason)
+bool admission_check_transaction(const caller_t *caller, reason_t *reason)
 {
-	/* The proxy that it stands for has looked. */
-	if (caller->job != NULL || caller->by_open_route)
+	/* The proxy that has forwarded the statement has checked the key. */
+	if (caller->job != NULL || caller->keyless)
 		return true;
-	if (!proof_holds(&caller->pooler->config_proof, now_of(caller->pooler)))
+	if (!cache_is_valid(&caller->pooler->config_validity, now_of(caller->pooler)))
 		*reason = REASON_KEYS_TOO_OLD;
-	else if (!is_same(caller))
-		*reason = REASON_KEY_TAKEN;
+	else if (!has_same_customer(caller))
+		*reason = REASON_KEY_REVOKED;
 	else
 		return true;
 	return false;
 }
 
-static bool is_barred(const caller_t *caller)
+static bool is_key_revoked(const caller_t *caller)
 {
 	const route_t *route = routes_find(caller->pooler->routes, caller->database);
 
-	if (caller->job != NULL || route == NULL || route->open)
+	if (caller->job != NULL || route == NULL || route->keyless)
 		return false;
-	return caller->customer != NULL ? !is_same(caller)
+	return caller->customer != NULL ? !has_same_customer(caller)
 					: customer_of(caller->pooler, &caller->key) == NULL;
 }
 
 /*
- * A transaction of a key that was taken would hold its connection, and keep its locks, until its
- * client sends the next statement. One that is under way is looked at when its client sends again.
+ * Marks a session whose key was revoked and rolls back its idle transaction, which would otherwise
+ * keep its connection and its locks until the client sends the next statement. A session with a
+ * statement in progress is checked at the next statement.
  */
-static void bar(caller_t *caller)
+static void mark_key_revoked(caller_t *caller)
 {
-	char label[KEY_LABEL_TEXT];
+	char label[KEY_LABEL_TEXT_SIZE];
 
-	caller->barred = true;
+	caller->key_revoked = true;
 	counter_add(&barred_total, 1);
 	key_label(&caller->key, label);
-	LOG_EVENT(LOG_INFO, "key was taken", LOG_STR("database", caller->database),
+	LOG_EVENT(LOG_INFO, "key of a session revoked", LOG_STR("database", caller->database),
 		  LOG_STR("customer", caller->customer != NULL ? caller->customer : ""),
 		  LOG_STR("key", label), LOG_INT("config", caller->pooler->routes->version),
 		  LOG_INT("in_transaction", caller->tx == TX_OPEN), LOG_INT("busy", caller->busy));
 	if (caller->tx == TX_OPEN && !caller->busy && caller->conn != NULL)
-		conn_reclaim(caller->conn, "its key was taken");
+		conn_reclaim(caller->conn, "key revoked");
 }
 
-void admission_on_keys(pooler_t *pooler)
+void admission_on_keys_changed(pooler_t *pooler)
 {
 	list_for_each (it, &pooler->callers) {
 		caller_t *caller = list_entry(it, caller_t, node);
 
-		if (!caller->barred && is_barred(caller))
-			bar(caller);
-		else if (caller->barred && !is_barred(caller))
-			caller->barred = false;
+		if (!caller->key_revoked && is_key_revoked(caller))
+			mark_key_revoked(caller);
+		else if (caller->key_revoked && !is_key_revoked(caller))
+			caller->key_revoked = false;
 	}
 }
--- a/pooler/exchange.c
+++ b/pooler/exchange.c
@@ -8,11 +8,11 @@
 
 #include "adopt.h"
 #include "ask.h"
-#include "duty.h"
+#include "failover.h"
 #include "forward.h"
-#include "hold.h"
 #include "job.h"
 #include "join.h"
+#include "leader.h"
 #include "permit.h"
 #include "push.h"
 #include "quota.h"
@@ -25,8 +25,8 @@
 #define LOG_MODULE "exchange"
 #include "log.h"
 
-/* A roster that was told is believed to be on its way for so long. */
-#define ROSTER_ON_ITS_WAY (2 * ASK_INTERVAL)
+/* A roster that was sent counts as in flight for this time. */
+#define ROSTER_IN_FLIGHT_TIME (2 * ASK_QUERY_INTERVAL)
 
 const char *exchange_next_word(const char **list, size_t *len)
 {
@@ -39,7 +39,7 @@
 	return word;
 }
 
-bool exchange_lists(const char *list, const char *word)
+bool exchange_list_contains(const char *list, const char *word)
 {
 	size_t wanted = strlen(word);
 	const char *next;
@@ -52,7 +52,7 @@
 	return false;
 }
 
-void exchange_fill(const pooler_t *pooler, peer_message_t *message)
+void exchange_fill_sender(const pooler_t *pooler, peer_message_t *message)
 {
 	message->from = pooler->config.name;
 	message->address = pooler->config.address;
@@ -71,7 +71,9 @@
 	return pooler->env->ops->peer_send(pooler->env, name, address, message);
 }
 
-/* What the holder knows of the changes under way, for those whose callers wait. */
+/*
+ * The leader's estimate of when each change of primary ends, for proxies whose callers wait for it.
+ */
 static char *describe_ends(const pooler_t *pooler, usec_t now, void *parent)
 {
 	char *ends = talloc_strdup(parent, "");
@@ -81,13 +83,14 @@
 
 		if (service->change.step != CHANGE_NONE)
 			ends = talloc_asprintf_append(ends, "%s:%" PRIu64 " ", service->name,
-						      duty_remaining(service, now) / USEC_PER_MSEC);
+						      failover_remaining(service, now) /
+							      USEC_PER_MSEC);
 	}
 	return ends;
 }
 
-/* The ends that a list of "SERVICE:MS" names; see describe_ends(). */
-static void take_ends(pooler_t *pooler, const char *ends, usec_t now)
+/* Applies the list that describe_ends() has made. */
+static void apply_ends(pooler_t *pooler, const char *ends, usec_t now)
 {
 	const char *word;
 	size_t len;
@@ -100,104 +103,107 @@
 			continue;
 		HASH_FIND(hh, pooler->services_by_name, word, (size_t)(colon - word), service);
 		if (service != NULL && service->changing_since != USEC_NEVER)
-			service->change_end = now + strtoull(colon + 1, NULL, 10) * USEC_PER_MSEC;
+			service->change_expected_end =
+				now + strtoull(colon + 1, NULL, 10) * USEC_PER_MSEC;
 	}
 }
 
-static usec_t holder_age(const pooler_t *pooler, usec_t now)
+static usec_t get_leader_age(const pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
 
-	if (hold_is_ours(pooler, now))
+	if (leader_is_self(pooler, now))
 		return 0;
-	return sync->holder_heard != 0 ? now - sync->holder_heard : USEC_NEVER;
+	return sync->leader_seen_at != 0 ? now - sync->leader_seen_at : USEC_NEVER;
 }
 
 /*
- * Who agrees with the roster, for those that ask this proxy while the store is away. The proxies
- * of one hub are not another one's, so hubs add theirs up.
+ * Fills in which proxies agree on the roster, for downstream proxies while the store is
+ * unreachable. Each hub has other downstream proxies, so the hubs add up their agreements.
  */
-static void describe_agreement(const pooler_t *pooler, usec_t now, peer_message_t *message,
-			       void *parent)
+static void fill_agreement(const pooler_t *pooler, usec_t now, peer_message_t *message,
+			   void *parent)
 {
 	const sync_t *sync = &pooler->sync;
-	usec_t at = permit_agreed_at(pooler);
+	usec_t at = permit_quorum_confirmed_at(pooler);
 	char *agreed;
 
-	message->quorum_age = at != 0 ? now - at : USEC_NEVER;
-	if (!upstream_applies(pooler) || !ask_news_is_old(pooler, now))
+	message->agreement_age = at != 0 ? now - at : USEC_NEVER;
+	if (!upstream_uses_hubs(pooler) || !ask_roster_is_unconfirmed(pooler, now))
 		return;
 	agreed = talloc_strdup(parent, "");
 	list_for_each (it, &sync->reports) {
 		const peer_report_t *report = list_entry(it, peer_report_t, node);
 
-		if (upstream_listens(report, now) && report->agreed_at != 0)
+		if (upstream_has_recent_query(report, now) && report->agreed_at != 0)
 			agreed = talloc_asprintf_append(agreed, "%s:%" PRIu64 " ", report->name,
 							(now - report->agreed_at) / USEC_PER_MSEC);
 	}
-	message->agreed = agreed;
+	message->agreements = agreed;
 }
 
 /*
- * What the proxy lacks of the roster; NULL: nothing. While what it was told last may be on its way,
- * its questions do not know of that yet. To answer each with all of it again would fill our link
- * after a restart of the fleet, when every entry has changed.
+ * Returns what the proxy lacks of the roster; NULL: nothing. While the roster sent last may be in
+ * flight, the proxy's queries still report an older revision. Answering each of them with all
+ * changes again would fill our link after a restart of the fleet, when every entry has changed.
  */
-static const char *news_of_roster(const pooler_t *pooler, const peer_report_t *report,
-				  const peer_message_t *ask, usec_t now)
+static const char *get_roster_update(const pooler_t *pooler, const peer_report_t *report,
+				     const peer_message_t *query, usec_t now)
 {
-	int64_t known = ask != NULL ? ask->revision : report->revision;
+	int64_t receiver_revision = query != NULL ? query->revision : report->revision;
 
-	if (report->roster_told > known && now < report->roster_told_at + ROSTER_ON_ITS_WAY)
-		known = report->roster_told;
-	if (known >= pooler->sync.roster->revision)
+	if (report->roster_sent_revision > receiver_revision &&
+	    now < report->roster_sent_at + ROSTER_IN_FLIGHT_TIME)
+		receiver_revision = report->roster_sent_revision;
+	if (receiver_revision >= pooler->sync.roster->revision)
 		return NULL;
-	return roster_changes(pooler->sync.roster, known);
+	return roster_encode_changes(pooler->sync.roster, receiver_revision);
 }
 
-/* ask: what is answered; NULL: nobody has asked. */
+/* query: the query that the state answers; NULL: the state is pushed. */
 static bool send_state(pooler_t *pooler, const char *name, const char *address,
-		       const peer_message_t *ask)
+		       const peer_message_t *query)
 {
 	peer_report_t *report = exchange_get_report(pooler, name);
 	const sync_t *sync = &pooler->sync;
-	peer_message_t message = {.kind = PEER_STATE, .echo = ask != NULL ? ask->echo : 0};
+	peer_message_t message = {.kind = PEER_STATE, .echo = query != NULL ? query->echo : 0};
 	void *parent = talloc_new(NULL);
 	usec_t now = now_of(pooler);
 	bool sent;
 
-	exchange_fill(pooler, &message);
+	exchange_fill_sender(pooler, &message);
 	message.members_digest = refresh_members_digest(pooler);
-	message.age = sync->confirmed_at != USEC_NEVER ? now - sync->confirmed_at : USEC_NEVER;
-	message.roster = news_of_roster(pooler, report, ask, now);
-	if (hold_is_ours(pooler, now))
-		message.ends = describe_ends(pooler, now, parent);
-	message.doubted = verdict_doubts(pooler, now, parent);
-	message.holder = sync->holder;
-	message.holder_address = sync->holder_address;
-	message.fence = sync->fence;
-	message.holder_age = holder_age(pooler, now);
-	describe_agreement(pooler, now, &message, parent);
-	refresh_describe(pooler, name, ask, &message, parent);
+	message.roster_age =
+		sync->confirmed_at != USEC_NEVER ? now - sync->confirmed_at : USEC_NEVER;
+	message.roster = get_roster_update(pooler, report, query, now);
+	if (leader_is_self(pooler, now))
+		message.change_ends = describe_ends(pooler, now, parent);
+	message.suspected_primaries = verdict_suspects(pooler, now, parent);
+	message.leader = sync->leader;
+	message.leader_address = sync->leader_address;
+	message.fencing_token = sync->fencing_token;
+	message.leader_age = get_leader_age(pooler, now);
+	fill_agreement(pooler, now, &message, parent);
+	refresh_fill_state(pooler, name, query, &message, parent);
 	sent = exchange_send(pooler, name, address, &message);
 	if (sent && message.roster != NULL) {
-		report->roster_told = sync->roster->revision;
-		report->roster_told_at = now;
+		report->roster_sent_revision = sync->roster->revision;
+		report->roster_sent_at = now;
 	}
 	talloc_free(parent);
 	return sent;
 }
 
-bool exchange_tell(pooler_t *pooler, const char *name, const char *address)
+bool exchange_send_state(pooler_t *pooler, const char *name, const char *address)
 {
 	return send_state(pooler, name, address, NULL);
 }
 
-bool exchange_ping(const pooler_t *pooler, const roster_node_t *peer)
+bool exchange_send_ping(const pooler_t *pooler, const roster_node_t *peer)
 {
 	peer_message_t message = {.kind = PEER_PING};
 
-	exchange_fill(pooler, &message);
+	exchange_fill_sender(pooler, &message);
 	return exchange_send(pooler, peer->name, peer->address, &message);
 }
 
@@ -205,7 +211,7 @@
 {
 	peer_message_t pong = {.kind = PEER_PONG};
 
-	exchange_fill(pooler, &pong);
+	exchange_fill_sender(pooler, &pong);
 	exchange_send(pooler, message->from, message->address, &pong);
 }
 
@@ -213,7 +219,7 @@
 {
 	peer_report_t *report = exchange_get_report(pooler, message->from);
 
-	report->ponged = true;
+	report->ping_answered = true;
 	upstream_on_pong(report, now_of(pooler));
 }
 
@@ -222,27 +228,27 @@
 	sync_t *sync = &pooler->sync;
 	peer_report_t *report;
 
-	HASH_FIND_STR(sync->by_name, name, report);
+	HASH_FIND_STR(sync->reports_by_name, name, report);
 	if (report != NULL)
 		return report;
 	report = talloc_zero(pooler, peer_report_t);
 	report->name = talloc_strdup(report, name);
-	list_init(&report->awaited);
+	list_init(&report->unanswered_node);
 	list_add_tail(&sync->reports, &report->node);
-	HASH_ADD_KEYPTR(hh, sync->by_name, report->name, strlen(name), report);
+	HASH_ADD_KEYPTR(hh, sync->reports_by_name, report->name, strlen(name), report);
 	return report;
 }
 
-const peer_report_t *exchange_report(const pooler_t *pooler, const char *name)
+const peer_report_t *exchange_find_report(const pooler_t *pooler, const char *name)
 {
 	const peer_report_t *report;
 
-	HASH_FIND_STR(pooler->sync.by_name, name, report);
+	HASH_FIND_STR(pooler->sync.reports_by_name, name, report);
 	return report;
 }
 
-/* True if the text is another one than before. */
-static bool replace(peer_report_t *report, char **field, const char *text)
+/* Replaces *field; true if the text differs from the previous one. */
+static bool replace_text(peer_report_t *report, char **field, const char *text)
 {
 	if (text == NULL)
 		text = "";
@@ -253,83 +259,91 @@
 	return true;
 }
 
-static void note_access(peer_report_t *report, const peer_message_t *message, usec_t now)
+static void record_store_access(peer_report_t *report, const peer_message_t *message, usec_t now)
 {
 	report->cut_off = message->cut_off;
-	report->access_at = now;
+	report->access_reported_at = now;
 }
 
 /*
- * What a proxy has reported, heard from itself or through a hub. True if it is other than before in
- * what a change of primary may wait for.
+ * Stores what a proxy has reported, by its own query or through a hub. True if this differs from
+ * its previous report in something that a change of primary may wait for.
  */
-static bool take_report(pooler_t *pooler, const peer_message_t *message, usec_t heard_at)
+static bool save_report(pooler_t *pooler, const peer_message_t *message, usec_t received_at)
 {
 	peer_report_t *report = exchange_get_report(pooler, message->from);
-	bool news;
+	bool changed;
 
-	/* Of an earlier process of that proxy, or by a slower way than a later one. */
+	/*
+	 * The report is one of an earlier process of that proxy, or older than one that came by a
+	 * faster path.
+	 */
 	if (message->incarnation < report->incarnation ||
-	    (message->incarnation == report->incarnation && heard_at < report->heard_at))
+	    (message->incarnation == report->incarnation && received_at < report->received_at))
 		return false;
 	if (message->incarnation != report->incarnation)
-		report->roster_told = 0;
+		report->roster_sent_revision = 0;
 	report->incarnation = message->incarnation;
-	report->heard_at = heard_at;
-	news = report->revision != message->revision && ask_tells_revision(pooler);
+	report->received_at = received_at;
+	changed = report->revision != message->revision && ask_must_report_revision(pooler);
 	report->revision = message->revision;
-	report->fleet = message->fleet;
-	news |= replace(report, &report->down, message->down);
-	news |= replace(report, &report->failing, message->failing);
-	pooler->sync.votes_differ |= news;
-	news |= replace(report, &report->in_use, message->in_use);
-	replace(report, &report->alive, message->alive);
-	return news;
+	report->fleet_size = message->fleet_size;
+	changed |= replace_text(report, &report->down, message->down);
+	changed |= replace_text(report, &report->failing, message->failing);
+	pooler->sync.votes_changed |= changed;
+	changed |= replace_text(report, &report->in_use, message->in_use);
+	replace_text(report, &report->alive, message->alive);
+	return changed;
 }
 
-static void note_listener(pooler_t *pooler, const peer_message_t *message, usec_t now)
+static void record_downstream(pooler_t *pooler, const peer_message_t *message, usec_t now)
 {
 	peer_report_t *report = exchange_get_report(pooler, message->from);
 
-	upstream_on_question(report, now);
-	report->config_at = message->config_at;
-	report->members_at = message->members_at;
-	note_access(report, message, now);
+	upstream_on_query(report, now);
+	report->config_as_of = message->config_as_of;
+	report->members_as_of = message->members_as_of;
+	record_store_access(report, message, now);
 }
 
-static void on_ask(pooler_t *pooler, const peer_message_t *message)
+static void on_query(pooler_t *pooler, const peer_message_t *message)
 {
 	usec_t now = now_of(pooler);
-	bool news;
+	bool changed;
 
 	if (message->incarnation < exchange_get_report(pooler, message->from)->incarnation)
 		return;
-	news = take_report(pooler, message, now);
+	changed = save_report(pooler, message, now);
 	for (size_t i = 0; i < message->report_count; i++) {
 		const peer_message_t *report = &message->reports[i];
 
 		join_on_report(pooler, report);
-		news |= take_report(pooler, report,
-				    now > report->report_age ? now - report->report_age : 0);
+		changed |= save_report(pooler, report,
+				       now > report->report_age ? now - report->report_age : 0);
 	}
-	note_listener(pooler, message, now);
+	record_downstream(pooler, message, now);
 	if (message->revision > pooler->sync.roster->revision)
-		pooler->sync.behind = true;
-	if (join_answers(pooler, message->from))
+		pooler->sync.roster_maybe_stale = true;
+	if (join_can_answer(pooler, message->from))
 		send_state(pooler, message->from, message->address, message);
-	join_on_ask(pooler, message);
-	/* Only what a change may wait for: with 75 proxies four questions a second each come in. */
-	if (news && hold_is_ours(pooler, now))
-		duty_tick(pooler, now);
-	else if (news && upstream_is_hub(pooler))
-		pooler->sync.ask_next = 0;
+	join_on_query(pooler, message);
+	/*
+	 * Run only for what a change may wait for: with 75 proxies, four queries arrive from each
+	 * of them in a second.
+	 */
+	if (changed && leader_is_self(pooler, now))
+		failover_tick(pooler, now);
+	else if (changed && upstream_is_hub(pooler))
+		pooler->sync.query_next = 0;
 }
 
-/* The agreement of others with our roster, as a hub has heard it after our question. */
-static void take_agreement(pooler_t *pooler, const peer_message_t *message)
+/*
+ * Applies the agreement of other proxies on our roster, as a hub has received it since our query.
+ */
+static void apply_agreement(pooler_t *pooler, const peer_message_t *message)
 {
 	sync_t *sync = &pooler->sync;
-	const char *at = message->agreed != NULL ? message->agreed : "";
+	const char *at = message->agreements != NULL ? message->agreements : "";
 
 	exchange_get_report(pooler, message->from)->agreed_at = message->echo;
 	while (*at != '\0') {
@@ -344,117 +358,128 @@
 		at += strcspn(at, " ");
 		at += strspn(at, " ");
 	}
-	if (message->quorum_age < message->echo &&
-	    message->echo - message->quorum_age > sync->agreed_told)
-		sync->agreed_told = message->echo - message->quorum_age;
-	permit_on_agreed(pooler);
+	if (message->agreement_age < message->echo &&
+	    message->echo - message->agreement_age > sync->peers_agreed_at)
+		sync->peers_agreed_at = message->echo - message->agreement_age;
+	permit_update_quorum_confirmed(pooler);
 }
 
-static void take_holder(pooler_t *pooler, const peer_message_t *message, usec_t now)
+static void apply_leader(pooler_t *pooler, const peer_message_t *message, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 
-	if (message->holder != NULL && message->fence > sync->fence)
-		sync_set_holder(pooler, message->holder, message->holder_address, message->fence);
-	if (sync->holder == NULL)
+	if (message->leader != NULL && message->fencing_token > sync->fencing_token)
+		sync_set_leader(pooler, message->leader, message->leader_address,
+				message->fencing_token);
+	if (sync->leader == NULL)
 		return;
-	if (strcmp(sync->holder, message->from) == 0)
-		sync->holder_heard = now;
-	else if (message->fence == sync->fence && message->holder_age < now &&
-		 now - message->holder_age > sync->holder_heard)
-		sync->holder_heard = now - message->holder_age;
+	if (strcmp(sync->leader, message->from) == 0)
+		sync->leader_seen_at = now;
+	else if (message->fencing_token == sync->fencing_token && message->leader_age < now &&
+		 now - message->leader_age > sync->leader_seen_at)
+		sync->leader_seen_at = now - message->leader_age;
 }
 
-static void take_roster(pooler_t *pooler, const peer_message_t *message, usec_t now)
+static void apply_roster(pooler_t *pooler, const peer_message_t *message, usec_t now)
 {
 	if (message->roster == NULL || message->revision <= pooler->sync.roster->revision ||
-	    !adopt_text(pooler, message->roster, strlen(message->roster), message->revision))
+	    !adopt_roster_text(pooler, message->roster, strlen(message->roster), message->revision))
 		return;
-	/* In a large fleet a changed proxy is heard of with the next answer, a primary at once. */
-	if (upstream_is_hub(pooler) && (pooler->sync.groups_changed || push_spacing(pooler) == 0))
-		push_listeners(pooler);
-	/* At once: while the store is away it is agreed on anew. */
+	/*
+	 * In a large fleet a change of proxies waits for the next query, a change of primary is
+	 * pushed at once.
+	 */
+	if (upstream_is_hub(pooler) && (pooler->sync.groups_changed || push_interval(pooler) == 0))
+		push_downstream(pooler);
+	/*
+	 * Queries are sent at once: while the store is unreachable, the fleet has to agree on the
+	 * new roster.
+	 */
 	exchange_tick(pooler, now);
 }
 
-/* True if it answers this process, and not an earlier one of the same name, by whatever clock. */
-static bool answers_us(const pooler_t *pooler, const peer_message_t *message)
+/*
+ * True if the state answers a query of this process and not of an earlier one of the same name,
+ * which may have used another clock.
+ */
+static bool is_answer_to_this_process(const pooler_t *pooler, const peer_message_t *message)
 {
 	return message->echo >= pooler->started && message->echo <= now_of(pooler);
 }
 
-static void take_state(pooler_t *pooler, const peer_message_t *message)
+static void apply_state(pooler_t *pooler, const peer_message_t *message)
 {
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
 	peer_report_t *report = exchange_get_report(pooler, message->from);
 	bool agrees;
 
-	note_access(report, message, now);
-	report->asked_since = 0;
+	record_store_access(report, message, now);
+	report->query_unanswered_since = 0;
 	join_on_state(pooler, message->from);
-	take_holder(pooler, message, now);
-	take_roster(pooler, message, now);
+	apply_leader(pooler, message, now);
+	apply_roster(pooler, message, now);
 	agrees = message->echo != 0 && message->revision == sync->roster->revision;
 	/*
-	 * The answer was given no earlier than our question was sent, so the peer's read of the
-	 * store was sent no earlier than that less its age. Nobody's clock is compared.
+	 * The answer was sent after our query, so the peer's read of the store was sent no earlier
+	 * than the query less the age of that read. The clocks of the two proxies are never
+	 * compared.
 	 */
-	if (agrees && message->age < message->echo)
-		sync_confirm(pooler, message->echo - message->age);
+	if (agrees && message->roster_age < message->echo)
+		sync_confirm_roster(pooler, message->echo - message->roster_age);
 	if (agrees)
-		take_agreement(pooler, message);
-	if (message->ends != NULL)
-		take_ends(pooler, message->ends, now);
-	if (message->doubted != NULL && upstream_is(pooler, message->from))
-		verdict_on_doubts(pooler, message->doubted, now);
+		apply_agreement(pooler, message);
+	if (message->change_ends != NULL)
+		apply_ends(pooler, message->change_ends, now);
+	if (message->suspected_primaries != NULL && upstream_is_trusted(pooler, message->from))
+		verdict_on_suspects(pooler, message->suspected_primaries, now);
 	refresh_on_state(pooler, message, now);
-	sync_run_services(pooler);
+	sync_dispatch_waiting(pooler);
 }
 
 static void on_state(pooler_t *pooler, const peer_message_t *message)
 {
-	peer_message_t told = *message;
+	peer_message_t state = *message;
 
-	if (message->echo != 0 && !answers_us(pooler, message)) {
-		LOG_EVENT(LOG_INFO, "answer to an earlier process", LOG_STR("proxy", message->from),
-			  LOG_INT("echo", (int64_t)message->echo),
+	if (message->echo != 0 && !is_answer_to_this_process(pooler, message)) {
+		LOG_EVENT(LOG_INFO, "state answers a query of an earlier process",
+			  LOG_STR("proxy", message->from), LOG_INT("echo", (int64_t)message->echo),
 			  LOG_INT("started", (int64_t)pooler->started));
-		told.echo = 0;
+		state.echo = 0;
 	}
-	take_state(pooler, &told);
+	apply_state(pooler, &state);
 }
 
-static void note_draining(pooler_t *pooler, const peer_message_t *message)
+static void record_draining(pooler_t *pooler, const peer_message_t *message)
 {
 	peer_report_t *report = exchange_get_report(pooler, message->from);
 
-	if (message->incarnation <= report->drained_as)
+	if (message->incarnation <= report->drained_incarnation)
 		return;
 	LOG_EVENT(LOG_INFO, "proxy shuts down", LOG_STR("proxy", message->from));
-	report->drained_as = message->incarnation;
+	report->drained_incarnation = message->incarnation;
 }
 
 void exchange_on_message(pooler_t *pooler, const peer_message_t *message)
 {
 	upstream_note_contact(pooler, message->from, message->address);
 	if (message->draining)
-		note_draining(pooler, message);
-	if (message->config_version > pooler->config_heard)
-		pooler->config_heard = message->config_version;
-	if (message->kind != PEER_RESULT)
-		forward_on_heard(pooler, message->from);
+		record_draining(pooler, message);
+	if (message->config_version > pooler->newest_config_version)
+		pooler->newest_config_version = message->config_version;
+	if (message->kind != PEER_FORWARD_RESULT)
+		forward_on_peer_message(pooler, message->from);
 	switch (message->kind) {
-	case PEER_ASK:
-		on_ask(pooler, message);
+	case PEER_QUERY:
+		on_query(pooler, message);
 		break;
 	case PEER_STATE:
 		on_state(pooler, message);
 		break;
-	case PEER_REQUEST:
+	case PEER_FORWARD_REQUEST:
 		job_on_request(pooler, message);
 		break;
-	case PEER_RESULT:
+	case PEER_FORWARD_RESULT:
 		forward_on_result(pooler, message);
 		break;
 	case PEER_PING:
@@ -463,16 +488,16 @@
 	case PEER_PONG:
 		on_pong(pooler, message);
 		break;
-	case PEER_STORE:
+	case PEER_STORE_REQUEST:
 		relay_on_request(pooler->relay, message);
 		break;
-	case PEER_STORED:
+	case PEER_STORE_ANSWER:
 		relay_on_answer(pooler->relay, message);
 		break;
-	case PEER_TAKE:
+	case PEER_QUOTA_REQUEST:
 		quota_on_request(pooler, message);
 		break;
-	case PEER_TAKEN:
+	case PEER_QUOTA_ANSWER:
 		quota_on_answer(pooler, message);
 		break;
 	}
--- a/pooler/forward.c
+++ b/pooler/forward.c
@@ -15,26 +15,26 @@
 #include "counter.h"
 #include "log.h"
 
-/* Of a result from its proxy to us, with what both need to get to it under load. */
-#define RESULT_WAYS (60 * USEC_PER_MSEC)
+/* Time for a result to get from the helper to this proxy, with scheduling delays of both. */
+#define RESULT_TRANSIT_TIME (60 * USEC_PER_MSEC)
 
 COUNTER_DEFINE(forwarded_total, "statements_forwarded_total", COUNTER_SUM,
-	       "Statements handed to another proxy.");
+	       "Statements forwarded to another proxy.");
 COUNTER_DEFINE(unanswered_total, "statements_forwarded_unanswered_total", COUNTER_SUM,
-	       "Of these, reads that were tried again without an answer.");
+	       "Forwarded reads that got no answer and were retried.");
 
-/* --- handing on --- */
+/* --- sending --- */
 
-static size_t count_at(const pooler_t *pooler, const char *helper)
+static size_t count_forwarded_to(const pooler_t *pooler, const char *helper)
 {
 	size_t count = 0;
 
 	list_for_each (it, &pooler->forwarded)
-		count += strcmp(list_entry(it, caller_t, forwarded)->helper, helper) == 0;
+		count += strcmp(list_entry(it, caller_t, forwarded_node)->helper, helper) == 0;
 	return count;
 }
 
-/* False if it was certainly not sent. */
+/* Sends the statement to the helper; returns false if it was certainly not sent. */
 static bool send_request(caller_t *caller, const roster_node_t *helper,
 			 const statement_t *statement, usec_t now)
 {
@@ -44,26 +44,29 @@
 		.number = caller->forward_number,
 		.database = caller->database,
 		.customer = caller->customer,
-		/* So that a refusal, which promises something, comes before we give up. */
-		.left = left > RESULT_WAYS ? left - RESULT_WAYS : left,
+		/*
+		 * The helper's deadline is earlier, so that its refusal, which promises that the
+		 * statement did not run, arrives before the caller's own deadline.
+		 */
+		.time_left = left > RESULT_TRANSIT_TIME ? left - RESULT_TRANSIT_TIME : left,
 		.statement = statement,
 		.variables = &caller->variables,
 		.has_commit = caller->has_commit,
 		.commit = caller->commit,
-		.session = caller->remote,
-		.begins = !caller->tx_ran,
+		.transaction = caller->remote_tx,
+		.begins_transaction = !caller->tx_has_run,
 		.read_only = caller->tx_read_only,
 	};
-	peer_message_t message = {.kind = PEER_REQUEST, .request = &request};
+	peer_message_t message = {.kind = PEER_FORWARD_REQUEST, .request = &request};
 
 	if (caller->exec != NULL)
 		request.shape = slice_of(caller->exec->shape, strlen(caller->exec->shape));
-	exchange_fill(pooler, &message);
+	exchange_fill_sender(pooler, &message);
 	return pooler->env->ops->peer_send(pooler->env, helper->name, helper->address, &message);
 }
 
-/* The statement is at the helper from now on; false if there is no link to that one yet. */
-static bool hand_over(caller_t *caller, const roster_node_t *helper, usec_t now)
+/* Forwards the caller's statement to the helper; returns false if there is no link to it yet. */
+static bool forward_to(caller_t *caller, const roster_node_t *helper, usec_t now)
 {
 	pooler_t *pooler = caller->pooler;
 
@@ -74,7 +77,7 @@
 	}
 	caller->forwarded_at = now;
 	caller->placed_at = now;
-	list_add_tail(&pooler->forwarded, &caller->forwarded);
+	list_add_tail(&pooler->forwarded, &caller->forwarded_node);
 	counter_add(&forwarded_total, 1);
 	home_on_sent(pooler, helper->name, now);
 	return true;
@@ -88,39 +91,42 @@
 	caller->helper = copy;
 }
 
-forward_t forward_to_home(caller_t *caller, usec_t now)
+forward_status_t forward_to_home(caller_t *caller, usec_t now)
 {
 	pooler_t *pooler = caller->pooler;
 	const roster_node_t *home;
 
-	if (caller->job != NULL || !home_applies(caller->service) ||
+	if (caller->job != NULL || !home_is_needed(caller->service) ||
 	    permit_primary(caller->service, now) == NULL)
-		return FORWARD_NOT;
+		return FORWARD_LOCAL;
 	home = home_find(caller->service, now);
 	if (home == NULL || strcmp(home->name, pooler->config.name) == 0)
-		return FORWARD_NOT;
+		return FORWARD_LOCAL;
 	if (caller->tx == TX_OPEN)
-		caller->remote = pooler_next_number(pooler);
+		caller->remote_tx = pooler_next_number(pooler);
 	set_helper(caller, home->name);
-	if (hand_over(caller, home, now))
-		return FORWARD_DONE;
-	/* Its link is being made, or it is gone: unanswered, it is passed over soon. */
-	caller->remote = 0;
+	if (forward_to(caller, home, now))
+		return FORWARD_SENT;
+	/*
+	 * The link to the home is being made, or the home is gone. In the latter case the request
+	 * stays unanswered, and the next candidate is chosen soon.
+	 */
+	caller->remote_tx = 0;
 	home_on_sent(pooler, home->name, now);
 	return FORWARD_WAIT;
 }
 
-bool forward_go_on(caller_t *caller, usec_t now)
+bool forward_next_statement(caller_t *caller, usec_t now)
 {
 	const pooler_t *pooler = caller->pooler;
-	const roster_node_t *helper = roster_node(pooler->sync.roster, caller->helper);
+	const roster_node_t *helper = roster_find_node(pooler->sync.roster, caller->helper);
 
 	if (helper == NULL || helper->gone || home_is_suspect(pooler, caller->helper, now))
 		return false;
-	return hand_over(caller, helper, now);
+	return forward_to(caller, helper, now);
 }
 
-void forward_end(caller_t *caller)
+void forward_end_tx(caller_t *caller)
 {
 	static const statement_t rollback = {
 		.kind = STATEMENT_ROLLBACK,
@@ -129,27 +135,27 @@
 	};
 	const roster_node_t *helper;
 
-	if (caller->remote == 0)
+	if (caller->remote_tx == 0)
 		return;
-	helper = roster_node(caller->pooler->sync.roster, caller->helper);
-	/* If this is lost, the transaction ends by the limit for idle ones. */
+	helper = roster_find_node(caller->pooler->sync.roster, caller->helper);
+	/* If this message is lost, the time-out of idle transactions ends the transaction. */
 	if (helper != NULL)
 		send_request(caller, helper, &rollback, now_of(caller->pooler));
-	caller->remote = 0;
+	caller->remote_tx = 0;
 }
 
-void forward_forget(caller_t *caller)
+void forward_cancel(caller_t *caller)
 {
 	if (caller->forward_number == 0)
 		return;
-	list_del(&caller->forwarded);
+	list_del(&caller->forwarded_node);
 	caller->forward_number = 0;
 }
 
 static caller_t *find_forwarded(const pooler_t *pooler, uint64_t number)
 {
 	list_for_each (it, &pooler->forwarded) {
-		caller_t *caller = list_entry(it, caller_t, forwarded);
+		caller_t *caller = list_entry(it, caller_t, forwarded_node);
 
 		if (caller->forward_number == number)
 			return caller;
@@ -161,30 +167,33 @@
 {
 	caller_t *caller = find_forwarded(pooler, message->result->number);
 
-	/* Given up meanwhile, or asked of somebody else since. */
+	/* No caller waits for this result any more, or it waits for another proxy now. */
 	if (caller != NULL && strcmp(caller->helper, message->from) == 0)
-		forward_forget(caller);
+		forward_cancel(caller);
 	else
 		caller = NULL;
-	forward_on_heard(pooler, message->from);
+	forward_on_peer_message(pooler, message->from);
 	if (message->result->declined)
 		home_on_declined(pooler, message->from, now_of(pooler));
 	if (caller != NULL)
-		caller_on_forwarded(caller, message->result);
+		caller_on_forward_result(caller, message->result);
 }
 
-void forward_on_heard(pooler_t *pooler, const char *peer)
+void forward_on_peer_message(pooler_t *pooler, const char *peer)
 {
-	const peer_report_t *report = exchange_report(pooler, peer);
+	const peer_report_t *report = exchange_find_report(pooler, peer);
 
 	if (report != NULL && report->unanswered_since != 0)
-		home_on_heard(pooler, peer, count_at(pooler, peer), now_of(pooler));
+		home_on_received(pooler, peer, count_forwarded_to(pooler, peer), now_of(pooler));
 }
 
-/* Nothing more is expected of the home for what the caller has asked. */
-static bool is_given_up(const caller_t *caller, usec_t now)
+/*
+ * True if the helper is suspected to be dead and the statement may be retried. Statements that may
+ * commit wait for their deadline instead.
+ */
+static bool is_unanswered(const caller_t *caller, usec_t now)
 {
-	if (caller_may_keep(caller))
+	if (caller_may_commit(caller))
 		return false;
 	return home_is_suspect(caller->pooler, caller->helper, now);
 }
@@ -192,12 +201,12 @@
 void forward_tick(pooler_t *pooler, usec_t now)
 {
 	list_for_each_safe (it, &pooler->forwarded) {
-		caller_t *caller = list_entry(it, caller_t, forwarded);
+		caller_t *caller = list_entry(it, caller_t, forwarded_node);
 
-		if (!is_given_up(caller, now))
+		if (!is_unanswered(caller, now))
 			continue;
-		forward_forget(caller);
+		forward_cancel(caller);
 		counter_add(&unanswered_total, 1);
-		caller_on_conn_lost(caller, true, "no answer of the proxy that helps");
+		caller_on_conn_lost(caller, true, "no answer from the helper");
 	}
 }
--- a/pooler/job.c
+++ b/pooler/job.c
@@ -14,7 +14,7 @@
 COUNTER_DEFINE(jobs_total, "statements_run_for_others_total", COUNTER_SUM,
 	       "Statements run for another proxy.");
 
-/* The statement is not taken: its proxy may do otherwise with it. */
+/* Declines the statement, which has not run: the origin may run it elsewhere. */
 static void decline(pooler_t *pooler, const peer_message_t *message)
 {
 	forward_result_t result = {
@@ -25,14 +25,14 @@
 		.text = "the proxy that helps can't",
 	};
 
-	outbox_send(&pooler->outbox, message->from, message->address, &result);
+	outbox_send_result(&pooler->outbox, message->from, message->address, &result);
 }
 
 /*
- * Its transaction is not known here: the connection that it had is gone, by a restart or since it
- * rested too long, and with it all that was not committed.
+ * Answers a statement of a transaction that this proxy does not have. The transaction's connection
+ * was closed, by a restart or by the time-out of idle transactions, so the member has rolled back.
  */
-static void tell_lost(pooler_t *pooler, const peer_message_t *message)
+static void answer_lost_tx(pooler_t *pooler, const peer_message_t *message)
 {
 	forward_result_t result = {
 		.number = message->request->number,
@@ -42,11 +42,11 @@
 		.tx = TX_FAILED,
 	};
 
-	outbox_send(&pooler->outbox, message->from, message->address, &result);
+	outbox_send_result(&pooler->outbox, message->from, message->address, &result);
 }
 
-/* The session as far as its statement needs it. */
-static void give_session(caller_t *caller, const forward_request_t *request)
+/* Sets up the parts of the origin's session that the statement needs. */
+static void restore_session(caller_t *caller, const forward_request_t *request)
 {
 	const statement_t *statement = request->statement;
 
@@ -65,28 +65,29 @@
 	caller->committed_at = now_of(caller->pooler);
 }
 
-static caller_t *find(const pooler_t *pooler, const peer_message_t *message)
+static caller_t *find_tx(const pooler_t *pooler, const peer_message_t *message)
 {
 	list_for_each (it, &pooler->callers) {
 		caller_t *caller = list_entry(it, caller_t, node);
 		const job_t *job = caller->job;
 
-		if (job != NULL && job->session != 0 && job->session == message->request->session &&
-		    job->incarnation == message->incarnation &&
-		    strcmp(job->from, message->from) == 0)
+		if (job != NULL && job->tx_number != 0 &&
+		    job->tx_number == message->request->transaction &&
+		    job->origin_incarnation == message->incarnation &&
+		    strcmp(job->origin, message->from) == 0)
 			return caller;
 	}
 	return NULL;
 }
 
-/* NULL if it can't be taken. */
-static caller_t *open(pooler_t *pooler, const peer_message_t *message)
+/* Creates a caller for the request; returns NULL if this proxy can't run it. */
+static caller_t *open_job(pooler_t *pooler, const peer_message_t *message)
 {
 	const forward_request_t *request = message->request;
 	caller_t *caller;
 	job_t *job;
 
-	/* By an older configuration the sender would fall back behind what it has shown. */
+	/* The origin's callers must not be served by an older configuration than its own. */
 	if (pooler->draining || pooler->routes == NULL ||
 	    pooler->routes->version != message->config_version ||
 	    routes_find(pooler->routes, request->database) == NULL)
@@ -94,63 +95,64 @@
 	job = talloc_zero(pooler, job_t);
 	caller = caller_create(pooler, request->database, job);
 	caller->job = talloc_steal(caller, job);
-	/* Whoever took the statement has looked at its key. */
+	/* The origin has checked the caller's key. */
 	caller->customer = talloc_strdup(caller, request->customer);
-	job->from = talloc_strdup(job, message->from);
-	job->address = talloc_strdup(job, message->address);
-	job->incarnation = message->incarnation;
-	job->session = request->session;
-	if (request->session != 0)
-		caller_begin(caller, request->read_only);
+	job->origin = talloc_strdup(job, message->from);
+	job->origin_address = talloc_strdup(job, message->address);
+	job->origin_incarnation = message->incarnation;
+	job->tx_number = request->transaction;
+	if (request->transaction != 0)
+		caller_begin_tx(caller, request->read_only);
 	return caller;
 }
 
-/* Who is asked to serve keeps connections for it. */
-static void mark_served(const caller_t *caller)
+/* Notes that other proxies use the service here: a home in use keeps its connections open. */
+static void mark_service_used(const caller_t *caller)
 {
 	const route_t *route = routes_find(caller->pooler->routes, caller->database);
 
 	if (route != NULL)
-		service_get(caller->pooler, route->service)->served_others = now_of(caller->pooler);
+		service_get(caller->pooler, route->service)->last_forward_at =
+			now_of(caller->pooler);
 }
 
-static void run(caller_t *caller, const forward_request_t *request)
+static void run_job(caller_t *caller, const forward_request_t *request)
 {
 	counter_add(&jobs_total, 1);
-	caller->job->number = request->number;
-	caller->job->left = request->left;
-	give_session(caller, request);
-	mark_served(caller);
+	caller->job->request_number = request->number;
+	caller->job->time_left = request->time_left;
+	restore_session(caller, request);
+	mark_service_used(caller);
 	caller_on_statement(caller, request->statement);
 }
 
 void job_on_request(pooler_t *pooler, const peer_message_t *message)
 {
 	const forward_request_t *request = message->request;
-	caller_t *caller = request->session != 0 ? find(pooler, message) : NULL;
+	caller_t *caller = request->transaction != 0 ? find_tx(pooler, message) : NULL;
 
 	if (request->statement->kind == STATEMENT_ROLLBACK) {
 		if (caller != NULL)
-			caller_on_gone(caller);
+			caller_on_session_end(caller);
 		return;
 	}
-	if (caller == NULL && (request->session == 0 || request->begins)) {
-		caller = open(pooler, message);
+	if (caller == NULL && (request->transaction == 0 || request->begins_transaction)) {
+		caller = open_job(pooler, message);
 		if (caller == NULL)
 			decline(pooler, message);
 	} else if (caller == NULL || caller->busy) {
-		tell_lost(pooler, message);
+		answer_lost_tx(pooler, message);
 		return;
 	}
 	if (caller != NULL)
-		run(caller, request);
+		run_job(caller, request);
 }
 
-void job_answer(caller_t *caller, const caller_reply_t *reply, const reply_t *from)
+void job_send_result(caller_t *caller, const caller_reply_t *reply, const reply_t *from)
 {
 	job_t *job = caller->job;
 	forward_result_t result = {
-		.number = job->number,
+		.number = job->request_number,
 		.is_raw = from != NULL,
 		.member = caller->conn != NULL ? caller->conn->member->id : "",
 		.code = reply->code,
@@ -166,20 +168,20 @@
 		result.position = from->position;
 	}
 	job->done = caller->tx == TX_NONE;
-	outbox_send(&caller->pooler->outbox, job->from, job->address, &result);
+	outbox_send_result(&caller->pooler->outbox, job->origin, job->origin_address, &result);
 }
 
-/* The proxy that it stands for has left the fleet, or is another process now. */
+/* True if the origin of the transaction has left the fleet or was restarted. */
 static bool is_abandoned(const caller_t *caller)
 {
 	const job_t *job = caller->job;
-	const roster_node_t *node = roster_node(caller->pooler->sync.roster, job->from);
+	const roster_node_t *node = roster_find_node(caller->pooler->sync.roster, job->origin);
 
-	return job->session != 0 &&
-	       (node == NULL || node->gone || node->incarnation > job->incarnation);
+	return job->tx_number != 0 &&
+	       (node == NULL || node->gone || node->incarnation > job->origin_incarnation);
 }
 
-bool job_is_over(const caller_t *caller)
+bool job_is_done(const caller_t *caller)
 {
 	return caller->job != NULL &&
 	       (caller->job->done || (!caller->busy && is_abandoned(caller)));
--- a/pooler/restore.c
+++ b/pooler/restore.c
@@ -3,7 +3,7 @@
 #include <talloc.h>
 
 #include "adopt.h"
-#include "hold.h"
+#include "leader.h"
 #include "permit.h"
 #include "sync.h"
 
@@ -11,61 +11,66 @@
 #include "counter.h"
 #include "log.h"
 
-COUNTER_DEFINE(copies_total, "store_copies_total", COUNTER_SUM,
-	       "Times that the store was seen to hold an older roster in a new era.");
+COUNTER_DEFINE(backups_total, "store_copies_total", COUNTER_SUM,
+	       "Times that the store held an older roster in a new era.");
 
-bool restore_is_due(const pooler_t *pooler)
+bool restore_is_pending(const pooler_t *pooler)
 {
-	return pooler->sync.restored != 0;
+	return pooler->sync.backup_revision != 0;
 }
 
 /*
- * No other proxy can have held the duty before the era ended: our lease had not run out when we saw
- * its end.
+ * True if this proxy holds the newest groups: it was the leader, and no other proxy can have become
+ * the leader before the era ended, since our lease had not run out when we noticed the era's end.
  */
-static bool knows_groups(const pooler_t *pooler, usec_t now)
+static bool groups_are_current(const pooler_t *pooler, usec_t now)
 {
 	const sync_t *sync = &pooler->sync;
 
-	return sync->own_fence != 0 && sync->own_fence == sync->fence && now < sync->led_until;
+	return sync->own_token != 0 && sync->own_token == sync->fencing_token &&
+	       now < sync->lost_lease_until;
 }
 
 void restore_on_lease_ended(pooler_t *pooler)
 {
-	pooler->sync.led_until = pooler->sync.hold_until;
+	pooler->sync.lost_lease_until = pooler->sync.lease_until;
 }
 
-void restore_on_copy(pooler_t *pooler, roster_t *copy, int64_t revision)
+void restore_on_backup(pooler_t *pooler, roster_t *backup, int64_t revision)
 {
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
 
-	if (sync->restored == revision) {
-		talloc_free(copy);
+	if (sync->backup_revision == revision) {
+		talloc_free(backup);
 		return;
 	}
-	counter_add(&copies_total, 1);
-	sync->restored = revision;
-	if (hold_is_ours(pooler, now))
-		sync->led_until = sync->hold_until;
-	sync->groups_known = knows_groups(pooler, now);
-	LOG_EVENT(LOG_WARN, "store holds a copy of the roster", LOG_INT("era", kv_era(revision)),
-		  LOG_INT("written_in", copy->era), LOG_INT("copy", kv_number(revision)),
-		  LOG_INT("ours", kv_number(sync->roster->revision)),
-		  LOG_INT("groups_known", sync->groups_known));
-	hold_lose(pooler, "the store came back from a copy");
-	/* A process that has just started learns who the others are, in the order of that era. */
+	counter_add(&backups_total, 1);
+	sync->backup_revision = revision;
+	if (leader_is_self(pooler, now))
+		sync->lost_lease_until = sync->lease_until;
+	sync->groups_current = groups_are_current(pooler, now);
+	LOG_EVENT(LOG_WARN, "store was restored from a backup with an older roster",
+		  LOG_INT("era", kv_era(revision)), LOG_INT("written_in", backup->era),
+		  LOG_INT("copy", kv_revision_in_era(revision)),
+		  LOG_INT("ours", kv_revision_in_era(sync->roster->revision)),
+		  LOG_INT("groups_known", sync->groups_current));
+	leader_step_down(pooler, "the store was restored from a backup");
+	/*
+	 * A process that has just started takes the other proxies from the backup, under a revision
+	 * of the backup's era.
+	 */
 	if (sync->roster->revision == 0) {
-		copy->revision = kv_in_era(copy->era, kv_number(revision));
-		adopt_roster(pooler, copy);
+		backup->revision = kv_make_revision(backup->era, kv_revision_in_era(revision));
+		adopt_roster(pooler, backup);
 	} else {
-		talloc_free(copy);
+		talloc_free(backup);
 	}
 }
 
-bool restore_yields(const pooler_t *pooler)
+bool restore_must_yield(const pooler_t *pooler)
 {
-	return restore_is_due(pooler) && !pooler->sync.groups_known;
+	return restore_is_pending(pooler) && !pooler->sync.groups_current;
 }
 
 static void mark_groups(const pooler_t *pooler, roster_t *roster)
@@ -73,9 +78,12 @@
 	list_for_each (it, &pooler->sync.roster->groups) {
 		const roster_group_t *group = list_entry(it, roster_group_t, node);
 
-		/* No holder has this token, so the change counts as an earlier one's. */
+		/*
+		 * No leader has this fencing token, so the change counts as one of an earlier
+		 * leader.
+		 */
 		roster_put_group(roster, group->service, group->primary, true, group->term,
-				 (uint64_t)pooler->sync.restored);
+				 (uint64_t)pooler->sync.backup_revision);
 	}
 }
 
@@ -84,28 +92,28 @@
 	pooler_t *pooler = data;
 	sync_t *sync = &pooler->sync;
 
-	sync->restoring = false;
-	LOG_EVENT(LOG_WARN, "roster written again", LOG_INT("status", result->status),
+	sync->rewriting_roster = false;
+	LOG_EVENT(LOG_WARN, "roster written in the new era", LOG_INT("status", result->status),
 		  LOG_INT("era", kv_era(sync->roster->revision)),
-		  LOG_INT("groups_known", sync->groups_known),
-		  LOG_INT("proxies", (int64_t)sync->proxies));
+		  LOG_INT("groups_known", sync->groups_current),
+		  LOG_INT("proxies", (int64_t)sync->proxy_count));
 }
 
-void restore_run(pooler_t *pooler, usec_t now)
+void restore_write_roster(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
 	roster_t *roster;
 
-	if (!restore_is_due(pooler) || sync->restoring || !hold_is_ours(pooler, now))
+	if (!restore_is_pending(pooler) || sync->rewriting_roster || !leader_is_self(pooler, now))
 		return;
-	sync->restoring = true;
+	sync->rewriting_roster = true;
 	roster = roster_copy(NULL, sync->roster);
 	if (!permit_is_registered(pooler))
 		roster_put_node(roster, pooler->config.name, pooler->config.address,
 				pooler->config.zone, pooler->config.incarnation)
 			->capacity = pooler->config.capacity;
-	if (!sync->groups_known)
+	if (!sync->groups_current)
 		mark_groups(pooler, roster);
-	sync_commit(pooler, roster, on_written, pooler);
+	sync_commit_roster(pooler, roster, on_written, pooler);
 	talloc_free(roster);
 }
--- a/pooler/roster.c
+++ b/pooler/roster.c
@@ -29,7 +29,7 @@
 	return roster;
 }
 
-roster_node_t *roster_node(const roster_t *roster, const char *name)
+roster_node_t *roster_find_node(const roster_t *roster, const char *name)
 {
 	roster_node_t *node;
 
@@ -37,7 +37,7 @@
 	return node;
 }
 
-roster_group_t *roster_group(const roster_t *roster, const char *service)
+roster_group_t *roster_find_group(const roster_t *roster, const char *service)
 {
 	roster_group_t *group;
 
@@ -47,7 +47,7 @@
 
 void roster_remove_node(roster_t *roster, const char *name)
 {
-	roster_node_t *node = roster_node(roster, name);
+	roster_node_t *node = roster_find_node(roster, name);
 
 	if (node == NULL || roster->by_name == NULL)
 		return;
@@ -77,7 +77,7 @@
 void roster_put_group(roster_t *roster, const char *service, const char *primary, bool changing,
 		      uint64_t term, uint64_t fence)
 {
-	roster_group_t *group = roster_group(roster, service);
+	roster_group_t *group = roster_find_group(roster, service);
 	char *copy;
 
 	if (group == NULL) {
@@ -86,14 +86,14 @@
 		list_add_tail(&roster->groups, &group->node);
 		HASH_ADD_KEYPTR(hh, roster->by_service, group->service, strlen(service), group);
 	}
-	/* primary may be the old one itself. */
+	/* primary may point to the old value. */
 	copy = talloc_strdup(group, primary);
 	talloc_free(group->primary);
 	group->primary = copy;
 	roster->changing_count += (size_t)changing - (size_t)group->changing;
 	group->changing = changing;
 	group->term = term;
-	group->fence = fence;
+	group->fencing_token = fence;
 }
 
 roster_t *roster_copy(void *parent, const roster_t *roster)
@@ -107,13 +107,13 @@
 
 		roster_put_node(copy, node->name, node->address, node->zone, node->incarnation)
 			->gone = node->gone;
-		roster_node(copy, node->name)->capacity = node->capacity;
+		roster_find_node(copy, node->name)->capacity = node->capacity;
 	}
 	list_for_each (it, &roster->groups) {
 		const roster_group_t *group = list_entry(it, roster_group_t, node);
 
 		roster_put_group(copy, group->service, group->primary, group->changing, group->term,
-				 group->fence);
+				 group->fencing_token);
 	}
 	return copy;
 }
@@ -139,11 +139,11 @@
 {
 	return json_pack("{s:s, s:b, s:I, s:I}", "primary", group->primary, "changing",
 			 group->changing, "term", (json_int_t)group->term, "fence",
-			 (json_int_t)group->fence);
+			 (json_int_t)group->fencing_token);
 }
 
-/* What has changed after that revision; -1: everything. */
-static json_t *encode_since(const roster_t *roster, int64_t since)
+/* Encodes what has changed after that revision; -1: everything. */
+static json_t *encode_changes(const roster_t *roster, int64_t since)
 {
 	json_t *nodes = json_object();
 	json_t *groups = json_object();
@@ -151,13 +151,13 @@
 	list_for_each (it, &roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
 
-		if (node->changed > since)
+		if (node->changed_revision > since)
 			json_object_set_new(nodes, node->name, encode_node(node));
 	}
 	list_for_each (it, &roster->groups) {
 		const roster_group_t *group = list_entry(it, roster_group_t, node);
 
-		if (group->changed > since)
+		if (group->changed_revision > since)
 			json_object_set_new(groups, group->service, encode_group(group));
 	}
 	return json_pack("{s:o, s:o, s:s, s:I}", "nodes", nodes, "groups", groups, "writer",
@@ -165,44 +165,44 @@
 			 (json_int_t)roster->era);
 }
 
-static char *dump_text(void *parent, json_t *root)
+static char *pack_json(void *parent, json_t *root)
 {
 	char *text = json_dumps(root, JSON_COMPACT);
-	char *copy = pack_text(parent, text, strlen(text));
+	char *copy = pack_compress(parent, text, strlen(text));
 
 	free(text);
 	json_decref(root);
 	return copy;
 }
 
-const char *roster_text(roster_t *roster)
+const char *roster_encode(roster_t *roster)
 {
 	if (roster->text == NULL)
-		roster->text = dump_text(roster, encode_since(roster, -1));
+		roster->text = pack_json(roster, encode_changes(roster, -1));
 	return roster->text;
 }
 
-const char *roster_changes(roster_t *roster, int64_t since)
+const char *roster_encode_changes(roster_t *roster, int64_t since)
 {
 	json_t *root;
 	json_t *removed;
 
-	if (roster->whole_from == 0 || since < roster->whole_from)
-		return roster_text(roster);
+	if (roster->changes_complete_since == 0 || since < roster->changes_complete_since)
+		return roster_encode(roster);
 	if (roster->changes != NULL && roster->changes_since == since)
 		return roster->changes;
 	removed = json_array();
 	list_for_each (it, &roster->removals) {
 		const roster_removal_t *removal = list_entry(it, roster_removal_t, node);
 
-		if (removal->changed > since)
+		if (removal->removed_revision > since)
 			json_array_append_new(removed, json_string(removal->name));
 	}
-	root = encode_since(roster, since);
+	root = encode_changes(roster, since);
 	json_object_set_new(root, "since", json_integer(since));
 	json_object_set_new(root, "removed", removed);
 	talloc_free(roster->changes);
-	roster->changes = dump_text(roster, root);
+	roster->changes = pack_json(roster, root);
 	roster->changes_since = since;
 	return roster->changes;
 }
@@ -249,14 +249,14 @@
 	return 0;
 }
 
-/* What the document says replaces what the roster has. */
-static int decode_into(roster_t *roster, json_t *root)
+/* Fills in a roster from the document; -1 if the document is invalid. */
+static int decode_document(roster_t *roster, json_t *root)
 {
 	const char *writer = json_string_value(json_object_get(root, "writer"));
 	json_t *nodes = json_object_get(root, "nodes");
 	json_t *groups = json_object_get(root, "groups");
 
-	/* Another writer's text would pass for a fleet without anybody. */
+	/* Text of another kind would otherwise pass for a roster without proxies. */
 	if (!json_is_object(nodes) || !json_is_object(groups))
 		return -1;
 
@@ -266,11 +266,11 @@
 	return decode_nodes(roster, nodes) < 0 || decode_groups(roster, groups) < 0 ? -1 : 0;
 }
 
-static json_t *load_text(const char *text, size_t len)
+static json_t *load_json(const char *text, size_t len)
 {
 	void *parent = talloc_new(NULL);
 	size_t plain_len;
-	const char *plain = pack_open(parent, text, len, &plain_len);
+	const char *plain = pack_decompress(parent, text, len, &plain_len);
 	json_t *root = plain != NULL ? json_loadb(plain, plain_len, 0, NULL) : NULL;
 
 	talloc_free(parent);
@@ -279,11 +279,11 @@
 
 roster_t *roster_decode(void *parent, const char *text, size_t len, int64_t revision)
 {
-	json_t *root = load_text(text, len);
+	json_t *root = load_json(text, len);
 	roster_t *roster = roster_create(parent);
 
 	roster->revision = revision;
-	if (decode_into(roster, root) < 0) {
+	if (decode_document(roster, root) < 0) {
 		talloc_free(roster);
 		roster = NULL;
 	}
@@ -291,11 +291,11 @@
 	return roster;
 }
 
-/* --- taking over what is newer --- */
+/* --- updates --- */
 
 /*
- * Removals that are kept; whoever knows only an older roster than the last one forgotten is told
- * all of it. More proxies are seldom taken off within the seconds that one is behind.
+ * Number of removals that are kept; a proxy whose roster is older than the last one dropped is sent
+ * the whole roster. More proxies are rarely removed within the few seconds that a proxy is behind.
  */
 #define REMOVALS_MAX 64
 
@@ -308,10 +308,10 @@
 static bool same_group(const roster_group_t *a, const roster_group_t *b)
 {
 	return strcmp(a->primary, b->primary) == 0 && a->changing == b->changing &&
-	       a->term == b->term && a->fence == b->fence;
+	       a->term == b->term && a->fencing_token == b->fencing_token;
 }
 
-static void forget_removal(roster_removal_t *removal)
+static void drop_removal(roster_removal_t *removal)
 {
 	list_del(&removal->node);
 	talloc_free(removal);
@@ -322,31 +322,32 @@
 	roster_removal_t *removal = talloc_zero(roster, roster_removal_t);
 
 	removal->name = talloc_strdup(removal, name);
-	removal->changed = roster->revision;
+	removal->removed_revision = roster->revision;
 	list_add_tail(&roster->removals, &removal->node);
 	if (list_length(&roster->removals) <= REMOVALS_MAX)
 		return;
 	removal = list_entry(roster->removals.next, roster_removal_t, node);
-	roster->whole_from = removal->changed;
-	forget_removal(removal);
+	roster->changes_complete_since = removal->removed_revision;
+	drop_removal(removal);
 }
 
-/* It is on the roster again. */
-static void end_removal(roster_t *roster, const char *name)
+/* Drops the removal of a proxy that is on the roster again. */
+static void cancel_removal(roster_t *roster, const char *name)
 {
 	list_for_each_safe (it, &roster->removals) {
 		roster_removal_t *removal = list_entry(it, roster_removal_t, node);
 
 		if (strcmp(removal->name, name) == 0)
-			forget_removal(removal);
+			drop_removal(removal);
 	}
 }
 
 static void merge_node(roster_diff_t *diff, roster_t *roster, const roster_node_t *newer)
 {
-	const roster_node_t *was = roster_node(roster, newer->name);
-	bool same_place = was != NULL && was->gone == newer->gone &&
-			  was->capacity == newer->capacity && strcmp(was->zone, newer->zone) == 0;
+	const roster_node_t *was = roster_find_node(roster, newer->name);
+	bool same_location = was != NULL && was->gone == newer->gone &&
+			     was->capacity == newer->capacity &&
+			     strcmp(was->zone, newer->zone) == 0;
 	bool entered = !newer->gone &&
 		       (was == NULL || was->gone || was->incarnation != newer->incarnation);
 	roster_node_t *node;
@@ -357,16 +358,16 @@
 			       newer->incarnation);
 	node->gone = newer->gone;
 	node->capacity = newer->capacity;
-	node->changed = roster->revision;
-	if (!same_place)
+	node->changed_revision = roster->revision;
+	if (!same_location)
 		roster->nodes_revision = roster->revision;
-	end_removal(roster, node->name);
+	cancel_removal(roster, node->name);
 	diff->nodes[diff->node_count++] = (roster_node_change_t){node, entered};
 }
 
 static void merge_group(roster_diff_t *diff, roster_t *roster, const roster_group_t *newer)
 {
-	const roster_group_t *was = roster_group(roster, newer->service);
+	const roster_group_t *was = roster_find_group(roster, newer->service);
 	roster_group_change_t change = {0};
 
 	if (was != NULL && same_group(was, newer))
@@ -376,15 +377,15 @@
 		change.was_changing = was->changing;
 	}
 	roster_put_group(roster, newer->service, newer->primary, newer->changing, newer->term,
-			 newer->fence);
-	change.group = roster_group(roster, newer->service);
-	change.group->changed = roster->revision;
+			 newer->fencing_token);
+	change.group = roster_find_group(roster, newer->service);
+	change.group->changed_revision = roster->revision;
 	diff->groups[diff->group_count++] = change;
 }
 
 static void merge_removed_node(roster_diff_t *diff, roster_t *roster, const char *name)
 {
-	if (roster_node(roster, name) == NULL)
+	if (roster_find_node(roster, name) == NULL)
 		return;
 	diff->removed_nodes[diff->removed_node_count++] = talloc_strdup(diff, name);
 	roster->nodes_revision = roster->revision;
@@ -402,25 +403,25 @@
 	talloc_free(group);
 }
 
-/* What newer lacks is gone. */
-static void merge_ends(roster_diff_t *diff, roster_t *roster, const roster_t *newer)
+/* Removes the entries that newer lacks. */
+static void remove_missing(roster_diff_t *diff, roster_t *roster, const roster_t *newer)
 {
 	list_for_each_safe (it, &roster->nodes) {
 		const roster_node_t *node = list_entry(it, roster_node_t, node);
 
-		if (roster_node(newer, node->name) == NULL)
+		if (roster_find_node(newer, node->name) == NULL)
 			merge_removed_node(diff, roster, node->name);
 	}
 	list_for_each_safe (it, &roster->groups) {
 		roster_group_t *group = list_entry(it, roster_group_t, node);
 
-		if (roster_group(newer, group->service) == NULL)
+		if (roster_find_group(newer, group->service) == NULL)
 			merge_removed_group(diff, roster, group);
 	}
 }
 
-static roster_diff_t *begin_merge(void *parent, roster_t *roster, const roster_t *newer,
-				  size_t removals, size_t removed_groups)
+static roster_diff_t *merge_entries(void *parent, roster_t *roster, const roster_t *newer,
+				    size_t removals, size_t removed_groups)
 {
 	roster_diff_t *diff = talloc_zero(parent, roster_diff_t);
 
@@ -429,7 +430,7 @@
 	diff->removed_nodes = talloc_array(diff, char *, removals);
 	diff->removed_groups = talloc_array(diff, char *, removed_groups);
 	if (roster->revision == 0)
-		roster->whole_from = newer->revision;
+		roster->changes_complete_since = newer->revision;
 	roster->revision = newer->revision;
 	roster->era = newer->era;
 	if (newer->writer != NULL)
@@ -443,20 +444,20 @@
 	return diff;
 }
 
-roster_diff_t *roster_merge(void *parent, roster_t *roster, const roster_t *newer)
+roster_diff_t *roster_update(void *parent, roster_t *roster, const roster_t *newer)
 {
-	roster_diff_t *diff = begin_merge(parent, roster, newer, roster->node_count,
-					  HASH_COUNT(roster->by_service));
+	roster_diff_t *diff = merge_entries(parent, roster, newer, roster->node_count,
+					    HASH_COUNT(roster->by_service));
 
-	merge_ends(diff, roster, newer);
+	remove_missing(diff, roster, newer);
 	return diff;
 }
 
-/* The entries of changes, and the names of those that were taken off. */
+/* Applies the entries of changes and the names of proxies that were removed. */
 static roster_diff_t *merge_changes(void *parent, roster_t *roster, const roster_t *changes,
 				    json_t *removed)
 {
-	roster_diff_t *diff = begin_merge(parent, roster, changes, json_array_size(removed), 0);
+	roster_diff_t *diff = merge_entries(parent, roster, changes, json_array_size(removed), 0);
 	size_t index;
 	json_t *value;
 
@@ -469,19 +470,20 @@
 	return diff;
 }
 
-roster_diff_t *roster_take(void *parent, roster_t *roster, const char *text, size_t len,
-			   int64_t revision)
+roster_diff_t *roster_apply_text(void *parent, roster_t *roster, const char *text, size_t len,
+				 int64_t revision)
 {
-	json_t *root = load_text(text, len);
+	json_t *root = load_json(text, len);
 	json_t *since = json_object_get(root, "since");
 	roster_t *newer = roster_create(NULL);
 	roster_diff_t *diff = NULL;
 
 	newer->revision = revision;
-	if (decode_into(newer, root) < 0)
-		LOG_EVENT(LOG_ERR, "roster can't be read", LOG_INT("revision", revision));
+	if (decode_document(newer, root) < 0)
+		LOG_EVENT(LOG_ERR, "roster received from a peer is invalid",
+			  LOG_INT("revision", revision));
 	else if (since == NULL)
-		diff = roster_merge(parent, roster, newer);
+		diff = roster_update(parent, roster, newer);
 	else if (json_integer_value(since) <= roster->revision)
 		diff = merge_changes(parent, roster, newer, json_object_get(root, "removed"));
 	talloc_free(newer);
--- a/pooler/routes.c
+++ b/pooler/routes.c
@@ -22,7 +22,10 @@
 	return routes;
 }
 
-/* One allocation with its names behind it: a large configuration has thousands of routes. */
+/*
+ * A route and its two names share one allocation, since a large configuration has thousands of
+ * routes.
+ */
 route_t *routes_add(routes_t *routes, const char *database, const char *service)
 {
 	size_t database_size = strlen(database) + 1;
@@ -45,7 +48,7 @@
 
 	service->name = talloc_strdup(service, name);
 	list_add_tail(&routes->services, &service->node);
-	if (routes_service(routes, name) == NULL)
+	if (routes_find_service(routes, name) == NULL)
 		HASH_ADD_KEYPTR(hh, routes->services_by_name, service->name, strlen(name), service);
 	return service;
 }
@@ -58,7 +61,7 @@
 	return route;
 }
 
-const service_limits_t *routes_service(const routes_t *routes, const char *name)
+const service_limits_t *routes_find_service(const routes_t *routes, const char *name)
 {
 	const service_limits_t *service;
 
--- a/tests/pool_callers.c
+++ b/tests/pool_callers.c
@@ -34,9 +34,9 @@
 	const world_caller_t *caller = data;
 
 	if (caller->unread)
-		return CLOSE_UNREAD;
+		return CLOSE_INPUT_UNREAD;
 	if (caller->unsent)
-		return CLOSE_UNSENT;
+		return CLOSE_OUTPUT_UNSENT;
 	callers_abort(env, data);
 	return CLOSE_DONE;
 }
@@ -107,7 +107,7 @@
 
 	caller->caller = NULL;
 	if (gone != NULL)
-		caller_on_gone(gone);
+		caller_on_session_end(gone);
 }
 
 bool world_state_is(const world_caller_t *caller, const char *ready)
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -53,7 +53,7 @@
 									       : PROMOTE_REFUSED;
 	if (world->lose_promotes != 0) {
 		world->lose_promotes--;
-		answer->status = PROMOTE_LOST;
+		answer->status = PROMOTE_OUTCOME_UNKNOWN;
 	}
 	timers_arm(&node->timers, &answer->timer, world_now(world) + 2 * LINK_DELAY, on_answer);
 }
@@ -108,8 +108,8 @@
 	route->max_age = world->max_age;
 	route->statement_timeout = 800 * USEC_PER_MSEC;
 	route->objective = WORLD_OBJECTIVE;
-	route->open = world->customer_count == 0 || strcmp(database, "open") == 0 ||
-		      strcmp(database, WORLD_ADDED) == 0;
+	route->keyless = world->customer_count == 0 || strcmp(database, "open") == 0 ||
+			 strcmp(database, WORLD_ADDED) == 0;
 }
 
 static void add_customers(routes_t *routes, const pool_world_t *world)
@@ -131,7 +131,7 @@
 	service_limits_t *limits = routes_add_service(routes, WORLD_SERVICE);
 
 	routes->version = version;
-	routes->tx_idle = 3 * USEC_PER_SEC;
+	routes->tx_idle_timeout = 3 * USEC_PER_SEC;
 	add_route(routes, world, WORLD_DATABASE, world->reads);
 	add_route(routes, world, "strict", READS_PRIMARY);
 	add_route(routes, world, "bounded", READS_BOUNDED);
@@ -177,7 +177,7 @@
 			continue;
 		if (world->config_bytes == 0) {
 			pooler_on_routes(node->pooler, world_routes(world, world->config_version));
-			pooler_on_keys_proved(node->pooler, world_now(world));
+			pooler_on_config_confirmed(node->pooler, world_now(world));
 		}
 		publish_members(world, node);
 	}
@@ -187,13 +187,13 @@
 
 static usec_t next_time(const pool_world_t *world)
 {
-	usec_t next = timers_next(&world->timers);
+	usec_t next = timers_next_due(&world->timers);
 
 	for (size_t i = 0; i < world->node_count; i++) {
 		const world_node_t *node = &world->nodes[i];
 
-		if (!node->frozen && timers_next(&node->timers) < next)
-			next = timers_next(&node->timers);
+		if (!node->frozen && timers_next_due(&node->timers) < next)
+			next = timers_next_due(&node->timers);
 	}
 	return next;
 }
@@ -218,7 +218,7 @@
 		if (next > end)
 			break;
 		if (next > world_now(world))
-			paused_clock_advance(&world->clock, next - world_now(world));
+			manual_clock_advance(&world->clock, next - world_now(world));
 		timers_expire(&world->timers, world_now(world));
 		publish_sometimes(world);
 		for (size_t i = 0; i < world->node_count; i++) {
@@ -226,7 +226,7 @@
 				timers_expire(&world->nodes[i].timers, world_now(world));
 		}
 	}
-	paused_clock_advance(&world->clock, end - world_now(world));
+	manual_clock_advance(&world->clock, end - world_now(world));
 }
 
 size_t world_permitted(pool_world_t *world, const char *member)
@@ -282,11 +282,11 @@
 		.grace = 6 * USEC_PER_SEC,
 		.config_bound = 3 * USEC_PER_SEC,
 		.leaving_bound = 7 * USEC_PER_SEC,
-		.lease_least = 1 * USEC_PER_SEC,
+		.min_lease = 1 * USEC_PER_SEC,
 		.revoke_bound = world->revoke_bound,
 		.slack = world->slack,
-		.in_order = node->world->plain,
-		.alone = node->world->plain,
+		.serve_in_arrival_order = node->world->plain,
+		.no_homes = node->world->plain,
 	};
 
 	node->drained = false;
@@ -349,7 +349,7 @@
 	};
 	pool_world_t *world = talloc_zero(NULL, pool_world_t);
 
-	paused_clock_init(&world->clock, 100 * USEC_PER_SEC);
+	manual_clock_init(&world->clock, 100 * USEC_PER_SEC);
 	timers_init(&world->timers);
 	world->kv = fake_kv_create(world, &world->clock.base, &world->timers);
 	world->db = fake_db_create(world, config != NULL ? config : &usual, &world->clock.base,
@@ -393,7 +393,7 @@
 	memcpy(world->customers, customers, count * sizeof(*customers));
 	world->customer_count = count;
 	world->revoke_bound = WORLD_REVOKE;
-	world->slack = (limit_slack_t){.part = 0.1, .operations = 20};
+	world->slack = (limit_slack_t){.fraction = 0.1, .operations = 20};
 	for (size_t i = 0; i < count; i++)
 		snprintf(world->customers[i].key, WORLD_KEY_MAX, "key-%s", customers[i].name);
 }
--- a/tests/test_kernel.c
+++ b/tests/test_kernel.c
@@ -1,4 +1,4 @@
-/* Timers on a paused clock, settings and their errors. */
+/* Unit tests of kernel/: timers on a manual clock, settings and their errors, log levels. */
 #include <errno.h>
 #include <stdio.h>
 #include <string.h>
@@ -33,10 +33,10 @@
 	static ring_t rings[COUNT];
 	int order[COUNT];
 	int next = 0;
-	paused_clock_t clock;
+	manual_clock_t clock;
 	timer_set_t set;
 
-	paused_clock_init(&clock, 1000);
+	manual_clock_init(&clock, 1000);
 	timers_init(&set);
 	for (int i = 0; i < COUNT; i++) {
 		int due = (i * 37) % COUNT;
@@ -46,15 +46,15 @@
 					   clock_now(&clock.base) + (usec_t)due, on_ring),
 				==, 0);
 	}
-	timers_cancel(&set, &rings[0].timer); /* the one that is due first */
+	timers_cancel(&set, &rings[0].timer); /* the timer that is due first */
 	timers_expire(&set, clock_now(&clock.base));
 	g_assert_cmpint(next, ==, 0);
-	paused_clock_advance(&clock, COUNT);
+	manual_clock_advance(&clock, COUNT);
 	timers_expire(&set, clock_now(&clock.base));
 	g_assert_cmpint(next, ==, COUNT - 1);
 	for (int i = 0; i < next; i++)
 		g_assert_cmpint(order[i], ==, i + 1);
-	g_assert_cmpuint(timers_next(&set), ==, USEC_NEVER);
+	g_assert_cmpuint(timers_next_due(&set), ==, USEC_NEVER);
 	timers_destroy(&set);
 }
 
@@ -70,19 +70,19 @@
 	{.key = "a.count",
 	 .type = SETTING_INT,
 	 .offset = offsetof(sample_t, count),
-	 .initial = "7",
+	 .default_text = "7",
 	 .min = 1,
 	 .max = 9,
 	 .unit = "pieces"},
 	{.key = "b.flag",
 	 .type = SETTING_BOOL,
 	 .offset = offsetof(sample_t, flag),
-	 .initial = "true",
+	 .default_text = "true",
 	 .unit = ""},
 	{.key = "b.list",
 	 .type = SETTING_LIST,
 	 .offset = offsetof(sample_t, list),
-	 .initial = "",
+	 .default_text = "",
 	 .unit = ""},
 };
 
@@ -92,7 +92,7 @@
 	return settings_parse(text, "x.toml", specs, G_N_ELEMENTS(specs), *out, err);
 }
 
-static void test_settings_sound(void)
+static void test_settings_valid(void)
 {
 	sample_t *sample;
 	err_t err = {0};
@@ -107,7 +107,7 @@
 	talloc_free(sample);
 }
 
-/* Each error names the file, the line, the key, the value and what was expected. */
+/* Each error message contains the file, the line, the key, the value and what was expected. */
 static void test_settings_errors(void)
 {
 	static const struct {
@@ -147,7 +147,7 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/timer/order", test_timers_in_order);
-	g_test_add_func("/settings/sound", test_settings_sound);
+	g_test_add_func("/settings/sound", test_settings_valid);
 	g_test_add_func("/settings/errors", test_settings_errors);
 	g_test_add_func("/log/levels", test_log_levels);
 	return g_test_run();
--- a/tests/test_pooler_parts.c
+++ b/tests/test_pooler_parts.c
@@ -1,4 +1,4 @@
-/* The pooler's small parts: freshness, roster, values, following a prefix of the store. */
+/* Unit tests: freshness samples, roster, session values, packing, followers of the store. */
 #include <string.h>
 
 #include <glib.h>
@@ -21,7 +21,7 @@
 
 /* --- freshness --- */
 
-/* The oldest sample that is young enough is taken: replicas are most likely to hold it. */
+/* The oldest sample that is recent enough is used, since replicas most likely have applied it. */
 static void test_oldest_fitting_sample(void)
 {
 	freshness_t freshness = {0};
@@ -29,16 +29,17 @@
 
 	for (uint64_t i = 0; i < 100; i++)
 		freshness_add(&freshness, SEC + i * 50 * MSEC, (position_t){.term = 1, .lsn = i});
-	/* At 6.0 s, 1.5 s back: the sample of 4.5 s. */
-	g_assert_true(freshness_position(&freshness, 6 * SEC, 1500 * MSEC, &sample));
+	/* At 6.0 s with a maximum age of 1.5 s: the sample taken at 4.5 s. */
+	g_assert_true(freshness_min_position(&freshness, 6 * SEC, 1500 * MSEC, &sample));
 	g_assert_cmpuint(sample.sent_at, ==, 4500 * MSEC);
 	g_assert_cmpuint(sample.position.lsn, ==, 70);
-	g_assert_false(freshness_position(&freshness, 60 * SEC, 1500 * MSEC, &sample));
-	g_assert_cmpuint(freshness_time_of(&freshness, (position_t){.term = 1, .lsn = 70}), ==,
-			 4500 * MSEC);
-	g_assert_cmpuint(freshness_time_of(&freshness, (position_t){.term = 0, .lsn = 70}), ==, 0);
+	g_assert_false(freshness_min_position(&freshness, 60 * SEC, 1500 * MSEC, &sample));
+	g_assert_cmpuint(freshness_position_time(&freshness, (position_t){.term = 1, .lsn = 70}),
+			 ==, 4500 * MSEC);
+	g_assert_cmpuint(freshness_position_time(&freshness, (position_t){.term = 0, .lsn = 70}),
+			 ==, 0);
 	freshness_reset(&freshness);
-	g_assert_false(freshness_position(&freshness, 6 * SEC, 1500 * MSEC, &sample));
+	g_assert_false(freshness_min_position(&freshness, 6 * SEC, 1500 * MSEC, &sample));
 }
 
 static void test_samples_too_close(void)
@@ -63,21 +64,21 @@
 	roster_put_node(roster, "p2", "10.0.0.2:7", "b", 6);
 	roster_set_writer(roster, "p2");
 	roster_put_group(roster, "core", "m1", true, 4, 9);
-	encoded = roster_text(roster);
+	encoded = roster_encode(roster);
 	back = roster_decode(roster, encoded, strlen(encoded), 12);
 	g_assert_nonnull(back);
 	g_assert_cmpint(back->revision, ==, 12);
-	g_assert_true(roster_node(back, "p1")->gone);
-	g_assert_cmpuint(roster_node(back, "p2")->incarnation, ==, 6);
-	g_assert_cmpstr(roster_node(back, "p2")->zone, ==, "b");
+	g_assert_true(roster_find_node(back, "p1")->gone);
+	g_assert_cmpuint(roster_find_node(back, "p2")->incarnation, ==, 6);
+	g_assert_cmpstr(roster_find_node(back, "p2")->zone, ==, "b");
 	g_assert_cmpstr(back->writer, ==, "p2");
-	g_assert_cmpstr(roster_group(back, "core")->primary, ==, "m1");
-	g_assert_true(roster_group(back, "core")->changing);
-	g_assert_cmpuint(roster_group(back, "core")->term, ==, 4);
-	roster_put_group(back, "core", roster_group(back, "core")->primary, false, 4, 10);
-	g_assert_cmpstr(roster_group(back, "core")->primary, ==, "m1");
+	g_assert_cmpstr(roster_find_group(back, "core")->primary, ==, "m1");
+	g_assert_true(roster_find_group(back, "core")->changing);
+	g_assert_cmpuint(roster_find_group(back, "core")->term, ==, 4);
+	roster_put_group(back, "core", roster_find_group(back, "core")->primary, false, 4, 10);
+	g_assert_cmpstr(roster_find_group(back, "core")->primary, ==, "m1");
 	roster_remove_node(back, "p1");
-	g_assert_null(roster_node(back, "p1"));
+	g_assert_null(roster_find_node(back, "p1"));
 	g_assert_null(roster_decode(roster, "{\"nodes\":{\"a\":1}}", 17, 1));
 	g_assert_null(roster_decode(roster, "junk", 4, 1));
 	talloc_free(roster);
@@ -96,8 +97,8 @@
 	variables_set(&a, parent, text("x"), text("1"));
 	variables_set(&a, parent, text("y"), text("2"));
 	variables_set(&b, parent, text("y"), text("9"));
-	g_assert_true(variables_within(&b, &a));
-	g_assert_false(variables_within(&a, &b));
+	g_assert_true(variables_is_subset(&b, &a));
+	g_assert_false(variables_is_subset(&a, &b));
 	variables_set(&b, parent, text("y"), text("2"));
 	variables_set(&b, parent, text("x"), text("1"));
 	g_assert_true(variables_equal(&a, &b));
@@ -112,7 +113,7 @@
 
 typedef struct followed {
 	follow_t follow;
-	paused_clock_t clock;
+	manual_clock_t clock;
 	timer_set_t timers;
 	fake_kv_t *store;
 	fake_kv_client_t client;
@@ -135,27 +136,27 @@
 	g_hash_table_remove(self->seen, key);
 }
 
-static const follow_ops_t follow_ops = {.changed = on_changed, .gone = on_gone};
+static const follow_ops_t follow_ops = {.on_changed = on_changed, .on_removed = on_gone};
 
-static void pass(followed_t *self, usec_t by)
+static void run_for(followed_t *self, usec_t by)
 {
 	usec_t end = clock_now(&self->clock.base) + by;
 
-	while (timers_next(&self->timers) <= end) {
+	while (timers_next_due(&self->timers) <= end) {
 		usec_t now = clock_now(&self->clock.base);
 
-		if (timers_next(&self->timers) > now)
-			paused_clock_advance(&self->clock, timers_next(&self->timers) - now);
+		if (timers_next_due(&self->timers) > now)
+			manual_clock_advance(&self->clock, timers_next_due(&self->timers) - now);
 		timers_expire(&self->timers, clock_now(&self->clock.base));
 	}
-	paused_clock_advance(&self->clock, end - clock_now(&self->clock.base));
+	manual_clock_advance(&self->clock, end - clock_now(&self->clock.base));
 }
 
 static followed_t *followed_create(void)
 {
 	followed_t *self = g_new0(followed_t, 1);
 
-	paused_clock_init(&self->clock, 100 * SEC);
+	manual_clock_init(&self->clock, 100 * SEC);
 	timers_init(&self->timers);
 	self->store = fake_kv_create(NULL, &self->clock.base, &self->timers);
 	fake_kv_client_init(&self->client, self->store);
@@ -168,7 +169,7 @@
 	self->follow.timers = &self->timers;
 	self->follow.prefix = "servers/";
 	follow_start(&self->follow, NULL);
-	pass(self, 100 * MSEC);
+	run_for(self, 100 * MSEC);
 	return self;
 }
 
@@ -194,38 +195,38 @@
 	g_assert_null(seen(self, "other"));
 	fake_kv_put(self->store, "servers/b", "1");
 	fake_kv_put(self->store, "servers/a", "2");
-	pass(self, 50 * MSEC);
+	run_for(self, 50 * MSEC);
 	g_assert_cmpstr(seen(self, "servers/a"), ==, "2");
 	g_assert_cmpstr(seen(self, "servers/b"), ==, "1");
 	fake_kv_put(self->store, "servers/a", NULL);
-	pass(self, SEC);
+	run_for(self, SEC);
 	g_assert_nonnull(seen(self, "servers/a"));
-	pass(self, 2 * SEC);
+	run_for(self, 2 * SEC);
 	g_assert_null(seen(self, "servers/a"));
 	g_assert_cmpuint(self->gone, ==, 1);
 	followed_destroy(self);
 }
 
 /*
- * What the store's other users see: a fleet that starts uses up the rate of its calls. What
- * happens: members register one after another, and each change wakes every watch. Why gathering
- * them is enough: the next call brings all that came meanwhile.
+ * Guards against a starting fleet that uses up the store's rate limit: members register one after
+ * another, and each change wakes every watch. A follower that delays its next call gets all changes
+ * of that time with one call.
  */
-static void test_follow_gathers(void)
+static void test_follow_batches_changes(void)
 {
 	followed_t *self = followed_create();
 	size_t before;
 
-	self->follow.gather = FOLLOW_GATHER;
+	self->follow.coalesce_time = FOLLOW_COALESCE_TIME;
 	before = self->store->call_count;
 	for (int i = 0; i < 20; i++) {
 		char *key = g_strdup_printf("servers/m%d", i);
 
 		fake_kv_put(self->store, key, "1");
-		pass(self, 20 * MSEC);
+		run_for(self, 20 * MSEC);
 		g_free(key);
 	}
-	pass(self, 300 * MSEC);
+	run_for(self, 300 * MSEC);
 	for (int i = 0; i < 20; i++) {
 		char *key = g_strdup_printf("servers/m%d", i);
 
@@ -236,7 +237,7 @@
 	followed_destroy(self);
 }
 
-/* The history is dropped while a watch waits: all is read again, nothing is missed. */
+/* The store compacts its history while a watch is open: all is read again, no change is lost. */
 static void test_follow_compaction(void)
 {
 	followed_t *self = followed_create();
@@ -246,40 +247,40 @@
 	fake_kv_put(self->store, "servers/a", NULL);
 	fake_kv_compact(self->store);
 	self->store->deaf_watches = false;
-	pass(self, 4 * SEC);
+	run_for(self, 4 * SEC);
 	g_assert_cmpstr(seen(self, "servers/b"), ==, "1");
 	g_assert_null(seen(self, "servers/a"));
 	followed_destroy(self);
 }
 
-/* An entry lapses while the store is away and is written again 2 s after its return. */
-static void test_follow_lapsed_entry(void)
+/* An entry that expires in an outage of the store and is back 2 s later was never removed. */
+static void test_follow_expired_entry(void)
 {
 	followed_t *self = followed_create();
 
 	self->store->down = true;
-	pass(self, 3 * SEC);
+	run_for(self, 3 * SEC);
 	fake_kv_put(self->store, "servers/a", NULL);
 	self->store->down = false;
-	pass(self, 2 * SEC);
+	run_for(self, 2 * SEC);
 	fake_kv_put(self->store, "servers/a", "3");
-	pass(self, 3 * SEC);
+	run_for(self, 3 * SEC);
 	g_assert_cmpstr(seen(self, "servers/a"), ==, "3");
 	g_assert_cmpuint(self->gone, ==, 0);
 	followed_destroy(self);
 }
 
-/* A watch that hears nothing gives no sign of it: a refresh finds what it missed. */
+/* A watch may miss changes without an error; a refresh reads what the watch has missed. */
 static void test_follow_refresh(void)
 {
 	followed_t *self = followed_create();
 
 	self->store->deaf_watches = true;
 	fake_kv_put(self->store, "servers/a", "2");
-	pass(self, 500 * MSEC);
+	run_for(self, 500 * MSEC);
 	g_assert_cmpstr(seen(self, "servers/a"), ==, "1");
 	follow_refresh(&self->follow);
-	pass(self, 50 * MSEC);
+	run_for(self, 50 * MSEC);
 	g_assert_cmpstr(seen(self, "servers/a"), ==, "2");
 	followed_destroy(self);
 }
@@ -295,16 +296,18 @@
 				  .clock = &self->clock.base,
 				  .timers = &self->timers,
 				  .prefix = "servers/",
-				  .fed = true,
-				  .held = held};
+				  .from_peer = true,
+				  .read_deferred = held};
 	self->store->down = true;
 	follow_start(&self->follow, NULL);
 	return self;
 }
 
-/* A follower that is told of changes keeps them to itself until it has read again what history
- * lost. */
-static void test_follow_tells_before_reading(void)
+/*
+ * Guards against a follower that receives updates from a peer but does not pass them on until it
+ * has read the store again after a compaction.
+ */
+static void test_follow_passes_on_before_reading(void)
 {
 	followed_t *self = followed_create();
 	const kv_item_t item = {.key = "servers/b", .value = "2", .len = 1, .revision = 50};
@@ -313,83 +316,88 @@
 	follow_changes_t changes;
 	int64_t known;
 
-	pass(self, 100 * USEC_PER_MSEC);
-	known = self->follow.told;
+	run_for(self, 100 * USEC_PER_MSEC);
+	known = self->follow.as_of;
 	fake_kv_put(self->store, "servers/a", "2");
 	fake_kv_compact(self->store);
-	/* The watch has ended, the reading that follows is on its way. */
-	pass(self, 2 * USEC_PER_MSEC);
+	/* The watch has ended, and the read that follows is in flight. */
+	run_for(self, 2 * USEC_PER_MSEC);
 	g_assert_cmpint(self->follow.revision, ==, 0);
 	self->client.refused = true;
-	follow_set_fed(&self->follow, true);
-	pass(self, 1 * SEC);
-	follow_take(&self->follow, &told);
-	g_assert_cmpint(follow_changes(&self->follow, known, parent, &changes), ==, FOLLOW_CHANGED);
+	follow_set_from_peer(&self->follow, true);
+	run_for(self, 1 * SEC);
+	follow_apply_changes(&self->follow, &told);
+	g_assert_cmpint(follow_collect_changes(&self->follow, known, parent, &changes), ==,
+			FOLLOW_HAS_CHANGES);
 	g_assert_cmpint(changes.as_of, ==, 50);
-	g_assert_nonnull(follow_pack(&self->follow, known));
+	g_assert_nonnull(follow_pack_changes(&self->follow, known));
 	talloc_free(parent);
 	followed_destroy(self);
 }
 
-/* A process that is told what changed since its earlier life claims to know all, and is told no
- * more. */
-static void test_follow_changes_before_all(void)
+/*
+ * Guards against a restarted process that receives only the changes since its earlier run, and then
+ * reports that it has all items, so that peers send it no more.
+ */
+static void test_follow_partial_before_whole(void)
 {
 	followed_t *self = followed_create_fed(true);
 	const kv_item_t item = {.key = "servers/b", .value = "2", .len = 1, .revision = 50};
 	follow_changes_t told = {.as_of = 50, .items = &item, .count = 1};
 
-	follow_take(&self->follow, &told);
+	follow_apply_changes(&self->follow, &told);
 	g_assert_cmpstr(seen(self, "servers/b"), ==, "2");
-	g_assert_cmpint(self->follow.told, ==, 0);
-	told.whole = true;
-	follow_take(&self->follow, &told);
-	g_assert_cmpint(self->follow.told, ==, 50);
+	g_assert_cmpint(self->follow.as_of, ==, 0);
+	told.complete = true;
+	follow_apply_changes(&self->follow, &told);
+	g_assert_cmpint(self->follow.as_of, ==, 50);
 	followed_destroy(self);
 }
 
-/* A holder tells an age of minutes since a reading of its own failed long before it held the duty.
+/*
+ * Guards against a leader that reports its directory as minutes old, because a read of its own
+ * failed long before it became the leader.
  */
 static void test_follow_unanswered(void)
 {
 	followed_t *self = followed_create();
 	const kv_item_t item = {.key = "servers/b", .value = "2", .len = 1, .revision = 50};
-	follow_changes_t told = {.whole = true, .as_of = 50, .items = &item, .count = 1};
+	follow_changes_t told = {.complete = true, .as_of = 50, .items = &item, .count = 1};
 
-	pass(self, 100 * USEC_PER_MSEC);
-	g_assert_cmpuint(follow_unanswered(&self->follow), ==, 0);
+	run_for(self, 100 * USEC_PER_MSEC);
+	g_assert_cmpuint(follow_unanswered_time(&self->follow), ==, 0);
 	self->client.refused = true;
 	follow_refresh(&self->follow);
-	pass(self, 1 * SEC);
-	g_assert_cmpuint(follow_unanswered(&self->follow), >=, 900 * USEC_PER_MSEC);
-	follow_take(&self->follow, &told);
-	g_assert_cmpuint(follow_unanswered(&self->follow), ==, 0);
+	run_for(self, 1 * SEC);
+	g_assert_cmpuint(follow_unanswered_time(&self->follow), >=, 900 * USEC_PER_MSEC);
+	follow_apply_changes(&self->follow, &told);
+	g_assert_cmpuint(follow_unanswered_time(&self->follow), ==, 0);
 	followed_destroy(self);
 }
 
-/* Changes are never learnt while the store turns watches away and nobody tells. */
-static void test_follow_watches_turned_away(void)
+/* A follower must receive changes although the store refuses watches and no peer sends updates. */
+static void test_follow_watches_refused(void)
 {
 	followed_t *self = followed_create();
 
-	pass(self, 100 * USEC_PER_MSEC);
+	run_for(self, 100 * USEC_PER_MSEC);
 	self->client.unwatched = true;
-	/* The watch that waits is answered once more. */
+	/* The watch that is already open is answered once more. */
 	fake_kv_put(self->store, "servers/a", "1");
-	pass(self, 500 * USEC_PER_MSEC);
+	run_for(self, 500 * USEC_PER_MSEC);
 	for (int i = 2; i < 6; i++) {
 		char value[8];
 
 		g_snprintf(value, sizeof(value), "%d", i);
 		fake_kv_put(self->store, "servers/a", value);
-		/* The longest back-off of a watch. */
-		pass(self, 3300 * USEC_PER_MSEC);
+		/* The longest back-off before a refused watch is retried. */
+		run_for(self, 3300 * USEC_PER_MSEC);
 		g_assert_cmpstr(seen(self, "servers/a"), ==, value);
 	}
 	followed_destroy(self);
 }
 
-/* Many pages: more items than one answer holds. */
+/* Reads more items than one answer of the store holds. */
 static void test_follow_pages(void)
 {
 	followed_t *self = followed_create();
@@ -401,28 +409,28 @@
 		fake_kv_put(self->store, key, "1");
 	}
 	fake_kv_compact(self->store);
-	pass(self, SEC);
+	run_for(self, SEC);
 	g_assert_cmpuint(g_hash_table_size(self->seen), ==, 1201);
 	followed_destroy(self);
 }
 
-/* One that the store does not answer; a peer tells it what changes. */
+/* --- updates from a peer, for a follower that does not read the store itself --- */
 
-/* What the peer has that the other lacks; false if nothing was to be told. */
-static bool tell(const followed_t *peer, followed_t *to)
+/* Sends the peer's newer changes to the other follower; returns false if there are none. */
+static bool send_changes(const followed_t *peer, followed_t *to)
 {
 	void *parent = talloc_new(NULL);
 	follow_changes_t changes;
-	bool told =
-		follow_changes(&peer->follow, to->follow.told, parent, &changes) == FOLLOW_CHANGED;
+	bool told = follow_collect_changes(&peer->follow, to->follow.as_of, parent, &changes) ==
+		    FOLLOW_HAS_CHANGES;
 
 	if (told)
-		follow_take(&to->follow, &changes);
+		follow_apply_changes(&to->follow, &changes);
 	talloc_free(parent);
 	return told;
 }
 
-/* Members of a large deployment, as their entries are. */
+/* Number of members in a large deployment; put_members() writes entries as members do. */
 #define MEMBERS 3000
 
 static void put_members(fake_kv_t *store)
@@ -441,7 +449,8 @@
 
 /*
  * Guards against a start in which every proxy of a large fleet reads all members from the store:
- * 985 times 1.3 MB through its one link. A peer tells them as one text, and changes after it.
+ * 985 times 1.3 MB over the store's one link. A peer sends all members as one packed text instead,
+ * and then changes.
  */
 static void test_follow_packed(void)
 {
@@ -451,33 +460,33 @@
 	size_t calls;
 
 	put_members(peer->store);
-	pass(peer, SEC);
+	run_for(peer, SEC);
 	calls = fed->store->call_count;
-	g_assert_false(tell(peer, fed));
-	packed = follow_pack(&peer->follow, 0);
+	g_assert_false(send_changes(peer, fed));
+	packed = follow_pack_changes(&peer->follow, 0);
 	g_test_message("%d members, %zu bytes", MEMBERS, strlen(packed));
 	g_assert_cmpuint(strlen(packed), <, 60 * MEMBERS);
-	g_assert_true(follow_pack(&peer->follow, 0) == packed);
-	g_assert_false(follow_open(&fed->follow, "zlib:9999 AAAA"));
-	g_assert_false(follow_open(&fed->follow, "{\"as_of\":7}"));
+	g_assert_true(follow_pack_changes(&peer->follow, 0) == packed);
+	g_assert_false(follow_apply_packed(&fed->follow, "zlib:9999 AAAA"));
+	g_assert_false(follow_apply_packed(&fed->follow, "{\"as_of\":7}"));
 	g_assert_cmpuint(g_hash_table_size(fed->seen), ==, 0);
-	g_assert_true(follow_open(&fed->follow, packed));
+	g_assert_true(follow_apply_packed(&fed->follow, packed));
 	g_assert_cmpuint(g_hash_table_size(fed->seen), ==, MEMBERS + 1);
-	follow_release(&fed->follow);
-	pass(fed, SEC);
+	follow_start_deferred(&fed->follow);
+	run_for(fed, SEC);
 	g_assert_cmpuint(fed->store->call_count, ==, calls);
 	fake_kv_put(peer->store, "servers/b", "1");
-	pass(peer, 100 * MSEC);
-	/* Changes, with what is missing, and not all of it again. */
+	run_for(peer, 100 * MSEC);
+	/* The next packed text holds only changes, removals included. */
 	fake_kv_put(peer->store, "servers/a", NULL);
-	pass(peer, 100 * MSEC);
-	packed = follow_pack(&peer->follow, fed->follow.told);
+	run_for(peer, 100 * MSEC);
+	packed = follow_pack_changes(&peer->follow, fed->follow.as_of);
 	g_assert_cmpuint(strlen(packed), <, 200);
-	g_assert_true(follow_open(&fed->follow, packed));
+	g_assert_true(follow_apply_packed(&fed->follow, packed));
 	g_assert_cmpstr(seen(fed, "servers/b"), ==, "1");
-	pass(fed, 3 * SEC);
+	run_for(fed, 3 * SEC);
 	g_assert_null(seen(fed, "servers/a"));
-	g_assert_cmpint(fed->follow.told, ==, peer->follow.told);
+	g_assert_cmpint(fed->follow.as_of, ==, peer->follow.as_of);
 	followed_destroy(fed);
 	followed_destroy(peer);
 }
@@ -490,25 +499,25 @@
 	const char *opened;
 	size_t len;
 
-	g_assert_cmpstr(pack_text(parent, "short", 5), ==, "short");
-	g_assert_cmpstr(pack_open(parent, "short", 5, &len), ==, "short");
-	while (text->len < 2 * PACK_LEAST)
+	g_assert_cmpstr(pack_compress(parent, "short", 5), ==, "short");
+	g_assert_cmpstr(pack_decompress(parent, "short", 5, &len), ==, "short");
+	while (text->len < 2 * PACK_MIN_BYTES)
 		g_string_append_printf(text, "{\"entry\":%zu},", text->len);
-	packed = pack_text(parent, text->str, text->len);
+	packed = pack_compress(parent, text->str, text->len);
 	g_assert_cmpuint(strlen(packed), <, text->len / 2);
-	opened = pack_open(parent, packed, strlen(packed), &len);
+	opened = pack_decompress(parent, packed, strlen(packed), &len);
 	g_assert_cmpuint(len, ==, text->len);
 	g_assert_cmpstr(opened, ==, text->str);
-	/* Cut off, and with a length that is not the text's. */
-	g_assert_null(pack_open(parent, packed, strlen(packed) / 2, &len));
-	g_assert_null(pack_open(parent, "zlib:99999999999999 eA==", 24, &len));
+	/* Truncated text, and a header with a wrong length. */
+	g_assert_null(pack_decompress(parent, packed, strlen(packed) / 2, &len));
+	g_assert_null(pack_decompress(parent, "zlib:99999999999999 eA==", 24, &len));
 	talloc_free(parent);
 	g_string_free(text, TRUE);
 }
 
 /*
- * What the store saw before: one change of a member cost a call of each proxy, 295 in the largest
- * fleet. One that is told by a peer makes none, learns the same, and is told nothing twice.
+ * Guards against one call to the store by each proxy (295 in the largest fleet) for every change of
+ * a member. A follower with a peer gets the same changes without calls, and each only once.
  */
 static void test_follow_by_a_peer(void)
 {
@@ -516,59 +525,59 @@
 	followed_t *fed = followed_create_fed(false);
 	size_t calls;
 
-	g_assert_true(tell(peer, fed));
+	g_assert_true(send_changes(peer, fed));
 	g_assert_cmpstr(seen(fed, "servers/a"), ==, "1");
-	g_assert_false(tell(peer, fed));
-	pass(fed, SEC);
+	g_assert_false(send_changes(peer, fed));
+	run_for(fed, SEC);
 	calls = fed->store->call_count;
 	fake_kv_put(peer->store, "servers/b", "1");
-	pass(peer, 50 * MSEC);
-	g_assert_true(tell(peer, fed));
+	run_for(peer, 50 * MSEC);
+	g_assert_true(send_changes(peer, fed));
 	g_assert_cmpstr(seen(fed, "servers/b"), ==, "1");
 	fake_kv_put(peer->store, "servers/a", NULL);
-	pass(peer, 50 * MSEC);
-	g_assert_true(tell(peer, fed));
-	pass(fed, 3 * SEC);
+	run_for(peer, 50 * MSEC);
+	g_assert_true(send_changes(peer, fed));
+	run_for(fed, 3 * SEC);
 	g_assert_null(seen(fed, "servers/a"));
-	/* Its own first reading is still tried, since it has never succeeded, but nothing more. */
+	/* Only its first read, which has never succeeded, is still retried. */
 	g_assert_cmpuint(fed->store->call_count, <=, calls + 1);
 	followed_destroy(fed);
 	followed_destroy(peer);
 }
 
 /*
- * What callers would see otherwise: statements for a member that has left. The peer's watch misses
- * its end without a sign, and the peer learns of it by reading everything again, when it has told
- * newer changes already. (If the store has not changed at all since, proxies notice by the digest
- * of their lists.)
+ * Guards against statements sent to a member that was removed. The peer's watch misses the removal
+ * without an error. The peer detects it with a full read, after it has already sent newer changes,
+ * and must send the removal all the same. (If the store has no newer change, proxies detect the
+ * difference by the digests of their lists.)
  */
 static void test_follow_late_discovery(void)
 {
 	followed_t *peer = followed_create();
 	followed_t *fed = followed_create_fed(false);
 
-	tell(peer, fed);
+	send_changes(peer, fed);
 	peer->store->deaf_watches = true;
 	fake_kv_put(peer->store, "servers/a", NULL);
 	fake_kv_drop_events(peer->store);
 	peer->store->deaf_watches = false;
 	fake_kv_put(peer->store, "servers/b", "1");
-	pass(peer, 50 * MSEC);
-	tell(peer, fed);
+	run_for(peer, 50 * MSEC);
+	send_changes(peer, fed);
 	g_assert_nonnull(seen(fed, "servers/a"));
 	fake_kv_put(peer->store, "other", "2");
 	follow_refresh(&peer->follow);
-	pass(peer, 50 * MSEC);
-	g_assert_true(tell(peer, fed));
-	pass(fed, 3 * SEC);
+	run_for(peer, 50 * MSEC);
+	g_assert_true(send_changes(peer, fed));
+	run_for(fed, 3 * SEC);
 	g_assert_null(seen(fed, "servers/a"));
 	g_assert_nonnull(seen(fed, "servers/b"));
-	g_assert_false(tell(peer, fed));
+	g_assert_false(send_changes(peer, fed));
 	followed_destroy(fed);
 	followed_destroy(peer);
 }
 
-/* A peer that has read everything only lately tells all of it, and what is not there is gone. */
+/* A peer that has just read all items sends all of them; missing items count as removed. */
 static void test_follow_whole(void)
 {
 	followed_t *first = followed_create();
@@ -576,8 +585,8 @@
 	followed_t *fed = followed_create_fed(false);
 
 	fake_kv_put(first->store, "servers/old", "1");
-	pass(first, 50 * MSEC);
-	tell(first, fed);
+	run_for(first, 50 * MSEC);
+	send_changes(first, fed);
 	for (int i = 0; i < 10; i++)
 		fake_kv_put(second->store, "other", "1");
 	fake_kv_put(second->store, "servers/new", "1");
@@ -585,12 +594,12 @@
 	follow_stop(&second->follow);
 	g_hash_table_remove_all(second->seen);
 	second->follow.revision = 0;
-	second->follow.told = 0;
+	second->follow.as_of = 0;
 	second->follow.watching = false;
 	follow_start(&second->follow, NULL);
-	pass(second, 100 * MSEC);
-	g_assert_true(tell(second, fed));
-	pass(fed, 3 * SEC);
+	run_for(second, 100 * MSEC);
+	g_assert_true(send_changes(second, fed));
+	run_for(fed, 3 * SEC);
 	g_assert_nonnull(seen(fed, "servers/new"));
 	g_assert_null(seen(fed, "servers/old"));
 	followed_destroy(fed);
@@ -608,14 +617,14 @@
 	g_test_add_func("/follow/packed", test_follow_packed);
 	g_test_add_func("/pack/round-trip", test_pack_round_trip);
 	g_test_add_func("/follow/changes", test_follow_changes);
-	g_test_add_func("/follow/gathers", test_follow_gathers);
+	g_test_add_func("/follow/gathers", test_follow_batches_changes);
 	g_test_add_func("/follow/compaction", test_follow_compaction);
-	g_test_add_func("/follow/lapsed-entry", test_follow_lapsed_entry);
+	g_test_add_func("/follow/lapsed-entry", test_follow_expired_entry);
 	g_test_add_func("/follow/refresh", test_follow_refresh);
-	g_test_add_func("/follow/tells-before-reading", test_follow_tells_before_reading);
-	g_test_add_func("/follow/changes-before-all", test_follow_changes_before_all);
+	g_test_add_func("/follow/tells-before-reading", test_follow_passes_on_before_reading);
+	g_test_add_func("/follow/changes-before-all", test_follow_partial_before_whole);
 	g_test_add_func("/follow/unanswered", test_follow_unanswered);
-	g_test_add_func("/follow/watches-turned-away", test_follow_watches_turned_away);
+	g_test_add_func("/follow/watches-turned-away", test_follow_watches_refused);
 	g_test_add_func("/follow/pages", test_follow_pages);
 	g_test_add_func("/follow/by-a-peer", test_follow_by_a_peer);
 	g_test_add_func("/follow/late-discovery", test_follow_late_discovery);
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -1,4 +1,4 @@
-/* The operators' table: what is accepted, what is refused and how, late and repeated news. */
+/* The operators' table: validation and its errors, late and duplicate updates. */
 #include <string.h>
 
 #include <glib.h>
@@ -12,7 +12,7 @@
 	"{\"name\": \"m2\", \"zone\": \"z2\", \"address\": \"h:3\"}]}"
 #define ROW "{\"group\": \"g\", \"kind\": \"read\", \"max_age_ms\": 500, \"connections\": 4}"
 
-static table_t *make(void)
+static table_t *create_table(void)
 {
 	table_t *table = table_create(NULL);
 	table_entry_t entries[] = {{"group/g", GROUP, 1}, {"row/s/c", ROW, 1}};
@@ -24,32 +24,32 @@
 
 static void test_lookup(void)
 {
-	table_t *table = make();
-	const row_t *row = table_row(table, "s", "c");
+	table_t *table = create_table();
+	const row_t *row = table_find_row(table, "s", "c");
 
 	g_assert_nonnull(row);
 	g_assert_cmpuint(row->max_age, ==, 500 * USEC_PER_MSEC);
 	g_assert_cmpint(row->connections, ==, 4);
-	g_assert_null(table_row(table, "s", "other"));
-	g_assert_cmpuint(table_group(table, "g")->member_count, ==, 3);
+	g_assert_null(table_find_row(table, "s", "other"));
+	g_assert_cmpuint(table_find_group(table, "g")->member_count, ==, 3);
 	talloc_free(table);
 }
 
-/* News may come late, twice and out of order: the newest version of an entry stays. */
+/* Updates may arrive late, twice and out of order: the newest version of an entry must stay. */
 static void test_never_reverts(void)
 {
-	table_t *table = make();
+	table_t *table = create_table();
 	table_entry_t newer = {"row/s/c", "{\"group\": \"g\", \"kind\": \"write\"}", 5};
 	table_entry_t older = {"row/s/c", ROW, 3};
 	table_entry_t deleted = {"row/s/c", NULL, 6};
 
 	g_assert_cmpint(table_merge(table, &newer, 1, 5, NULL), ==, 1);
 	g_assert_cmpint(table_merge(table, &older, 1, 3, NULL), ==, 0);
-	g_assert_cmpint(table_row(table, "s", "c")->kind, ==, ROW_WRITE);
+	g_assert_cmpint(table_find_row(table, "s", "c")->kind, ==, ROW_WRITE);
 	g_assert_cmpuint(table->version, ==, 5);
 	g_assert_cmpint(table_merge(table, &deleted, 1, 6, NULL), ==, 1);
 	g_assert_cmpint(table_merge(table, &newer, 1, 5, NULL), ==, 0);
-	g_assert_null(table_row(table, "s", "c"));
+	g_assert_null(table_find_row(table, "s", "c"));
 	talloc_free(table);
 }
 
@@ -83,32 +83,32 @@
 {
 	for (gsize i = 0; i < G_N_ELEMENTS(bad_cases); i++) {
 		const bad_case_t *bad = &bad_cases[i];
-		table_t *table = make();
+		table_t *table = create_table();
 		table_entry_t entry = {(char *)bad->key, (char *)bad->value, 0};
 		err_t err = {0};
 
 		g_assert_cmpint(table_check(table, &entry, 1, &err), <, 0);
 		g_assert_cmpstr(err.peer, ==, bad->where);
 		g_assert_nonnull(strstr(err.text, bad->expected));
-		/* Nothing of it went in. */
+		/* The rejected entry has changed nothing. */
 		g_assert_cmpuint(table->version, ==, 1);
-		g_assert_nonnull(table_row(table, "s", "c"));
+		g_assert_nonnull(table_find_row(table, "s", "c"));
 		talloc_free(table);
 	}
 }
 
 static void test_changes_since(void)
 {
-	table_t *table = make();
+	table_t *table = create_table();
 	table_entry_t entry = {"row/s/d", ROW, 2};
 	size_t count;
 	table_entry_t *changes;
 
 	g_assert_cmpint(table_merge(table, &entry, 1, 2, NULL), ==, 1);
-	changes = table_changes(table, table, 1, &count);
+	changes = table_changes_since(table, table, 1, &count);
 	g_assert_cmpuint(count, ==, 1);
 	g_assert_cmpstr(changes[0].key, ==, "row/s/d");
-	table_changes(table, table, 0, &count);
+	table_changes_since(table, table, 0, &count);
 	g_assert_cmpuint(count, ==, 3);
 	talloc_free(table);
 }
--- a/tests/world.c
+++ b/tests/world.c
@@ -18,15 +18,15 @@
 		.max_conns = 15,
 		.row_conns = 3,
 		.seed = 1,
-		.replica_lean = 100,
+		.replica_share = 100,
 		.max_age = USEC_PER_SEC,
 		.row_queue = 200,
 		.row_timeout = 5 * USEC_PER_SEC,
 	};
 }
 
-static void put_row(world_t *world, const char *class_name, const char *kind, int weight,
-		    const char *more)
+static void store_put_row(world_t *world, const char *class_name, const char *kind, int weight,
+			  const char *more)
 {
 	const world_config_t *config = &world->config;
 	char *key = g_strdup_printf("row/dispatch/%s", class_name);
@@ -56,11 +56,11 @@
 	world->store_version = 1;
 	store_put(world, "group/callout-1", members->str);
 	g_string_free(members, TRUE);
-	put_row(world, "assign", "write", 90, "");
-	put_row(world, "assignment", "read", 80, "");
+	store_put_row(world, "assign", "write", 90, "");
+	store_put_row(world, "assignment", "read", 80, "");
 	aged = g_strdup_printf(",\"max_age_ms\":%d,\"replica_lean\":%d",
-			       (int)(config->max_age / USEC_PER_MSEC), config->replica_lean);
-	put_row(world, "status", "read", 50, aged);
+			       (int)(config->max_age / USEC_PER_MSEC), config->replica_share);
+	store_put_row(world, "status", "read", 50, aged);
 	g_free(aged);
 }
 
@@ -75,13 +75,13 @@
 	member->claims = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	member->by_key = g_hash_table_new(g_str_hash, g_str_equal);
 	member->by_id = g_hash_table_new(g_str_hash, g_str_equal);
-	member->free_at = g_array_new(FALSE, TRUE, sizeof(usec_t));
-	g_array_set_size(member->free_at, (guint)world->config.slots);
+	member->slot_free_at = g_array_new(FALSE, TRUE, sizeof(usec_t));
+	g_array_set_size(member->slot_free_at, (guint)world->config.slots);
 	g_ptr_array_add(member->log, log_entry_new(1, NULL, NULL, NULL));
-	world_plan(world, 50 * USEC_PER_MSEC, -1, fake_members_catch_up, GINT_TO_POINTER(i));
+	world_schedule(world, 50 * USEC_PER_MSEC, -1, fake_member_on_catch_up, GINT_TO_POINTER(i));
 }
 
-static void on_start(world_t *world, void *data)
+static void on_proxy_start(world_t *world, void *data)
 {
 	world_on_tick(world, data);
 }
@@ -100,7 +100,7 @@
 		.fixed_detection = world->config.fixed_detection,
 		.fixed_timeout = 3 * USEC_PER_SEC,
 		.equal_shares = world->config.equal_shares,
-		.zone_blind = world->config.zone_blind,
+		.ignore_zones = world->config.ignore_zones,
 		.small_fleet = (size_t)world->config.small_fleet,
 		.timings = core_timings_default(),
 	};
@@ -109,16 +109,17 @@
 	snprintf(zone, sizeof(zone), "z%d", i % world->config.zones);
 	snprintf(address, sizeof(address), "p:%d", i);
 	world->proxies[i].core = core_create(NULL, &config);
-	world->proxies[i].ticking = USEC_NEVER;
+	world->proxies[i].next_tick = USEC_NEVER;
 	for (int j = 0; j < world->config.proxies; j++) {
 		vm_t vm = {.name = name, .zone = zone, .address = address};
 
 		snprintf(name, sizeof(name), "p%d", j);
 		snprintf(zone, sizeof(zone), "z%d", j % world->config.zones);
 		snprintf(address, sizeof(address), "p:%d", j);
-		core_add_seed(world->proxies[i].core, &vm);
+		core_add_configured_proxy(world->proxies[i].core, &vm);
 	}
-	world_plan(world, 1000 + world_random(world, 20000), i, on_start, GINT_TO_POINTER(i));
+	world_schedule(world, 1000 + world_random(world, 20000), i, on_proxy_start,
+		       GINT_TO_POINTER(i));
 }
 
 world_t *world_create(const world_config_t *config)
@@ -129,11 +130,11 @@
 	world->rng = config->seed;
 	world->events = g_sequence_new(NULL);
 	world->conns = g_hash_table_new(g_str_hash, g_str_equal);
-	world->told = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, told_free);
-	world->callers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	world->edits = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	world->edit_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	world->acked = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	world->results = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, result_free);
+	world->caller_names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	world->edit_outcomes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	world->edit_names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	world->acknowledged = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	world->floors = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	world->store = g_tree_new_full(store_compare_keys, NULL, g_free, store_item_free);
 	world->store_edits = g_ptr_array_new_with_free_func(g_free);
@@ -147,15 +148,15 @@
 	return world;
 }
 
-/* Everybody is gone: what is still planned only lets go of its memory. */
-static void run_out(world_t *world)
+/* With all proxies gone, the scheduled events only free their memory. */
+static void drain_events(world_t *world)
 {
 	world->ending = true;
 	world->config.quiet = true;
-	memset(world->frozen, 0, sizeof(world->frozen));
+	memset(world->frozen_until, 0, sizeof(world->frozen_until));
 	memset(world->vanished, true, sizeof(world->vanished));
 	for (int i = 0; i < world->config.proxies; i++)
-		world_for_conns(world, i, world_abandon);
+		world_for_each_conn(world, i, fake_conn_abandon);
 	world_run(world, USEC_NEVER - 1);
 }
 
@@ -169,7 +170,7 @@
 
 void world_destroy(world_t *world)
 {
-	run_out(world);
+	drain_events(world);
 	free_conns(world);
 	g_hash_table_unref(world->conns);
 	g_sequence_free(world->events);
@@ -178,15 +179,15 @@
 	for (int i = 0; i < world->config.members; i++) {
 		g_ptr_array_unref(world->members[i].log);
 		g_hash_table_unref(world->members[i].claims);
-		g_array_unref(world->members[i].free_at);
+		g_array_unref(world->members[i].slot_free_at);
 		g_hash_table_unref(world->members[i].by_key);
 		g_hash_table_unref(world->members[i].by_id);
 	}
-	g_hash_table_unref(world->told);
-	g_hash_table_unref(world->callers);
-	g_hash_table_unref(world->edits);
-	g_hash_table_unref(world->edit_ids);
-	g_hash_table_unref(world->acked);
+	g_hash_table_unref(world->results);
+	g_hash_table_unref(world->caller_names);
+	g_hash_table_unref(world->edit_outcomes);
+	g_hash_table_unref(world->edit_names);
+	g_hash_table_unref(world->acknowledged);
 	g_hash_table_unref(world->floors);
 	g_tree_unref(world->store);
 	g_ptr_array_unref(world->store_edits);
--- a/tests/world_cores.c
+++ b/tests/world_cores.c
@@ -9,62 +9,65 @@
 
 /* --- messages between proxies --- */
 
-typedef struct mail {
+typedef struct delivery {
 	int from;
 	int to;
 	message_t *message;
-} mail_t;
+} delivery_t;
 
-static void mail_arrive(world_t *world, void *data)
+static void on_message_arrive(world_t *world, void *data)
 {
-	mail_t *mail = data;
+	delivery_t *delivery = data;
 	char name[24];
 	event_t event = {.kind = EVENT_MESSAGE,
-			 .message = {.peer = name, .message = mail->message}};
-
-	snprintf(name, sizeof(name), "p%d", mail->from);
-	if (!world_is_down(world, mail->to) && !world_is_cut(world, mail->from, mail->to))
-		world_deliver(world, mail->to, &event);
-	talloc_free(mail->message);
-	g_free(mail);
+			 .message = {.peer = name, .message = delivery->message}};
+
+	snprintf(name, sizeof(name), "p%d", delivery->from);
+	if (!world_is_down(world, delivery->to) &&
+	    !world_is_cut(world, delivery->from, delivery->to))
+		world_deliver(world, delivery->to, &event);
+	talloc_free(delivery->message);
+	g_free(delivery);
 }
 
-static void do_send(world_t *world, int proxy, action_t *action)
+static void start_send(world_t *world, int proxy, action_t *action)
 {
-	mail_t *mail = g_new0(mail_t, 1);
+	delivery_t *delivery = g_new0(delivery_t, 1);
 	int to = atoi(action->send.peer + 1);
 	event_t unsent = {.kind = EVENT_UNSENT, .id = action->id};
 
 	world->counts.messages++;
-	if ((world->dead[to] && !world->vanished[to]) || world->unlinked[proxy][to] > world->now) {
-		g_free(mail);
+	if ((world->dead[to] && !world->vanished[to]) ||
+	    world->disconnected_until[proxy][to] > world->now) {
+		g_free(delivery);
 		if (action->send.message->kind == MESSAGE_EXECUTE)
 			world_deliver(world, proxy, &unsent);
 		return;
 	}
-	*mail = (mail_t){proxy, to, message_copy(NULL, action->send.message)};
-	world_plan(world,
-		   MAX(world->now + world_latency(world, proxy, to), world->stalled[proxy][to]), to,
-		   mail_arrive, mail);
+	*delivery = (delivery_t){proxy, to, message_copy(NULL, action->send.message)};
+	world_schedule(
+		world,
+		MAX(world->now + world_latency(world, proxy, to), world->delayed_until[proxy][to]),
+		to, on_message_arrive, delivery);
 }
 
-/* --- what callers and operators are told --- */
+/* --- results for callers and operators --- */
 
-void told_free(gpointer ptr)
+void result_free(gpointer ptr)
 {
-	told_t *told = ptr;
-
-	g_free(told->name);
-	g_free(told->key);
-	g_free(told->written);
-	g_free(told->value);
-	g_free(told->member);
-	g_free(told->token);
-	g_free(told->tx);
-	g_free(told);
+	result_t *result = ptr;
+
+	g_free(result->name);
+	g_free(result->key);
+	g_free(result->written_value);
+	g_free(result->value);
+	g_free(result->member);
+	g_free(result->token);
+	g_free(result->tx);
+	g_free(result);
 }
 
-static char *value_in(const char *rows)
+static char *first_value(const char *rows)
 {
 	json_t *whole = rows != NULL ? json_loads(rows, 0, NULL) : NULL;
 	const json_t *row = json_array_get(json_object_get(whole, "rows"), 0);
@@ -74,7 +77,7 @@
 	return value;
 }
 
-void world_violate(world_t *world, const char *fmt, ...)
+void world_add_violation(world_t *world, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -85,104 +88,111 @@
 	g_string_append_c(world->violations, '\n');
 }
 
-static void note_acknowledged(world_t *world, const told_t *told)
+static void record_acknowledged(world_t *world, const result_t *result)
 {
-	g_hash_table_replace(world->acked, g_strdup(told->key), g_strdup(told->written));
+	g_hash_table_replace(world->acknowledged, g_strdup(result->key),
+			     g_strdup(result->written_value));
 }
 
-/* The member's share of reads, for what was served by whom. */
-static void count_read(world_t *world, const told_t *told)
+/* Counts reads by the kind of member that served them. */
+static void count_read(world_t *world, const result_t *result)
 {
-	if (told->outcome != OUTCOME_DONE || told->written != NULL || told->member == NULL)
+	if (result->outcome != OUTCOME_DONE || result->written_value != NULL ||
+	    result->member == NULL)
 		return;
-	if (fake_member_at(told->member) == world_primary(world))
+	if (fake_member_at(result->member) == world_primary(world))
 		world->counts.reads_primary++;
 	else
 		world->counts.reads_replica++;
 }
 
-static void do_answer(world_t *world, int proxy, action_t *action)
+static void record_answer(world_t *world, int proxy, action_t *action)
 {
 	char *key = world_conn_key(proxy, action->id);
-	const char *name = g_hash_table_lookup(world->callers, key);
-	told_t *told = g_hash_table_lookup(world->told, name);
+	const char *name = g_hash_table_lookup(world->caller_names, key);
+	result_t *result = g_hash_table_lookup(world->results, name);
 	const answer_t *answer = action->answer.answer;
 
 	g_free(key);
-	if (told->answered)
-		world_violate(world, "%s was answered twice", name);
-	told->answered = true;
-	told->outcome = answer->outcome;
-	told->refusal = answer->refusal;
-	told->at = world->now;
-	told->age = answer->age;
-	told->retry_after = answer->retry_after;
-	told->repeated = answer->repeated;
-	told->value = value_in(answer->rows);
-	told->member = g_strdup(answer->member);
-	told->token = g_strdup(action->answer.token);
-	told->tx = g_strdup(answer->tx);
-	world_say(world, "p%d answer %s %s%s%s%s%s%s%s", proxy, name, outcome_name(answer->outcome),
-		  answer->refusal != REFUSAL_NONE ? " " : "",
-		  answer->refusal != REFUSAL_NONE ? refusal_name(answer->refusal) : "",
-		  told->value != NULL ? " value=" : "", told->value != NULL ? told->value : "",
-		  told->member != NULL ? " member=" : "", told->member != NULL ? told->member : "");
-	count_read(world, told);
-	if (told->outcome == OUTCOME_DONE && told->written != NULL)
-		note_acknowledged(world, told);
+	if (result->answered)
+		world_add_violation(world, "%s was answered twice", name);
+	result->answered = true;
+	result->outcome = answer->outcome;
+	result->refusal = answer->refusal;
+	result->answered_at = world->now;
+	result->age = answer->age;
+	result->retry_after = answer->retry_after;
+	result->repeated = answer->repeated;
+	result->value = first_value(answer->rows);
+	result->member = g_strdup(answer->member);
+	result->token = g_strdup(action->answer.token);
+	result->tx = g_strdup(answer->tx);
+	world_trace(world, "p%d answer %s %s%s%s%s%s%s%s", proxy, name,
+		    outcome_name(answer->outcome), answer->refusal != REFUSAL_NONE ? " " : "",
+		    answer->refusal != REFUSAL_NONE ? refusal_name(answer->refusal) : "",
+		    result->value != NULL ? " value=" : "",
+		    result->value != NULL ? result->value : "",
+		    result->member != NULL ? " member=" : "",
+		    result->member != NULL ? result->member : "");
+	count_read(world, result);
+	if (result->outcome == OUTCOME_DONE && result->written_value != NULL)
+		record_acknowledged(world, result);
 }
 
-static void do_edit_done(world_t *world, int proxy, action_t *action)
+static void record_edit_outcome(world_t *world, int proxy, action_t *action)
 {
 	static const char *const names[] = {"accepted", "refused", "unknown"};
 	char *key = world_conn_key(proxy, action->id);
-	const char *name = g_hash_table_lookup(world->edit_ids, key);
+	const char *name = g_hash_table_lookup(world->edit_names, key);
 
-	world_say(world, "p%d edit %s %s version=%llu: %s", proxy, name, names[action->edit.status],
-		  (unsigned long long)action->edit.table_version, action->edit.text);
-	g_hash_table_replace(world->edits, g_strdup(name), g_strdup(names[action->edit.status]));
+	world_trace(world, "p%d edit %s %s version=%llu: %s", proxy, name,
+		    names[action->edit.status], (unsigned long long)action->edit.table_version,
+		    action->edit.text);
+	g_hash_table_replace(world->edit_outcomes, g_strdup(name),
+			     g_strdup(names[action->edit.status]));
 	g_free(key);
 }
 
 /* --- cores --- */
 
-static void describe_order(world_t *world, int proxy, const order_action_t *order)
+static void trace_order(world_t *world, int proxy, const order_action_t *order)
 {
 	if (order->kind == ORDER_REPORT)
 		return;
-	world_say(world, "p%d order %s %s term=%llu%s%s", proxy, order_kind_name(order->kind),
-		  order->member, (unsigned long long)order->term, order->target ? " target=" : "",
-		  order->target ? order->target : "");
+	world_trace(world, "p%d order %s %s term=%llu%s%s", proxy, order_kind_name(order->kind),
+		    order->member, (unsigned long long)order->term, order->target ? " target=" : "",
+		    order->target ? order->target : "");
 }
 
-static void describe_run(world_t *world, int proxy, const run_action_t *run)
+static void trace_run(world_t *world, int proxy, const run_action_t *run)
 {
 	const char *text = run->query->text;
 
-	world_say(world, "p%d run %s %s%s%s", proxy, run_kind_name(run->kind), run->member,
-		  text ? " " : "", text ? text : "");
+	world_trace(world, "p%d run %s %s%s%s", proxy, run_kind_name(run->kind), run->member,
+		    text ? " " : "", text ? text : "");
 }
 
-static void describe(world_t *world, int proxy, const action_t *action)
+static void trace_action(world_t *world, int proxy, const action_t *action)
 {
 	switch (action->kind) {
-	case ACTION_NOTE:
-		world_say(world, "p%d note %s", proxy, action->note.text);
+	case ACTION_LOG:
+		world_trace(world, "p%d note %s", proxy, action->log.text);
 		break;
 	case ACTION_ORDER:
-		describe_order(world, proxy, &action->order);
+		trace_order(world, proxy, &action->order);
 		break;
 	case ACTION_RUN:
-		describe_run(world, proxy, &action->run);
+		trace_run(world, proxy, &action->run);
 		break;
 	case ACTION_SEND:
 		if (action->send.message->kind != MESSAGE_HEARTBEAT)
-			world_say(world, "p%d send %s to %s", proxy,
-				  message_kind_name(action->send.message->kind), action->send.peer);
+			world_trace(world, "p%d send %s to %s", proxy,
+				    message_kind_name(action->send.message->kind),
+				    action->send.peer);
 		break;
 	case ACTION_CONNECT:
-		world_say(world, "p%d connect %s %s", proxy, action->connect.member,
-			  action->connect.row);
+		world_trace(world, "p%d connect %s %s", proxy, action->connect.member,
+			    action->connect.row);
 		break;
 	case ACTION_ANSWER:
 	case ACTION_EDIT_DONE:
@@ -190,54 +200,55 @@
 	case ACTION_STORE_LOAD:
 		break;
 	default:
-		world_say(world, "p%d %s", proxy, action_kind_name(action->kind));
+		world_trace(world, "p%d %s", proxy, action_kind_name(action->kind));
 		break;
 	}
 }
 
-/* A process that says it has drained exits soon after. */
-static void on_exit_due(world_t *world, void *data)
+/* A process that has drained exits soon after. */
+static void on_process_exit(world_t *world, void *data)
 {
 	if (!world->ending)
 		world_kill(world, GPOINTER_TO_INT(data));
 }
 
-/* Returns true when the action has been kept. */
-static bool carry_out(world_t *world, int proxy, action_t *action)
+/* Returns true if the callee has taken ownership of the action. */
+static bool execute_action(world_t *world, int proxy, action_t *action)
 {
 	switch (action->kind) {
 	case ACTION_ANSWER:
-		do_answer(world, proxy, action);
+		record_answer(world, proxy, action);
 		return false;
 	case ACTION_SEND:
-		do_send(world, proxy, action);
+		start_send(world, proxy, action);
 		return false;
 	case ACTION_CONNECT:
-		world_do_connect(world, proxy, action);
+		world_start_connect(world, proxy, action);
 		return false;
 	case ACTION_CLOSE:
-		world_do_close(world, proxy, action);
+		world_close_conn(world, proxy, action);
 		return false;
 	case ACTION_RUN:
-		world_do_run(world, proxy, action);
+		world_start_run(world, proxy, action);
 		return false;
 	case ACTION_ORDER:
-		world_do_order(world, proxy, action);
+		world_start_order(world, proxy, action);
 		return true;
 	case ACTION_STORE_LOAD:
 	case ACTION_STORE_COMMIT:
-		world_do_store(world, proxy, action);
+		world_start_store_call(world, proxy, action);
 		return true;
 	case ACTION_VMS:
 		world->counts.store_calls++;
-		world_plan(world, world->now + 2 * STORE_LATENCY, proxy, world_do_vms,
-			   GINT_TO_POINTER(proxy));
+		world_schedule(world, world->now + 2 * STORE_LATENCY, proxy, world_on_list_vms,
+			       GINT_TO_POINTER(proxy));
 		return false;
 	case ACTION_EDIT_DONE:
-		do_edit_done(world, proxy, action);
+		record_edit_outcome(world, proxy, action);
 		return false;
 	case ACTION_DRAINED:
-		world_plan(world, world->now + EXIT_TIME, -1, on_exit_due, GINT_TO_POINTER(proxy));
+		world_schedule(world, world->now + EXIT_TIME, -1, on_process_exit,
+			       GINT_TO_POINTER(proxy));
 		return false;
 	default:
 		return false;
@@ -249,19 +260,19 @@
 	int proxy = GPOINTER_TO_INT(data);
 	event_t event = {.kind = EVENT_TICK};
 
-	world->proxies[proxy].ticking = USEC_NEVER;
+	world->proxies[proxy].next_tick = USEC_NEVER;
 	world_deliver(world, proxy, &event);
 }
 
-static void plan_tick(world_t *world, int proxy)
+static void schedule_tick(world_t *world, int proxy)
 {
 	fake_proxy_t *p = &world->proxies[proxy];
-	usec_t wake = core_next_wake(p->core);
+	usec_t wake = core_next_tick(p->core);
 
-	if (wake == USEC_NEVER || p->ticking <= wake)
+	if (wake == USEC_NEVER || p->next_tick <= wake)
 		return;
-	p->ticking = wake > world->now ? wake : world->now;
-	world_plan(world, p->ticking, proxy, world_on_tick, GINT_TO_POINTER(proxy));
+	p->next_tick = wake > world->now ? wake : world->now;
+	world_schedule(world, p->next_tick, proxy, world_on_tick, GINT_TO_POINTER(proxy));
 }
 
 void world_deliver(world_t *world, int proxy, const event_t *event)
@@ -272,10 +283,10 @@
 	if (world_is_down(world, proxy))
 		return;
 	core_handle(core, world->now, event);
-	while ((action = core_take_action(core)) != NULL) {
-		describe(world, proxy, action);
-		if (!carry_out(world, proxy, action))
+	while ((action = core_pop_action(core)) != NULL) {
+		trace_action(world, proxy, action);
+		if (!execute_action(world, proxy, action))
 			talloc_free(action);
 	}
-	plan_tick(world, proxy);
+	schedule_tick(world, proxy);
 }
