--- a/tests/world_store.c
+++ b/tests/world_store.c
@@ -32,7 +32,7 @@
 	return FALSE;
 }
 
-static bool edit_was_taken(const world_t *world, const char *edit_id)
+static bool edit_is_committed(const world_t *world, const char *edit_id)
 {
 	for (guint i = 0; i < world->store_edits->len; i++) {
 		if (g_strcmp0(world->store_edits->pdata[i], edit_id) == 0)
@@ -41,7 +41,7 @@
 	return false;
 }
 
-static void tell_table(world_t *world, int proxy, event_t *event, uint64_t since)
+static void send_table(world_t *world, int proxy, event_t *event, uint64_t since)
 {
 	gather_t gather = {g_array_new(FALSE, FALSE, sizeof(table_entry_t)), since};
 
@@ -54,12 +54,12 @@
 	g_array_free(gather.out, TRUE);
 }
 
-static bool store_reachable(const world_t *world, int proxy)
+static bool is_store_reachable(const world_t *world, int proxy)
 {
 	return !world_is_down(world, WORLD_STORE) && !world_is_cut(world, proxy, WORLD_STORE);
 }
 
-static void store_answer(world_t *world, void *data)
+static void on_store_answer(world_t *world, void *data)
 {
 	store_call_t *call = data;
 	const action_t *action = call->action;
@@ -72,9 +72,9 @@
 	} else {
 		event.kind = EVENT_STORE_DONE;
 		since = action->commit.table_version - 1;
-		event.store.edit_found = edit_was_taken(world, action->commit.edit_id);
+		event.store.edit_found = edit_is_committed(world, action->commit.edit_id);
 	}
-	tell_table(world, call->proxy, &event, since);
+	send_table(world, call->proxy, &event, since);
 	talloc_free(call->action);
 	g_free(call);
 }
@@ -101,8 +101,8 @@
 	int proxy = GPOINTER_TO_INT(data);
 	event_t event = {.kind = EVENT_STORE_LOADED, .store = {.status = STORE_OK}};
 
-	if (store_reachable(world, proxy))
-		tell_table(world, proxy, &event, world->store_version - 1);
+	if (is_store_reachable(world, proxy))
+		send_table(world, proxy, &event, world->store_version - 1);
 }
 
 static void store_commit(world_t *world, const action_t *action)
@@ -112,52 +112,52 @@
 	for (size_t i = 0; i < action->commit.entry_count; i++)
 		store_put(world, action->commit.entries[i].key, action->commit.entries[i].value);
 	for (int i = 0; i < world->config.proxies; i++)
-		world_plan(world, world->now + STORE_LATENCY, i, on_watch_event,
-			   GINT_TO_POINTER(i));
+		world_schedule(world, world->now + STORE_LATENCY, i, on_watch_event,
+			       GINT_TO_POINTER(i));
 }
 
-static void store_arrive(world_t *world, void *data)
+static void on_store_arrive(world_t *world, void *data)
 {
 	store_call_t *call = data;
 	const action_t *action = call->action;
 	bool lost = false;
 
-	if (!store_reachable(world, call->proxy)) {
+	if (!is_store_reachable(world, call->proxy)) {
 		call->status = STORE_FAILED;
 	} else if (action->kind == ACTION_STORE_COMMIT) {
 		if (action->commit.head_revision == (int64_t)world->store_version)
 			store_commit(world, action);
 		else
 			call->status = STORE_CONFLICT;
-		lost = world->lose_answers > 0;
-		world->lose_answers -= lost;
+		lost = world->answers_to_lose > 0;
+		world->answers_to_lose -= lost;
 	}
 	if (lost)
 		call->status = STORE_FAILED;
-	world_plan(world,
-		   world->now +
-			   (call->status == STORE_FAILED ? 500 * USEC_PER_MSEC : STORE_LATENCY),
-		   call->proxy, store_answer, call);
+	world_schedule(world,
+		       world->now +
+			       (call->status == STORE_FAILED ? 500 * USEC_PER_MSEC : STORE_LATENCY),
+		       call->proxy, on_store_answer, call);
 }
 
-void world_do_store(world_t *world, int proxy, action_t *action)
+void world_start_store_call(world_t *world, int proxy, action_t *action)
 {
 	store_call_t *call = g_new0(store_call_t, 1);
 
 	world->counts.store_calls++;
 	call->proxy = proxy;
 	call->action = action;
-	world_plan(world, world->now + STORE_LATENCY, WORLD_STORE, store_arrive, call);
+	world_schedule(world, world->now + STORE_LATENCY, WORLD_STORE, on_store_arrive, call);
 }
 
-void world_do_vms(world_t *world, void *data)
+void world_on_list_vms(world_t *world, void *data)
 {
 	int proxy = GPOINTER_TO_INT(data);
 	vm_t vms[WORLD_NODES] = {0};
 	event_t event = {.kind = EVENT_VMS, .vms = {.status = STORE_OK, .vms = vms}};
 	char *scratch = talloc_strdup(NULL, "");
 
-	if (!store_reachable(world, proxy))
+	if (!is_store_reachable(world, proxy))
 		event.vms.status = STORE_FAILED;
 	for (int i = 0; i < WORLD_STORE; i++) {
 		bool backend = i >= WORLD_MAX_PROXIES;
