--- a/measure/real.c
+++ b/measure/real.c
@@ -67,7 +67,7 @@
 	char *line;
 	double value = 0;
 
-	harness_ctl(h, proxy, &text, "metrics", NULL);
+	harness_run_ctl(h, proxy, &text, "metrics", NULL);
 	line = text != NULL ? strstr(text, name) : NULL;
 	while (line != NULL && (line == text || line[-1] != '\n' || line[strlen(name)] != ' '))
 		line = strstr(line + 1, name);
@@ -82,7 +82,7 @@
 	double sum = 0;
 
 	for (int i = 0; i < HARNESS_MEMBERS; i++) {
-		char *value = harness_sql(h, i, "SELECT standin_stats()", NULL);
+		char *value = harness_run_sql(h, i, "SELECT standin_stats()", NULL);
 
 		sum += value != NULL ? g_ascii_strtod(value, NULL) : 0;
 		g_free(value);
@@ -175,7 +175,7 @@
 	}
 	json_dump_file(entries, path, JSON_COMPACT);
 	if (groups > 0)
-		g_assert_cmpint(harness_ctl(h, 0, NULL, "table", "apply", path, NULL), ==, 0);
+		g_assert_cmpint(harness_run_ctl(h, 0, NULL, "table", "apply", path, NULL), ==, 0);
 	json_decref(entries);
 	g_free(path);
 	g_usleep(2 * G_USEC_PER_SEC);
@@ -186,7 +186,7 @@
 	harness_t *h;
 	sample_run_t run;
 
-	harness_member_conns = 10000;
+	harness_member_max_conns = 10000;
 	h = harness_start_fleet(proxies, 5);
 	add_groups(h, groups - 1, 1);
 	run = observe(h);
@@ -605,7 +605,7 @@
 {
 	harness_t *h;
 
-	harness_member_conns = 100;
+	harness_member_max_conns = 100;
 	h = harness_start_fleet(3, 0);
 	printf("Three proxies, three stand-in members, no replication lag, all on this machine; "
 	       "one client, then %d.\n",
--- a/soak/fleet.c
+++ b/soak/fleet.c
@@ -132,7 +132,7 @@
 static void start_proxy(fleet_t *fleet, unsigned index)
 {
 	proxy_t *proxy = &fleet->proxies[index];
-	char *program = harness_program("proxy/cyclamenspan");
+	char *program = harness_program_path("proxy/cyclamenspan");
 	char *config = path_of(fleet, proxy, "toml");
 	char *log = path_of(fleet, proxy, "log");
 	char *argv[] = {program, "--pooler", "--config", config, NULL};
@@ -423,7 +423,7 @@
 
 static int start_platform(fleet_t *fleet)
 {
-	char *program = harness_program("tests/standin_site");
+	char *program = harness_program_path("tests/standin_site");
 	char *numbers[] = {g_strdup_printf("%u", fleet->options.services),
 			   g_strdup_printf("%u", fleet->options.slots),
 			   g_strdup_printf("%u", fleet->options.connections),
--- a/soak/inject.c
+++ b/soak/inject.c
@@ -287,7 +287,7 @@
 	unsigned service = service_of(inject, fault);
 
 	fleet_note_span(inject->fleet->member_trouble[service], now_of(inject), fault->duration);
-	fleet_command(inject->fleet, "member %u crash", STANDIN_LEADER_OF + service);
+	fleet_command(inject->fleet, "member %u crash", STANDIN_PRIMARY_OF + service);
 }
 
 static void service_starts(inject_t *inject, const fault_t *fault)
@@ -321,7 +321,7 @@
 static void play_leader_replace(inject_t *inject, const fault_t *fault)
 {
 	fleet_command(inject->fleet, "member %u leave",
-		      STANDIN_LEADER_OF + service_of(inject, fault));
+		      STANDIN_PRIMARY_OF + service_of(inject, fault));
 }
 
 /* Who was told to leave may lead no more, so it is found by that. */
--- a/tests/demo.c
+++ b/tests/demo.c
@@ -17,8 +17,9 @@
 {
 	harness_t *h = harness_start_fleet(2, 5);
 	json_t *wrote = harness_write(h, 0, "job-17", "truck 4", "demo-1", NULL);
-	json_t *read = harness_read(h, 1, "assignment", "job-17", harness_text(wrote, "token"));
-	json_t *status = harness_read(h, 1, "status", "job-17", harness_text(wrote, "token"));
+	json_t *read =
+		harness_read(h, 1, "assignment", "job-17", harness_text_field(wrote, "token"));
+	json_t *status = harness_read(h, 1, "status", "job-17", harness_text_field(wrote, "token"));
 	char *fleet = NULL;
 	gboolean ok;
 
@@ -26,16 +27,16 @@
 	show("write through p0 (repeatable by its request id):", wrote);
 	show("strict read through p1, same session:", read);
 	show("read of bounded age through p1, same session:", status);
-	harness_ctl(h, 1, &fleet, "fleet", NULL);
+	harness_run_ctl(h, 1, &fleet, "fleet", NULL);
 	printf("cyclamenctl fleet, asked of p1:\n%s", fleet);
-	ok = strcmp(harness_text(wrote, "outcome"), "done") == 0 &&
-	     strcmp(harness_text(read, "outcome"), "done") == 0 &&
-	     strcmp(harness_text(status, "outcome"), "done") == 0;
+	ok = strcmp(harness_text_field(wrote, "outcome"), "done") == 0 &&
+	     strcmp(harness_text_field(read, "outcome"), "done") == 0 &&
+	     strcmp(harness_text_field(status, "outcome"), "done") == 0;
 	for (int i = 0; i < 2; i++) {
 		int code;
 
 		kill(h->proxies[i], SIGTERM);
-		code = harness_wait(&h->proxies[i], 20000);
+		code = harness_wait_exit(&h->proxies[i], 20000);
 		printf("p%d shut down with exit code %d\n", i, code);
 		ok = ok && code == 0;
 	}
--- a/tests/demo_platform.c
+++ b/tests/demo_platform.c
@@ -9,7 +9,7 @@
 /* Print a statement and its reply; returns whether the reply begins as expected. */
 static gboolean show(site_caller_t *caller, const char *text, const char *expected)
 {
-	char *reply = site_ask(caller, text);
+	char *reply = site_query(caller, text);
 	gboolean ok = g_str_has_prefix(reply, expected);
 
 	printf("> %s\n", text);
@@ -23,7 +23,7 @@
 static gboolean show_when(site_caller_t *caller, const char *text, const char *expected)
 {
 	for (int i = 0; i < 100; i++) {
-		char *reply = site_ask(caller, text);
+		char *reply = site_query(caller, text);
 		gboolean ok = g_str_has_prefix(reply, expected);
 
 		if (ok)
@@ -39,8 +39,8 @@
 int main(void)
 {
 	site_harness_t *site = site_start(2);
-	site_caller_t *first = site_open(site, 0, "jobs");
-	site_caller_t *second = site_open(site, 1, "updates");
+	site_caller_t *first = site_open_session(site, 0, "jobs");
+	site_caller_t *second = site_open_session(site, 1, "updates");
 	gboolean ok = TRUE;
 
 	printf("two proxies, one service of three members; a session through p0:\n");
@@ -64,7 +64,7 @@
 		int code;
 
 		kill(site->proxies[i], SIGTERM);
-		code = harness_wait(&site->proxies[i], 20000);
+		code = harness_wait_exit(&site->proxies[i], 20000);
 		printf("p%d shut down with exit code %d\n", i, code);
 		ok = ok && code == 0;
 	}
--- a/tests/fake_db.c
+++ b/tests/fake_db.c
@@ -65,7 +65,7 @@
 
 /* --- logs --- */
 
-fake_member_t *fake_leader(fake_db_t *db)
+fake_member_t *fake_db_primary(fake_db_t *db)
 {
 	fake_member_t *leader = NULL;
 
@@ -107,7 +107,7 @@
 static void catch_up(fake_member_t *member)
 {
 	fake_db_t *db = member->db;
-	fake_member_t *leader = fake_leader(db);
+	fake_member_t *leader = fake_db_primary(db);
 	usec_t now = now_of(db);
 
 	if (member->primary && member != leader && !member->deaf && !member->stopped &&
@@ -138,7 +138,7 @@
 	return len;
 }
 
-size_t fake_count(fake_member_t *member, const char *id)
+size_t fake_member_count_commits(fake_member_t *member, const char *id)
 {
 	size_t count = 0;
 
@@ -156,12 +156,12 @@
 	return NULL;
 }
 
-const char *fake_value(fake_member_t *member, const char *item)
+const char *fake_member_last_value(fake_member_t *member, const char *item)
 {
 	return value_in(member, member->len, item);
 }
 
-fake_member_t *fake_find(fake_db_t *db, const char *id)
+fake_member_t *fake_db_find_member(fake_db_t *db, const char *id)
 {
 	for (size_t i = 0; i < db->config.members; i++) {
 		if (strcmp(db->members[i].id, id) == 0)
@@ -693,7 +693,7 @@
 	enqueue(session, OPENED, strlen(OPENED));
 }
 
-void fake_line(fake_session_t *session, const char *text, size_t len)
+void fake_session_receive_line(fake_session_t *session, const char *text, size_t len)
 {
 	if (session->state == SESSION_NEW) {
 		char *copy = talloc_strndup(NULL, text, len);
@@ -705,7 +705,7 @@
 	enqueue(session, text, len);
 }
 
-fake_session_t *fake_open(fake_member_t *member, fake_reply_t reply, void *data)
+fake_session_t *fake_session_open(fake_member_t *member, fake_reply_t reply, void *data)
 {
 	fake_session_t *session;
 
@@ -721,12 +721,12 @@
 	return session;
 }
 
-bool fake_in_transaction(const fake_session_t *session)
+bool fake_session_in_transaction(const fake_session_t *session)
 {
 	return session->state == SESSION_TX || session->state == SESSION_FAILED;
 }
 
-void fake_close(fake_session_t *session)
+void fake_session_close(fake_session_t *session)
 {
 	session->reply = ignore_reply;
 	/* What runs now is finished; a transaction is rolled back. */
@@ -738,7 +738,7 @@
 
 /* --- trouble and change --- */
 
-void fake_stop(fake_member_t *member)
+void fake_member_stop(fake_member_t *member)
 {
 	/* What it has sent by now arrives. */
 	for (size_t i = 0; i < member->db->config.members; i++)
@@ -746,12 +746,12 @@
 	member->stopped = true;
 }
 
-void fake_start(fake_member_t *member)
+void fake_member_start(fake_member_t *member)
 {
 	fake_member_t *leader;
 
 	member->stopped = false;
-	leader = fake_leader(member->db);
+	leader = fake_db_primary(member->db);
 	/* Back with its log, as a replica if another member was promoted. */
 	if (leader != member)
 		member->primary = false;
@@ -759,9 +759,9 @@
 		member->busy_until[i] = 0;
 }
 
-void fake_replace(fake_member_t *member, const char *id)
+void fake_member_replace(fake_member_t *member, const char *id)
 {
-	fake_stop(member);
+	fake_member_stop(member);
 	member->leaving = false;
 	member->unlisted = false;
 	snprintf(member->id, sizeof(member->id), "%s", id);
@@ -786,11 +786,11 @@
 		db->events->ops->promoted(db->events, member);
 }
 
-bool fake_promote(fake_db_t *db, fake_member_t *member)
+bool fake_db_promote(fake_db_t *db, fake_member_t *member)
 {
 	if (member->stopped)
 		return false;
-	if (fake_leader(db) == member)
+	if (fake_db_primary(db) == member)
 		return true;
 	db->promoting = member;
 	timers_arm(db->timers, &db->promote_timer, now_of(db) + db->config.promote, on_promote);
--- a/tests/fake_db.h
+++ b/tests/fake_db.h
@@ -123,30 +123,30 @@
 			  timer_set_t *timers);
 
 /* A connection; lines follow. NULL: the member is stopped. */
-fake_session_t *fake_open(fake_member_t *member, fake_reply_t reply, void *data);
-void fake_line(fake_session_t *session, const char *line, size_t len);
+fake_session_t *fake_session_open(fake_member_t *member, fake_reply_t reply, void *data);
+void fake_session_receive_line(fake_session_t *session, const char *line, size_t len);
 
 /* True if it has begun a transaction that has not ended. */
-bool fake_in_transaction(const fake_session_t *session);
+bool fake_session_in_transaction(const fake_session_t *session);
 
 /* The other side is gone; what is open is rolled back. */
-void fake_close(fake_session_t *session);
+void fake_session_close(fake_session_t *session);
 
 /* End all sessions and take no new ones; starting again it keeps its log. */
-void fake_stop(fake_member_t *member);
-void fake_start(fake_member_t *member);
+void fake_member_stop(fake_member_t *member);
+void fake_member_start(fake_member_t *member);
 
 /* It is gone for good; a new member under another id takes its place and log, not running yet. */
-void fake_replace(fake_member_t *member, const char *id);
+void fake_member_replace(fake_member_t *member, const char *id);
 
 /* The platform's call; takes effect later. Returns false if the member does not run. */
-bool fake_promote(fake_db_t *db, fake_member_t *member);
+bool fake_db_promote(fake_db_t *db, fake_member_t *member);
 
-fake_member_t *fake_leader(fake_db_t *db);
-fake_member_t *fake_find(fake_db_t *db, const char *id);
+fake_member_t *fake_db_primary(fake_db_t *db);
+fake_member_t *fake_db_find_member(fake_db_t *db, const char *id);
 
 /* How often the log of member holds a commit of the statement id. */
-size_t fake_count(fake_member_t *member, const char *id);
+size_t fake_member_count_commits(fake_member_t *member, const char *id);
 
 /* The last value of item in the whole log of member, or NULL. */
-const char *fake_value(fake_member_t *member, const char *item);
+const char *fake_member_last_value(fake_member_t *member, const char *item);
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -17,12 +17,12 @@
 #define TOKEN	    "operators-secret"
 #define SESSION_KEY "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
 
-int harness_member_conns = 15;
+int harness_member_max_conns = 15;
 gboolean harness_http2;
 
 static const char *const zones[] = {"plateau", "almadies", "pikine"};
 
-char *harness_program(const char *name)
+char *harness_program_path(const char *name)
 {
 	const char *build = g_getenv("BUILD_DIR");
 
@@ -100,7 +100,7 @@
 
 static void start_platform(harness_t *h)
 {
-	char *argv[] = {harness_program("tests/standin_platform"), "--listen",
+	char *argv[] = {harness_program_path("tests/standin_platform"), "--listen",
 			g_strdup_printf("127.0.0.1:%d", h->ports.first), NULL};
 
 	h->platform = spawn(h, "platform.log", argv);
@@ -113,9 +113,9 @@
 	char *port = g_strdup_printf("%d", harness_member_port(h, i));
 	char *name = g_strdup_printf("m%d", i);
 	char *lag = g_strdup_printf("%d", h->lag_ms);
-	char *conns = g_strdup_printf("%d", harness_member_conns);
+	char *conns = g_strdup_printf("%d", harness_member_max_conns);
 	char *follow = g_strdup_printf("127.0.0.1:%d", harness_member_port(h, 0));
-	char *program = harness_program("tests/standin_pg");
+	char *program = harness_program_path("tests/standin_pg");
 	char *argv[] = {program,
 			"--name",
 			name,
@@ -175,7 +175,7 @@
 	char *name = g_strdup_printf("p%d.toml", i);
 	char *log = g_strdup_printf("p%d.log", i);
 	char *path = g_build_filename(h->dir, name, NULL);
-	char *program = harness_program("proxy/cyclamenspan");
+	char *program = harness_program_path("proxy/cyclamenspan");
 	char *argv[] = {program, "--config", path, NULL};
 	char *text = g_strdup_printf(
 		"[node]\nname = \"p%d\"\nzone = \"%s\"\n"
@@ -260,13 +260,13 @@
 	return call_with(port, path, body, NULL, http_status);
 }
 
-json_t *harness_operate(const harness_t *h, int proxy, const char *path, json_t *body)
+json_t *harness_call_operator(const harness_t *h, int proxy, const char *path, json_t *body)
 {
 	return call_with(harness_operator_port(h, proxy), path, body,
 			 "Authorization: Bearer " TOKEN, NULL);
 }
 
-char *harness_sql(const harness_t *h, int member, const char *sql, const char *param)
+char *harness_run_sql(const harness_t *h, int member, const char *sql, const char *param)
 {
 	char *info = g_strdup_printf("hostaddr=127.0.0.1 port=%d user=test dbname=test "
 				     "sslmode=disable connect_timeout=5",
@@ -284,7 +284,7 @@
 	return value;
 }
 
-int harness_ctl(const harness_t *h, int proxy, char **output, ...)
+int harness_run_ctl(const harness_t *h, int proxy, char **output, ...)
 {
 	GPtrArray *argv = g_ptr_array_new_with_free_func(g_free);
 	gchar *out = NULL;
@@ -292,7 +292,7 @@
 	const char *word;
 	va_list ap;
 
-	g_ptr_array_add(argv, harness_program("ctl/cyclamenctl"));
+	g_ptr_array_add(argv, harness_program_path("ctl/cyclamenctl"));
 	g_ptr_array_add(argv, g_strdup("--endpoint"));
 	g_ptr_array_add(argv,
 			g_strdup_printf("http://127.0.0.1:%d", harness_operator_port(h, proxy)));
@@ -325,7 +325,7 @@
 	*pid = 0;
 }
 
-int harness_wait(pid_t *pid, int timeout_ms)
+int harness_wait_exit(pid_t *pid, int timeout_ms)
 {
 	gint64 end = g_get_monotonic_time() + (gint64)timeout_ms * 1000;
 	int status;
@@ -361,7 +361,7 @@
 
 /* --- the fleet --- */
 
-const char *harness_text(const json_t *answer, const char *key)
+const char *harness_text_field(const json_t *answer, const char *key)
 {
 	const char *text = json_string_value(json_object_get(answer, key));
 
@@ -421,7 +421,7 @@
 static void wait_for_operators(const harness_t *h, int proxy)
 {
 	for (int i = 0; i < 200; i++) {
-		json_t *state = harness_operate(h, proxy, "/v1/state", NULL);
+		json_t *state = harness_call_operator(h, proxy, "/v1/state", NULL);
 
 		json_decref(state);
 		if (state != NULL)
@@ -432,7 +432,7 @@
 }
 
 /* What the platform lists, with the VM of one member leaving (-1: none). */
-void harness_list_vms(const harness_t *h, int leaving_member)
+void harness_set_vms(const harness_t *h, int leaving_member)
 {
 	json_t *vms = json_array();
 
@@ -465,7 +465,7 @@
 {
 	for (int i = 0; i < 100; i++) {
 		json_t *answer = harness_write(h, proxy, "harness", "ready", NULL, NULL);
-		gboolean done = strcmp(harness_text(answer, "outcome"), "done") == 0;
+		gboolean done = strcmp(harness_text_field(answer, "outcome"), "done") == 0;
 
 		json_decref(answer);
 		if (done)
@@ -488,12 +488,12 @@
 		harness_start_proxy(h, i, NULL);
 	for (int i = 0; i < proxies; i++)
 		wait_for_operators(h, i);
-	harness_list_vms(h, -1);
+	harness_set_vms(h, -1);
 	write_file(h, "table.json", table);
 	/* Refused until the proxies have heard each other. */
 	for (int i = 0; i < 50 && code != 0; i++) {
 		g_free(printed);
-		code = harness_ctl(h, 0, &printed, "table", "apply", path, NULL);
+		code = harness_run_ctl(h, 0, &printed, "table", "apply", path, NULL);
 		if (code != 0)
 			g_usleep(100000);
 	}
@@ -508,7 +508,7 @@
 
 static json_t *dump_group(const harness_t *h, int ask)
 {
-	json_t *state = harness_operate(h, ask, "/v1/state", NULL);
+	json_t *state = harness_call_operator(h, ask, "/v1/state", NULL);
 	json_t *core = json_object_get(state, "core");
 	json_t *group = json_object_get(json_object_get(core, "groups"), "callout-1");
 
@@ -517,7 +517,7 @@
 	return group;
 }
 
-int harness_home(const harness_t *h, int ask)
+int harness_find_home(const harness_t *h, int ask)
 {
 	json_t *group = dump_group(h, ask);
 	const char *name =
@@ -528,10 +528,10 @@
 	return home;
 }
 
-int harness_primary(const harness_t *h)
+int harness_find_primary(const harness_t *h)
 {
 	json_t *answer = harness_read(h, 0, "assignment", "harness", NULL);
-	const char *member = harness_text(answer, "member");
+	const char *member = harness_text_field(answer, "member");
 	int primary = member[0] == 'm' ? atoi(member + 1) : -1;
 
 	json_decref(answer);
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -26,13 +26,13 @@
 } harness_t;
 
 /* Connections that a member allows; set before a start. */
-extern int harness_member_conns;
+extern int harness_member_max_conns;
 
 /* Calls go over HTTP/2 instead of HTTP/1.1. */
 extern gboolean harness_http2;
 
 /* The programs that the build made; the environment's BUILD_DIR says where. */
-char *harness_program(const char *name);
+char *harness_program_path(const char *name);
 
 /* Start platform and members, with this replication lag. */
 harness_t *harness_start(int lag_ms);
@@ -42,7 +42,7 @@
 harness_t *harness_start_fleet(int proxies, int lag_ms);
 
 /* What the platform lists, with the VM of one member leaving (-1: none). */
-void harness_list_vms(const harness_t *h, int leaving_member);
+void harness_set_vms(const harness_t *h, int leaving_member);
 
 /* Kill what still runs and remove the files. */
 void harness_stop(harness_t *h);
@@ -53,16 +53,16 @@
 
 /* A JSON call; NULL if there was no answer. http_status may be NULL. */
 json_t *harness_call(int port, const char *path, json_t *body, long *http_status);
-json_t *harness_operate(const harness_t *h, int proxy, const char *path, json_t *body);
+json_t *harness_call_operator(const harness_t *h, int proxy, const char *path, json_t *body);
 
 /* POST raw text, as a careless caller might. */
 json_t *harness_post_raw(int port, const char *path, const char *text, long *http_status);
 
 /* A statement on a member, past the proxies. NULL, or the first value. */
-char *harness_sql(const harness_t *h, int member, const char *sql, const char *param);
+char *harness_run_sql(const harness_t *h, int member, const char *sql, const char *param);
 
 /* Run cyclamenctl with these words; the exit code, and what it printed. */
-int harness_ctl(const harness_t *h, int proxy, char **output, ...) G_GNUC_NULL_TERMINATED;
+int harness_run_ctl(const harness_t *h, int proxy, char **output, ...) G_GNUC_NULL_TERMINATED;
 
 /*
  * Run argv[0] with these descriptors as standard input, output and error (-1: ours). It is killed
@@ -72,10 +72,10 @@
 
 void harness_kill(pid_t *pid);
 /* Waits at most timeout_ms for an orderly end; its exit code, -1 if it did not come. */
-int harness_wait(pid_t *pid, int timeout_ms);
+int harness_wait_exit(pid_t *pid, int timeout_ms);
 
 /* Text of an answer's field, "" if there is none. */
-const char *harness_text(const json_t *answer, const char *key);
+const char *harness_text_field(const json_t *answer, const char *key);
 
 /* A request to proxy with service "dispatch". */
 json_t *harness_write(const harness_t *h, int proxy, const char *key, const char *value,
@@ -84,5 +84,5 @@
 		     const char *token);
 
 /* Proxy number that serves the group, by proxy 0's dump; member number of its primary. */
-int harness_home(const harness_t *h, int ask);
-int harness_primary(const harness_t *h);
+int harness_find_home(const harness_t *h, int ask);
+int harness_find_primary(const harness_t *h);
--- a/tests/pool_links.c
+++ b/tests/pool_links.c
@@ -128,7 +128,7 @@
 	(void)now;
 	list_del(&item->node);
 	if (link->session == NULL && !link->ended && !is_lost(link) && item->text != NULL) {
-		link->session = fake_open(link->member, on_member_reply, link);
+		link->session = fake_session_open(link->member, on_member_reply, link);
 		if (link->session == NULL) {
 			link->ended = true;
 			post(link, &link->from->timers, NULL, 0, on_arrived_at_node);
@@ -136,9 +136,9 @@
 	}
 	if (link->session != NULL && !is_lost(link)) {
 		if (item->text != NULL) {
-			fake_line(link->session, item->text, item->len);
+			fake_session_receive_line(link->session, item->text, item->len);
 		} else {
-			fake_close(link->session);
+			fake_session_close(link->session);
 			link->session = NULL;
 			link->ended = true;
 		}
@@ -169,7 +169,7 @@
 	(void)address;
 	link->from = node;
 	link->conn = conn;
-	link->member = fake_find(node->world->db, member);
+	link->member = fake_db_find_member(node->world->db, member);
 	list_init(&link->posts);
 	list_add_tail(&node->links, &link->node);
 	protocol_encode_start(&buffer, service, customer, member);
@@ -226,7 +226,7 @@
 		list_for_each (it, &world->nodes[i].links) {
 			const world_link_t *link = list_entry(it, world_link_t, node);
 
-			if (link->session != NULL && fake_in_transaction(link->session))
+			if (link->session != NULL && fake_session_in_transaction(link->session))
 				return true;
 		}
 	}
@@ -237,14 +237,14 @@
 {
 	fake_member_t *member = &world->db->members[at];
 
-	fake_stop(member);
+	fake_member_stop(member);
 	for (size_t i = 0; i < world->node_count; i++) {
 		list_for_each (it, &world->nodes[i].links) {
 			world_link_t *link = list_entry(it, world_link_t, node);
 
 			if (link->member != member || link->session == NULL)
 				continue;
-			fake_close(link->session);
+			fake_session_close(link->session);
 			link->session = NULL;
 			link->ended = true;
 			post(link, &link->from->timers, NULL, 0, on_arrived_at_node);
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -49,8 +49,9 @@
 	snprintf(call->member, sizeof(call->member), "%s", member);
 	snprintf(call->holder, sizeof(call->holder), "%s", holder);
 	answer->node = node;
-	answer->status = fake_promote(world->db, fake_find(world->db, member)) ? PROMOTE_OK
-									       : PROMOTE_REFUSED;
+	answer->status = fake_db_promote(world->db, fake_db_find_member(world->db, member))
+				 ? PROMOTE_OK
+				 : PROMOTE_REFUSED;
 	if (world->lose_promotes != 0) {
 		world->lose_promotes--;
 		answer->status = PROMOTE_LOST;
@@ -252,7 +253,7 @@
 	for (size_t i = 0; i < world->node_count; i++)
 		running += world->nodes[i].pooler != NULL;
 	for (int i = 0; i < 200; i++) {
-		const fake_member_t *leader = fake_leader(world->db);
+		const fake_member_t *leader = fake_db_primary(world->db);
 
 		world_run(world, 50 * USEC_PER_MSEC);
 		if (leader != NULL && world_permitted(world, leader->id) == running) {
--- a/tests/site.c
+++ b/tests/site.c
@@ -72,7 +72,7 @@
 {
 	char *config = settings_path(site, proxy);
 	char *log = log_path(site, proxy);
-	char *program = harness_program("proxy/cyclamenspan");
+	char *program = harness_program_path("proxy/cyclamenspan");
 	char *argv[] = {program, "--pooler", "--config", config, NULL};
 	int fd = stdout_fd >= 0 ? stdout_fd : g_open(log, O_WRONLY | O_CREAT | O_APPEND, 0600);
 
@@ -101,7 +101,7 @@
 site_harness_t *site_start(int proxies)
 {
 	site_harness_t *site = g_new0(site_harness_t, 1);
-	char *program = harness_program("tests/standin_site");
+	char *program = harness_program_path("tests/standin_site");
 	char *port;
 	char *argv[3] = {program};
 
@@ -113,7 +113,7 @@
 	for (int i = 0; i < proxies; i++)
 		site_start_proxy(site, i, -1);
 	for (int i = 0; i < proxies; i++)
-		site_wait_ready(site, i);
+		site_wait_until_ready(site, i);
 	g_free(port);
 	g_free(program);
 	return site;
@@ -147,7 +147,8 @@
 	return size * count;
 }
 
-long site_get(const site_harness_t *site, int proxy, bool probe, const char *path, GString *body)
+long site_http_get(const site_harness_t *site, int proxy, bool probe, const char *path,
+		   GString *body)
 {
 	CURL *curl = curl_easy_init();
 	char *url = g_strdup_printf("http://127.0.0.1:%d%s",
@@ -165,7 +166,7 @@
 	return status;
 }
 
-char *site_log(const site_harness_t *site, int proxy)
+char *site_read_log(const site_harness_t *site, int proxy)
 {
 	char *path = log_path(site, proxy);
 	char *text = NULL;
@@ -234,7 +235,7 @@
 	return text;
 }
 
-char *site_receive(site_caller_t *caller)
+char *site_receive_reply(site_caller_t *caller)
 {
 	struct pollfd ready = {.fd = caller->fd, .events = POLLIN};
 
@@ -253,35 +254,35 @@
 	}
 }
 
-site_caller_t *site_open(const site_harness_t *site, int proxy, const char *database)
+site_caller_t *site_open_session(const site_harness_t *site, int proxy, const char *database)
 {
 	site_caller_t *caller = site_connect(site, proxy);
 	char *line = g_strdup_printf("START %s tester\r\n", database);
 	char *reply;
 
 	site_send(caller, line, strlen(line));
-	reply = site_receive(caller);
+	reply = site_receive_reply(caller);
 	g_assert_cmpstr(reply, ==, "READY I -\r\n");
 	g_free(line);
 	g_free(reply);
 	return caller;
 }
 
-char *site_ask(site_caller_t *caller, const char *text)
+char *site_query(site_caller_t *caller, const char *text)
 {
 	static unsigned next;
 	char *line = g_strdup_printf("QUERY t%u %s\r\n", next++, text);
 
 	site_send(caller, line, strlen(line));
 	g_free(line);
-	return site_receive(caller);
+	return site_receive_reply(caller);
 }
 
 /* A fleet that starts for the first time has no primary on its roster yet. */
 static bool takes_writes(const site_harness_t *site, int proxy)
 {
-	site_caller_t *caller = site_open(site, proxy, "jobs");
-	char *reply = site_ask(caller, "WRITE warm up");
+	site_caller_t *caller = site_open_session(site, proxy, "jobs");
+	char *reply = site_query(caller, "WRITE warm up");
 	bool taken = g_str_has_prefix(reply, "DONE");
 
 	g_free(reply);
@@ -289,11 +290,12 @@
 	return taken;
 }
 
-void site_wait_ready(const site_harness_t *site, int proxy)
+void site_wait_until_ready(const site_harness_t *site, int proxy)
 {
 	gint64 end = g_get_monotonic_time() + READY_TIMEOUT * 1000;
 
-	while (site_get(site, proxy, true, "/ready", NULL) != 200 || !takes_writes(site, proxy)) {
+	while (site_http_get(site, proxy, true, "/ready", NULL) != 200 ||
+	       !takes_writes(site, proxy)) {
 		g_assert_cmpint(g_get_monotonic_time(), <, end);
 		g_usleep(50000);
 	}
--- a/tests/standin_command.h
+++ b/tests/standin_command.h
@@ -2,4 +2,4 @@
 #pragma once
 
 /* In a command this and the number of a service mean the service's leader at that time. */
-#define STANDIN_LEADER_OF 100
+#define STANDIN_PRIMARY_OF 100
--- a/tests/standin_control.c
+++ b/tests/standin_control.c
@@ -115,12 +115,12 @@
 		members_crash(site, member);
 	} else if (strcmp(word, "start") == 0) {
 		if (member->stopped)
-			fake_start(member);
+			fake_member_start(member);
 	} else if (strcmp(word, "replace") == 0) {
 		members_crash(site, member);
 		snprintf(id, sizeof(id), "%.32s-n%u%c", member->db->config.service, number,
 			 (char)('a' + (member - member->db->members)));
-		fake_replace(member, id);
+		fake_member_replace(member, id);
 	} else if (strcmp(word, "leave") == 0) {
 		member->leaving = true;
 	} else if (strcmp(word, "slow") == 0) {
@@ -147,9 +147,9 @@
 	fake_member_t *member;
 
 	sscanf(rest, "%u %15s %u", &index, word, &number);
-	if (index >= STANDIN_LEADER_OF)
-		member = fake_leader(
-			site->services[(index - STANDIN_LEADER_OF) % site->service_count]);
+	if (index >= STANDIN_PRIMARY_OF)
+		member = fake_db_primary(
+			site->services[(index - STANDIN_PRIMARY_OF) % site->service_count]);
 	else
 		member = site->listeners[index % (site->service_count * SITE_MEMBERS)].member;
 	if (member != NULL)
--- a/tests/standin_members.c
+++ b/tests/standin_members.c
@@ -42,7 +42,7 @@
 	size_t line = protocol_line(data, len, 0);
 
 	if (line != 0 && link->session != NULL)
-		fake_line(link->session, data, line - 2);
+		fake_session_receive_line(link->session, data, line - 2);
 	return line;
 }
 
@@ -52,7 +52,7 @@
 
 	(void)reason;
 	if (link->session != NULL)
-		fake_close(link->session);
+		fake_session_close(link->session);
 	free_link(link);
 }
 
@@ -69,7 +69,7 @@
 		link_t *link = talloc_zero(NULL, link_t);
 
 		link->member = listener->member;
-		link->session = fake_open(listener->member, on_member_reply, link);
+		link->session = fake_session_open(listener->member, on_member_reply, link);
 		link->stream.ops = &link_ops;
 		list_add_tail(&listener->site->links, &link->node);
 		stream_accept(&link->stream, &listener->site->loop, accepted, 5000);
@@ -134,14 +134,14 @@
 
 void members_crash(site_t *site, fake_member_t *member)
 {
-	fake_stop(member);
+	fake_member_stop(member);
 	list_for_each_safe (it, &site->links) {
 		link_t *link = list_entry(it, link_t, node);
 
 		if (link->member != member)
 			continue;
 		if (link->session != NULL)
-			fake_close(link->session);
+			fake_session_close(link->session);
 		stream_close(&link->stream);
 		free_link(link);
 	}
--- a/tests/standin_site.c
+++ b/tests/standin_site.c
@@ -43,11 +43,11 @@
 	site_t *site = list_entry(timer, site_t, list_timer);
 
 	if (crash_asked)
-		members_crash(site, fake_leader(site->services[0]));
+		members_crash(site, fake_db_primary(site->services[0]));
 	crash_asked = 0;
 	for (size_t i = 0; return_asked && i < site->service_count * SITE_MEMBERS; i++) {
 		if (site->listeners[i].member->stopped)
-			fake_start(site->listeners[i].member);
+			fake_member_start(site->listeners[i].member);
 	}
 	return_asked = 0;
 	members_list(site);
@@ -315,7 +315,7 @@
 	fake_member_t *member = NULL;
 
 	for (size_t i = 0; id != NULL && member == NULL && i < site->service_count; i++)
-		member = fake_find(site->services[i], id);
+		member = fake_db_find_member(site->services[i], id);
 	return member;
 }
 
@@ -339,7 +339,7 @@
 	fake_member_t *member = find_member(site, id);
 	void *scratch = talloc_new(NULL);
 	bool done = site->cloud_state != CLOUD_REFUSES && member != NULL &&
-		    fake_promote(member->db, member);
+		    fake_db_promote(member->db, member);
 
 	control_record_promote(header(scratch, req, HEADER_HOLDER),
 			       header(scratch, req, HEADER_FENCE),
--- a/tests/test_failures.c
+++ b/tests/test_failures.c
@@ -12,7 +12,7 @@
 
 static gboolean is_done(const json_t *answer)
 {
-	return strcmp(harness_text(answer, "outcome"), "done") == 0;
+	return strcmp(harness_text_field(answer, "outcome"), "done") == 0;
 }
 
 static char *value_of(const json_t *answer)
@@ -39,10 +39,10 @@
 	json_t *answer = harness_write(h, proxy, key, value, id, NULL);
 	char *token;
 
-	g_test_message("write %s: %s %s", value, harness_text(answer, "outcome"),
-		       harness_text(answer, "detail"));
+	g_test_message("write %s: %s %s", value, harness_text_field(answer, "outcome"),
+		       harness_text_field(answer, "detail"));
 	g_assert_true(is_done(answer));
-	token = g_strdup(harness_text(answer, "token"));
+	token = g_strdup(harness_text_field(answer, "token"));
 	json_decref(answer);
 	return token;
 }
@@ -61,7 +61,7 @@
 	harness_kill(&h->members[0]);
 	token = write_done(h, 1, "job-1", "v2", "a2");
 	assert_reads(h, 2, "job-1", "v2", token);
-	g_assert_cmpint(harness_primary(h), !=, 0);
+	g_assert_cmpint(harness_find_primary(h), !=, 0);
 	g_free(token);
 	harness_stop(h);
 }
@@ -86,7 +86,7 @@
 	for (int i = 0; i < 100 && g_strcmp0(value, "v2") != 0; i++) {
 		g_free(value);
 		g_usleep(50000);
-		value = harness_sql(h, 0, "SELECT value FROM records WHERE key = $1", "job-1");
+		value = harness_run_sql(h, 0, "SELECT value FROM records WHERE key = $1", "job-1");
 	}
 	g_assert_cmpstr(value, ==, "v2");
 	g_free(value);
@@ -105,16 +105,16 @@
 	json_t *answer;
 	json_t *body;
 
-	g_free(harness_sql(h, 0, "SELECT standin_cut($1)", "true"));
+	g_free(harness_run_sql(h, 0, "SELECT standin_cut($1)", "true"));
 	body = json_pack("{s:s, s:s, s:s, s:[s], s:s, s:i}", "service", "dispatch", "class",
 			 "assign", "statement",
 			 "UPDATE records SET value = value + 1 WHERE key = $1 RETURNING value",
 			 "params", "fee", "request_id", "fee-1", "deadline_ms", 5000);
 	answer = harness_call(harness_caller_port(h, 1), "/v1/statement", body, NULL);
 	g_assert_true(is_done(answer));
-	g_assert_cmpstr(harness_text(answer, "member"), !=, "m0");
+	g_assert_cmpstr(harness_text_field(answer, "member"), !=, "m0");
 	json_decref(answer);
-	g_free(harness_sql(h, 0, "SELECT standin_cut($1)", "false"));
+	g_free(harness_run_sql(h, 0, "SELECT standin_cut($1)", "false"));
 	assert_reads(h, 2, "fee", "1", NULL);
 	harness_stop(h);
 }
@@ -137,13 +137,13 @@
 	g_free(write_done(h, 2, "job-2", "v1", "b1"));
 	harness_kill(&h->members[0]);
 	g_free(write_done(h, 1, "job-1", "v2", "a2"));
-	g_assert_cmpint(harness_ctl(h, 2, NULL, "table", "set", "row/dispatch/status",
-				    "max_age_ms=700", NULL),
+	g_assert_cmpint(harness_run_ctl(h, 2, NULL, "table", "set", "row/dispatch/status",
+					"max_age_ms=700", NULL),
 			==, 4);
 	json_decref(harness_call(h->ports.first, "/control", json_pack("{s:b}", "down", 0), NULL));
 	g_usleep(3000000);
-	g_assert_cmpint(harness_ctl(h, 2, NULL, "table", "set", "row/dispatch/status",
-				    "max_age_ms=800", NULL),
+	g_assert_cmpint(harness_run_ctl(h, 2, NULL, "table", "set", "row/dispatch/status",
+					"max_age_ms=800", NULL),
 			==, 0);
 	harness_stop(h);
 }
@@ -156,7 +156,7 @@
 static void test_home_killed(void)
 {
 	harness_t *h = harness_start_fleet(3, 5);
-	int home = harness_home(h, 0);
+	int home = harness_find_home(h, 0);
 	int other = (home + 1) % 3;
 	json_t *answer;
 	json_t *body;
@@ -183,7 +183,7 @@
 	json_t *begun = harness_call(
 		harness_caller_port(h, proxy), "/v1/begin",
 		json_pack("{s:s, s:s}", "service", "dispatch", "class", "assign"), NULL);
-	char *handle = g_strdup(harness_text(begun, "transaction"));
+	char *handle = g_strdup(harness_text_field(begun, "transaction"));
 	json_t *put =
 		harness_call(harness_caller_port(h, (proxy + 1) % 3), "/v1/transaction/statement",
 			     json_pack("{s:s, s:s, s:[s, s]}", "transaction", handle, "statement",
@@ -206,7 +206,7 @@
 static void test_tx_home_killed(void)
 {
 	harness_t *h = harness_start_fleet(3, 5);
-	int home = harness_home(h, 0);
+	int home = harness_find_home(h, 0);
 	int other = (home + 1) % 3;
 	char *handle = open_transaction(h, other, "job-7");
 	json_t *answer;
@@ -249,7 +249,7 @@
 	json_int_t waiting = 0;
 
 	while (waiting == 0) {
-		json_t *state = harness_operate(h, proxy, "/v1/state", NULL);
+		json_t *state = harness_call_operator(h, proxy, "/v1/state", NULL);
 
 		g_assert_cmpint(g_get_monotonic_time(), <, end);
 		waiting = json_integer_value(
@@ -267,7 +267,7 @@
 static void test_graceful_shutdown(void)
 {
 	harness_t *h = harness_start_fleet(3, 5);
-	int home = harness_home(h, 0);
+	int home = harness_find_home(h, 0);
 	int other = (home + 1) % 3;
 	char *handle = open_transaction(h, other, "job-8");
 	slow_call_t slow = {.h = h, .proxy = home};
@@ -287,7 +287,7 @@
 	g_thread_join(thread);
 	g_assert_true(is_done(slow.answer));
 	json_decref(slow.answer);
-	g_assert_cmpint(harness_wait(&h->proxies[home], FOREVER_MS), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&h->proxies[home], FOREVER_MS), ==, 0);
 	g_free(handle);
 	harness_stop(h);
 }
@@ -303,13 +303,13 @@
 	json_t *table;
 
 	kill(h->proxies[2], SIGSTOP);
-	g_assert_cmpint(harness_ctl(h, 0, NULL, "table", "set", "row/dispatch/status",
-				    "max_age_ms=600", NULL),
+	g_assert_cmpint(harness_run_ctl(h, 0, NULL, "table", "set", "row/dispatch/status",
+					"max_age_ms=600", NULL),
 			==, 0);
 	g_usleep(4000000);
 	kill(h->proxies[2], SIGCONT);
 	g_free(write_done(h, 2, "job-1", "v1", "a1"));
-	table = harness_operate(h, 2, "/v1/table", NULL);
+	table = harness_call_operator(h, 2, "/v1/table", NULL);
 	g_assert_cmpint(json_integer_value(json_object_get(table, "version")), ==, 2);
 	json_decref(table);
 	harness_stop(h);
@@ -324,7 +324,7 @@
 static void test_home_stopped(void)
 {
 	harness_t *h = harness_start_fleet(3, 5);
-	int home = harness_home(h, 0);
+	int home = harness_find_home(h, 0);
 	int other = (home + 1) % 3;
 	char *handles[3];
 	json_t *answer;
@@ -374,7 +374,7 @@
 		char *value = g_strdup_printf("value-%d-%d", me->number, i);
 		json_t *wrote = harness_write(me->h, proxy, key, value, value, NULL);
 		json_t *read = harness_read(me->h, proxy, i % 2 ? "status" : "assignment", key,
-					    harness_text(wrote, "token"));
+					    harness_text_field(wrote, "token"));
 		char *got = value_of(read);
 
 		if (is_done(wrote) && is_done(read)) {
@@ -398,7 +398,7 @@
 static void test_own_answers(void)
 {
 	harness_t *h = harness_start_fleet(3, 5);
-	int home = harness_home(h, 0);
+	int home = harness_find_home(h, 0);
 	crowd_member_t crowd[CROWD] = {0};
 	GThread *threads[CROWD];
 	int done = 0;
@@ -428,12 +428,12 @@
 	json_t *answer;
 
 	g_free(write_done(h, 0, "job-1", "v1", "a1"));
-	harness_list_vms(h, 0);
+	harness_set_vms(h, 0);
 	g_usleep(5000000);
 	for (int i = 0; i < 10; i++) {
 		answer = harness_read(h, i % 3, i % 2 ? "status" : "assignment", "job-1", NULL);
 		g_assert_true(is_done(answer));
-		g_assert_cmpstr(harness_text(answer, "member"), !=, "m0");
+		g_assert_cmpstr(harness_text_field(answer, "member"), !=, "m0");
 		json_decref(answer);
 	}
 	harness_stop(h);
--- a/tests/test_input.c
+++ b/tests/test_input.c
@@ -17,7 +17,7 @@
 {
 	json_t *answer = harness_write(h, 0, "after", "bad input", NULL, NULL);
 
-	g_assert_cmpstr(harness_text(answer, "outcome"), ==, "done");
+	g_assert_cmpstr(harness_text_field(answer, "outcome"), ==, "done");
 	json_decref(answer);
 }
 
@@ -72,8 +72,8 @@
 
 		g_test_message("%s %s", bad->path, bad->body);
 		g_assert_cmpint(status, ==, bad->status);
-		g_assert_cmpstr(harness_text(answer, "outcome"), ==, "not_run");
-		g_assert_nonnull(strstr(harness_text(answer, "detail"), bad->detail));
+		g_assert_cmpstr(harness_text_field(answer, "outcome"), ==, "not_run");
+		g_assert_nonnull(strstr(harness_text_field(answer, "detail"), bad->detail));
 		json_decref(answer);
 	}
 	assert_serves();
@@ -108,21 +108,21 @@
 {
 	char *out = NULL;
 
-	g_assert_cmpint(
-		harness_ctl(h, 0, NULL, "table", "set", "row/dispatch/status", "weight=1000", NULL),
-		==, 3);
-	g_assert_cmpint(harness_ctl(h, 0, NULL, "table", "explode", NULL), ==, 2);
-	g_assert_cmpint(harness_ctl(h, 0, NULL, "table", "apply", "/nonexistent", NULL), ==, 1);
-	g_assert_cmpint(harness_ctl(h, 7, NULL, "state", NULL), ==, 5);
-	g_assert_cmpint(harness_ctl(h, 0, &out, "table", "get", "row/dispatch/status", NULL), ==,
-			0);
+	g_assert_cmpint(harness_run_ctl(h, 0, NULL, "table", "set", "row/dispatch/status",
+					"weight=1000", NULL),
+			==, 3);
+	g_assert_cmpint(harness_run_ctl(h, 0, NULL, "table", "explode", NULL), ==, 2);
+	g_assert_cmpint(harness_run_ctl(h, 0, NULL, "table", "apply", "/nonexistent", NULL), ==, 1);
+	g_assert_cmpint(harness_run_ctl(h, 7, NULL, "state", NULL), ==, 5);
+	g_assert_cmpint(harness_run_ctl(h, 0, &out, "table", "get", "row/dispatch/status", NULL),
+			==, 0);
 	g_assert_nonnull(strstr(out, "\"max_age_ms\": 2000"));
 	g_free(out);
-	g_assert_cmpint(harness_ctl(h, 1, &out, "table", "history", NULL), ==, 0);
+	g_assert_cmpint(harness_run_ctl(h, 1, &out, "table", "history", NULL), ==, 0);
 	g_assert_nonnull(strstr(out, "version 1 by"));
 	g_assert_nonnull(strstr(out, "row/dispatch/assign = {"));
 	g_free(out);
-	g_assert_cmpint(harness_ctl(h, 1, &out, "table", "status", NULL), ==, 0);
+	g_assert_cmpint(harness_run_ctl(h, 1, &out, "table", "status", NULL), ==, 0);
 	g_assert_nonnull(strstr(out, "table version 1 here, known to be current"));
 	g_free(out);
 }
@@ -140,7 +140,7 @@
 					  NULL));
 	harness_start_proxy(h, 5, NULL);
 	g_usleep(1500000);
-	state = harness_operate(h, 0, "/v1/state", NULL);
+	state = harness_call_operator(h, 0, "/v1/state", NULL);
 	fleet = json_object_get(json_object_get(state, "core"), "fleet");
 	g_assert_nonnull(json_object_get(fleet, "p0"));
 	g_assert_null(json_object_get(fleet, "p5"));
@@ -154,7 +154,7 @@
 static void test_settings(void)
 {
 	char *path = g_strdup_printf("%s/bad.toml", h->dir);
-	char *program = harness_program("proxy/cyclamenspan");
+	char *program = harness_program_path("proxy/cyclamenspan");
 	char *argv[] = {program, "--config", path, "--check-config", NULL};
 	char *errors = NULL;
 	gint status = 0;
@@ -180,10 +180,10 @@
 	json_t *again = harness_write(h, 1, "id-1", "mine", "the-id", NULL);
 	json_t *read = harness_read(h, 0, "assignment", "id-2", NULL);
 
-	g_assert_cmpstr(harness_text(first, "outcome"), ==, "done");
-	g_assert_cmpstr(harness_text(second, "outcome"), ==, "not_run");
-	g_assert_nonnull(strstr(harness_text(second, "detail"), "used for another request"));
-	g_assert_cmpstr(harness_text(again, "outcome"), ==, "done");
+	g_assert_cmpstr(harness_text_field(first, "outcome"), ==, "done");
+	g_assert_cmpstr(harness_text_field(second, "outcome"), ==, "not_run");
+	g_assert_nonnull(strstr(harness_text_field(second, "detail"), "used for another request"));
+	g_assert_cmpstr(harness_text_field(again, "outcome"), ==, "done");
 	g_assert_true(json_is_true(json_object_get(again, "repeated")));
 	g_assert_cmpuint(json_array_size(json_object_get(read, "rows")), ==, 0);
 	json_decref(first);
--- a/tests/test_pooler.c
+++ b/tests/test_pooler.c
@@ -262,7 +262,7 @@
 	world->db->members[0].lose_answers = 1;
 	assert_begins(world_ask(caller, "WRITE job-1 b"), "ERR INDOUBT");
 	world_run(world, 2 * SEC);
-	g_assert_cmpuint(fake_count(&world->db->members[0], caller->id), ==, 1);
+	g_assert_cmpuint(fake_member_count_commits(&world->db->members[0], caller->id), ==, 1);
 	g_assert_cmpuint(run_count(world, caller->id), ==, 1);
 	world_destroy(world);
 }
@@ -304,7 +304,7 @@
 	assert_begins(world_ask(caller, "READ job-1"), "ERR ABORTED");
 	assert_begins(world_ask(caller, "ROLLBACK"), "DONE -\r\nREADY I");
 	world_run(world, 5 * SEC);
-	g_assert_cmpuint(fake_count(fake_leader(world->db), write), ==, 0);
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), write), ==, 0);
 	world_destroy(world);
 }
 
@@ -353,7 +353,7 @@
 	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
 	assert_begins(world_ask(caller, "ROLLBACK"), "DONE");
 	world_run(world, SEC);
-	g_assert_null(fake_value(&world->db->members[0], "job-1"));
+	g_assert_null(fake_member_last_value(&world->db->members[0], "job-1"));
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -196,7 +196,7 @@
 	expect_refused(within, "WRITE a 3", "ERR ABORTED");
 	expect_refused(lone, "READ a", "ERR NOAUTH");
 	expect_run(other, "READ a", "ben");
-	g_assert_cmpstr(fake_value(fake_leader(world->db), "a"), ==, "1");
+	g_assert_cmpstr(fake_member_last_value(fake_db_primary(world->db), "a"), ==, "1");
 	/* Its sessions end. */
 	world_run(world, SEC);
 	g_assert_null(lone->caller);
@@ -221,7 +221,7 @@
 	world_run(world, 50 * MSEC);
 	g_assert_true(g_str_has_prefix(caller->reply, "DONE"));
 	expect_refused(caller, "COMMIT", "ERR ABORTED");
-	g_assert_null(fake_value(fake_leader(world->db), "a"));
+	g_assert_null(fake_member_last_value(fake_db_primary(world->db), "a"));
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_faults.c
+++ b/tests/test_pooler_faults.c
@@ -178,7 +178,7 @@
 
 static void on_acknowledged(play_t *play, write_record_t *write)
 {
-	const fake_member_t *leader = fake_leader(play->world->db);
+	const fake_member_t *leader = fake_db_primary(play->world->db);
 
 	write->fate = FATE_ACKNOWLEDGED;
 	write->acked_at = now_of_play(play);
@@ -228,7 +228,7 @@
 
 static void check_read(play_t *play, const client_t *client, const char *reply)
 {
-	const fake_member_t *leader = fake_leader(play->world->db);
+	const fake_member_t *leader = fake_db_primary(play->world->db);
 	char data[32] = "";
 	const write_record_t *shown;
 	ssize_t index;
@@ -259,11 +259,11 @@
 
 static void check_end(play_t *play)
 {
-	fake_member_t *leader = fake_leader(play->world->db);
+	fake_member_t *leader = fake_db_primary(play->world->db);
 
 	for (size_t i = 0; i < play->write_count; i++) {
 		const write_record_t *write = &play->writes[i];
-		size_t count = fake_count(leader, write->id);
+		size_t count = fake_member_count_commits(leader, write->id);
 
 		if (count > 1)
 			fail_play(play, "committed twice", write->id);
@@ -627,7 +627,7 @@
 		world->db->members[i].deaf = false;
 		world->db->members[i].leaving = false;
 		if (world->db->members[i].stopped)
-			fake_start(&world->db->members[i]);
+			fake_member_start(&world->db->members[i]);
 	}
 	for (size_t i = 0; i < play->nodes; i++) {
 		if (play->shutting_down[i] && world->nodes[i].drained)
@@ -762,10 +762,10 @@
 		step_client(play, &play->clients[i]);
 	check_end(play);
 	world_check_customers(play->world);
-	if (world_permitted(play->world, fake_leader(play->world->db)->id) != play->nodes)
+	if (world_permitted(play->world, fake_db_primary(play->world->db)->id) != play->nodes)
 		describe_nodes(play);
 	/* It serves again, and did all along. */
-	g_assert_cmpuint(world_permitted(play->world, fake_leader(play->world->db)->id), ==,
+	g_assert_cmpuint(world_permitted(play->world, fake_db_primary(play->world->db)->id), ==,
 			 play->nodes);
 	g_assert_cmpuint(play->served, >, 100);
 	g_test_message("seed %u: %zu operations, %zu writes, %zu promotes", seed, play->served,
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -482,7 +482,7 @@
 
 static bool all_permitted(pool_world_t *world)
 {
-	return world_permitted(world, fake_leader(world->db)->id) == world->node_count;
+	return world_permitted(world, fake_db_primary(world->db)->id) == world->node_count;
 }
 
 /*
--- a/tests/test_pooler_forward.c
+++ b/tests/test_pooler_forward.c
@@ -274,7 +274,7 @@
 	assert_begins(world_ask(caller, "COMMIT"), "ERR ABORTED");
 	g_assert_true(world_state_is(caller, "READY I"));
 	world_run(world, SEC);
-	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 0);
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 0);
 	world_destroy(world);
 }
 
@@ -482,14 +482,14 @@
 	size_t away = find_away(world);
 	world_caller_t *caller = world_open_database(world, away, "strict");
 
-	fake_leader(world->db)->slow = 600 * MSEC;
+	fake_db_primary(world->db)->slow = 600 * MSEC;
 	world->nodes[away].pooler->config.grace = 500 * MSEC;
 	world_send(caller, "WRITE job-1 a");
 	world_run(world, 2 * MSEC);
 	g_assert_cmpuint(caller->caller->forward_number, !=, 0);
 	pooler_drain(world->nodes[away].pooler);
 	world_run(world, SEC);
-	g_assert_cmpuint(fake_count(fake_leader(world->db), caller->id), ==, 1);
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), caller->id), ==, 1);
 	assert_begins(caller->reply, "ERR INDOUBT");
 	world_destroy(world);
 }
--- a/tests/test_pooler_load.c
+++ b/tests/test_pooler_load.c
@@ -211,7 +211,7 @@
 	g_test_message("%zu sent, %zu done, %zu in time", load.count, load.done, load.in_time);
 	g_assert_cmpuint(load.in_time * 100, >=, load.count * 95);
 	assert_begins(world_ask(first, "COMMIT"), "ERR ABORTED");
-	g_assert_cmpuint(fake_count(&world->db->members[0], first->id), ==, 0);
+	g_assert_cmpuint(fake_member_count_commits(&world->db->members[0], first->id), ==, 0);
 	/* One connection is enough for those that waited. */
 	assert_begins(world_ask(second, "COMMIT"), "DONE");
 	assert_begins(world_ask(first, "READ job-1"), "ROW none");
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -67,7 +67,7 @@
 		world_send(callers[i], "WRITE job-1 b");
 	while (world->db->promoted_at == 0)
 		world_run(world, MSEC);
-	leader = fake_leader(world->db)->id;
+	leader = fake_db_primary(world->db)->id;
 	while (world_permitted(world, leader) != 3)
 		world_run(world, MSEC);
 	for (int i = 0; i < 1500; i++) {
@@ -95,7 +95,7 @@
 	world_publish(world);
 	world_run(world, 3 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
-	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 1);
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 1);
 	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
 	g_assert_cmpstr(last_run(world, caller->id)->member, !=, "core-0");
 	world_destroy(world);
@@ -120,8 +120,8 @@
 	assert_begins(world_ask(caller, "READ job-1"), "ROW a");
 	world_crash_member(world, 0);
 	world_run(world, 4 * SEC);
-	g_assert_cmpstr(fake_leader(world->db)->id, ==, "core-2");
-	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 1);
+	g_assert_cmpstr(fake_db_primary(world->db)->id, ==, "core-2");
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 1);
 	world_destroy(world);
 }
 
@@ -153,11 +153,11 @@
 	world_crash_member(world, 0);
 	world_run(world, 8 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 0);
-	fake_start(&world->db->members[1]);
+	fake_member_start(&world->db->members[1]);
 	world->db->members[1].unlisted = false;
 	world_run(world, 3 * SEC);
-	g_assert_cmpstr(fake_leader(world->db)->id, ==, "core-1");
-	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 1);
+	g_assert_cmpstr(fake_db_primary(world->db)->id, ==, "core-1");
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 1);
 	world_destroy(world);
 }
 
@@ -277,21 +277,24 @@
 	world_run(world, 200 * MSEC);
 	world->db->members[0].deaf = true;
 	world_run(world, 4 * SEC);
-	second = fake_leader(world->db)->id;
+	second = fake_db_primary(world->db)->id;
 	g_assert_cmpstr(second, !=, "core-0");
 	world->db->members[0].leaving = false;
 	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world_run(world, SEC);
-	world_crash_member(world, (size_t)(fake_find(world->db, second) - world->db->members));
+	world_crash_member(world,
+			   (size_t)(fake_db_find_member(world->db, second) - world->db->members));
 	world_ask(caller, "WRITE job-1 c");
 	world_run(world, 5 * SEC);
 	g_assert_true(world->db->members[0].primary);
 	assert_begins(world_ask(caller, "READ job-1"), "ROW b");
 	assert_begins(world_ask(caller, "WRITE job-1 d"), "DONE");
 	g_assert_cmpstr(last_run(world, caller->id)->member, !=, "core-0");
-	g_assert_cmpuint(fake_count(fake_find(world->db, last_run(world, caller->id)->member), id),
-			 ==, 1);
+	g_assert_cmpuint(
+		fake_member_count_commits(
+			fake_db_find_member(world->db, last_run(world, caller->id)->member), id),
+		==, 1);
 	world_destroy(world);
 }
 
@@ -380,7 +383,7 @@
 	world->db->members[0].leaving = true;
 	while (world->db->promoted_at == 0)
 		world_run(world, MSEC);
-	target = fake_leader(world->db);
+	target = fake_db_primary(world->db);
 	world_crash_member(world, (size_t)(target - world->db->members));
 	world->db->members[0].leaving = false;
 	world->db->members[0].deaf = true; /* cut off from the one that is down anyway */
@@ -389,10 +392,10 @@
 		world_run(world, 100 * MSEC);
 	assert_begins(caller->reply, "DONE");
 	snprintf(id, sizeof(id), "%s", caller->id);
-	fake_start(target);
+	fake_member_start(target);
 	world->db->members[0].deaf = false;
 	world_run(world, 5 * SEC);
-	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 1);
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 1);
 	world_destroy(world);
 }
 
@@ -512,8 +515,8 @@
 	}
 	world_thaw(world, first);
 	world_run(world, 4 * SEC);
-	g_assert_cmpstr(fake_leader(world->db)->id, !=, "core-0");
-	g_assert_cmpuint(world_permitted(world, fake_leader(world->db)->id), ==, 3);
+	g_assert_cmpstr(fake_db_primary(world->db)->id, !=, "core-0");
+	g_assert_cmpuint(world_permitted(world, fake_db_primary(world->db)->id), ==, 3);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_relay.c
+++ b/tests/test_pooler_relay.c
@@ -25,7 +25,7 @@
 	usec_t start = clock_now(&world->clock.base);
 
 	for (int i = 0; i < 2000; i++) {
-		const fake_member_t *leader = fake_leader(world->db);
+		const fake_member_t *leader = fake_db_primary(world->db);
 
 		world_run(world, 10 * MSEC);
 		if (leader != NULL && leader != &world->db->members[0] &&
--- a/tests/test_shutdown.c
+++ b/tests/test_shutdown.c
@@ -148,7 +148,7 @@
 	kill(h->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered(open, OPEN_CONNS), ==, 0);
 	g_assert_cmpint(count_unanswered(fresh, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&h->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&h->proxies[0], END_MSEC), ==, 0);
 	g_free(request);
 	harness_stop(h);
 }
@@ -178,7 +178,7 @@
 	g_usleep(SENT_BEFORE_USEC);
 	kill(h->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered(open, OPEN_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&h->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&h->proxies[0], END_MSEC), ==, 0);
 	g_free(request);
 	g_free(log);
 	harness_stop(h);
@@ -204,7 +204,7 @@
 	kill(h->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered(open, NEW_CONNS), ==, 0);
 	g_assert_cmpint(count_unanswered(fresh, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&h->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&h->proxies[0], END_MSEC), ==, 0);
 	g_free(log);
 	harness_stop(h);
 }
@@ -230,7 +230,7 @@
 	kill(site->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered(probes, NEW_CONNS), ==, 0);
 	g_assert_cmpint(count_unanswered(operators, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&site->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[0], END_MSEC), ==, 0);
 	g_free(log);
 	site_stop(site);
 }
@@ -241,7 +241,7 @@
 	int unanswered = 0;
 
 	for (int i = 0; i < count; i++) {
-		char *reply = site_receive(callers[i]);
+		char *reply = site_receive_reply(callers[i]);
 
 		unanswered += strstr(reply, "READY ") == NULL && strstr(reply, "ERR ") == NULL;
 		g_free(reply);
@@ -263,7 +263,7 @@
 	site_caller_t *callers[OPEN_CONNS];
 
 	for (int i = 0; i < OPEN_CONNS; i++)
-		callers[i] = site_open(site, 0, "jobs");
+		callers[i] = site_open_session(site, 0, "jobs");
 	g_usleep(2 * SENT_BEFORE_USEC);
 	kill(site->proxies[0], SIGSTOP);
 	for (int i = 0; i < OPEN_CONNS; i++)
@@ -272,7 +272,7 @@
 	kill(site->proxies[0], SIGTERM);
 	kill(site->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered_sessions(callers, OPEN_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&site->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[0], END_MSEC), ==, 0);
 	site_stop(site);
 }
 
@@ -301,7 +301,7 @@
 	g_usleep(held_up);
 	kill(site->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered_sessions(callers, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&site->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[0], END_MSEC), ==, 0);
 	site_stop(site);
 }
 
@@ -316,7 +316,7 @@
 	send_all(&conn, 1, request);
 	send_text(conn, "POST /v1/statement HTTP/1.1\r\nHost: x\r\nContent-Le");
 	kill(h->proxies[0], SIGTERM);
-	g_assert_cmpint(harness_wait(&h->proxies[0], END_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&h->proxies[0], END_MSEC), ==, 0);
 	close(conn);
 	g_free(request);
 	harness_stop(h);
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -26,28 +26,28 @@
 
 static void test_statements(void)
 {
-	site_caller_t *caller = site_open(site, 0, "jobs");
+	site_caller_t *caller = site_open_session(site, 0, "jobs");
 
-	assert_reply(site_ask(caller, "WRITE a one"), "DONE core-0");
-	assert_reply(site_ask(caller, "READ a"), "ROW one\r\nDONE core-0\r\nREADY I 1.");
+	assert_reply(site_query(caller, "WRITE a one"), "DONE core-0");
+	assert_reply(site_query(caller, "READ a"), "ROW one\r\nDONE core-0\r\nREADY I 1.");
 	site_disconnect(caller);
 }
 
 /* Two messages in one packet, and one message in many. */
 static void test_packets(void)
 {
-	site_caller_t *caller = site_open(site, 0, "jobs");
+	site_caller_t *caller = site_open_session(site, 0, "jobs");
 	static const char two[] = "QUERY x1 WRITE b one\r\nQUERY x2 READ b\r\n";
 	static const char many[] = "QUERY x3 READ b\r\n";
 
 	site_send(caller, two, strlen(two));
-	assert_reply(site_receive(caller), "DONE core-");
-	assert_reply(site_receive(caller), "ROW one");
+	assert_reply(site_receive_reply(caller), "DONE core-");
+	assert_reply(site_receive_reply(caller), "ROW one");
 	for (size_t i = 0; i < strlen(many); i++) {
 		site_send(caller, many + i, 1);
 		g_usleep(1000);
 	}
-	assert_reply(site_receive(caller), "ROW one");
+	assert_reply(site_receive_reply(caller), "ROW one");
 	site_disconnect(caller);
 }
 
@@ -63,7 +63,7 @@
 		site_caller_t *caller = site_connect(site, 0);
 
 		site_send(caller, inputs[i], strlen(inputs[i]));
-		assert_reply(site_receive(caller), "ERR MALFORMED");
+		assert_reply(site_receive_reply(caller), "ERR MALFORMED");
 		site_disconnect(caller);
 	}
 	test_statements();
@@ -81,17 +81,17 @@
 		"STATUS",
 		"READ a\nQUERY y READ b",
 	};
-	site_caller_t *caller = site_open(site, 0, "jobs");
+	site_caller_t *caller = site_open_session(site, 0, "jobs");
 
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
-		assert_reply(site_ask(caller, texts[i]), "ERR MALFORMED");
-	assert_reply(site_ask(caller, "READ nothing"), "ROW none");
+		assert_reply(site_query(caller, texts[i]), "ERR MALFORMED");
+	assert_reply(site_query(caller, "READ nothing"), "ROW none");
 	site_disconnect(caller);
 }
 
 static void test_oversize(void)
 {
-	site_caller_t *caller = site_open(site, 0, "jobs");
+	site_caller_t *caller = site_open_session(site, 0, "jobs");
 	size_t len = 1100 * 1024;
 	char *big = g_malloc(len);
 
@@ -99,7 +99,7 @@
 	memcpy(big, "QUERY x WRITE a ", 16);
 	site_send(caller, big, len);
 	/* The rest is unread at the close, which may reset the connection before the answer. */
-	g_free(site_receive(caller));
+	g_free(site_receive_reply(caller));
 	g_free(big);
 	site_disconnect(caller);
 	test_statements();
@@ -110,7 +110,7 @@
 	site_caller_t *caller = site_connect(site, 0);
 
 	site_send(caller, "START nowhere x\r\n", 17);
-	assert_reply(site_receive(caller), "ERR NODB");
+	assert_reply(site_receive_reply(caller), "ERR NODB");
 	site_disconnect(caller);
 }
 
@@ -133,7 +133,7 @@
 	GString *body = g_string_new(NULL);
 	json_t *state;
 
-	g_assert_cmpint(site_get(site, 0, false, "/metrics", body), ==, 200);
+	g_assert_cmpint(site_http_get(site, 0, false, "/metrics", body), ==, 200);
 	g_assert_nonnull(strstr(body->str, "cyclamenspan_statements_done_total "));
 	g_assert_nonnull(strstr(body->str, "cyclamenspan_config_version 3"));
 	g_assert_nonnull(strstr(body->str, "cyclamenspan_statement_seconds_bucket{"
@@ -146,18 +146,18 @@
 	g_assert_nonnull(strstr(body->str, "cyclamenspan_roster_age_seconds "));
 	assert_described_once(body->str);
 	g_string_truncate(body, 0);
-	g_assert_cmpint(site_get(site, 0, false, "/state", body), ==, 200);
+	g_assert_cmpint(site_http_get(site, 0, false, "/state", body), ==, 200);
 	state = json_loads(body->str, 0, NULL);
 	g_assert_true(json_is_true(json_object_get(json_object_get(state, "pooler"), "ready")));
 	json_decref(state);
-	g_assert_cmpint(site_get(site, 0, false, "/nothing", NULL), ==, 404);
+	g_assert_cmpint(site_http_get(site, 0, false, "/nothing", NULL), ==, 404);
 	g_string_free(body, TRUE);
 }
 
 /* Each line of the log is a JSON object with its fields apart. */
 static void test_log_lines(void)
 {
-	char *log = site_log(site, 0);
+	char *log = site_read_log(site, 0);
 	char **lines = g_strsplit(log, "\n", -1);
 	guint count = 0;
 
@@ -190,13 +190,13 @@
 	g_assert_cmpint(pipe(pipe_fds), ==, 0);
 	fcntl(pipe_fds[1], F_SETPIPE_SZ, 4096);
 	site_start_proxy(site, 2, pipe_fds[1]);
-	site_wait_ready(site, 2);
-	caller = site_open(site, 2, "jobs");
+	site_wait_until_ready(site, 2);
+	caller = site_open_session(site, 2, "jobs");
 	began = g_get_monotonic_time();
 	for (int i = 0; i < 3000; i++)
-		assert_reply(site_ask(caller, "EXEC unknown a"), "ERR NOSTMT");
+		assert_reply(site_query(caller, "EXEC unknown a"), "ERR NOSTMT");
 	g_assert_cmpint(g_get_monotonic_time() - began, <, 30 * G_USEC_PER_SEC);
-	site_get(site, 2, false, "/metrics", metrics);
+	site_http_get(site, 2, false, "/metrics", metrics);
 	g_assert_null(strstr(metrics->str, "cyclamenspan_log_lines_limited_total 0\n"));
 	g_string_free(metrics, TRUE);
 	site_disconnect(caller);
@@ -217,16 +217,16 @@
 /* A failed request's id is enough: the command finds its line, and what came before it. */
 static void test_explain(void)
 {
-	char *program = harness_program("ctl/cyclamenctl");
+	char *program = harness_program_path("ctl/cyclamenctl");
 	char *log = g_build_filename(site->dir, "p0.log", NULL);
 	char *argv[] = {program, "explain", "failed-one", log, NULL};
 	char *unknown[] = {program, "explain", "nobody", log, NULL};
-	site_caller_t *caller = site_open(site, 0, "jobs");
+	site_caller_t *caller = site_open_session(site, 0, "jobs");
 	char *output;
 	int status;
 
 	site_send(caller, "QUERY failed-one EXEC none a\r\n", 31);
-	assert_reply(site_receive(caller), "ERR NOSTMT");
+	assert_reply(site_receive_reply(caller), "ERR NOSTMT");
 	g_usleep(200000);
 	output = run_ctl(argv, &status);
 	g_assert_cmpint(status, ==, 0);
@@ -257,7 +257,7 @@
 		"\"service\":\"core\",\"step\":\"committing\",\"target\":\"core-1\"}\n"
 		"{\"time\":\"2026-01-01T00:00:09.000Z\",\"text\":\"primary is to be replaced\","
 		"\"service\":\"core\",\"member\":\"core-1\",\"reason\":\"leaving\"}\n";
-	char *program = harness_program("ctl/cyclamenctl");
+	char *program = harness_program_path("ctl/cyclamenctl");
 	char *log = g_build_filename(site->dir, "changes.log", NULL);
 	char *argv[] = {program, "changes", log, NULL};
 	char *output;
@@ -278,7 +278,7 @@
 /* The state of a pooler for people. */
 static void test_ctl_pooler(void)
 {
-	char *program = harness_program("ctl/cyclamenctl");
+	char *program = harness_program_path("ctl/cyclamenctl");
 	char *endpoint = g_strdup_printf("http://127.0.0.1:%d", site_operators_port(site, 0));
 	char *argv[] = {program, "-e", endpoint, "pooler", NULL};
 	int status;
@@ -295,7 +295,7 @@
 static void wait_for_write(site_caller_t *caller)
 {
 	for (int i = 0; i < 100; i++) {
-		char *reply = site_ask(caller, "WRITE d one");
+		char *reply = site_query(caller, "WRITE d one");
 		bool done = g_str_has_prefix(reply, "DONE core-");
 
 		g_free(reply);
@@ -317,18 +317,18 @@
 
 	kill(site->platform, SIGSTOP);
 	site_start_proxy(site, 3, -1);
-	while (site_get(site, 3, true, "/ready", NULL) != 503)
+	while (site_http_get(site, 3, true, "/ready", NULL) != 503)
 		g_usleep(10000);
 	caller = site_connect(site, 3);
 	site_send(caller, "START jobs x\r\n", 14);
 	g_usleep(300000);
 	kill(site->platform, SIGCONT);
-	assert_reply(site_receive(caller), "READY I -");
+	assert_reply(site_receive_reply(caller), "READY I -");
 	/* The members stood still with the store, so their primary may be about to change. */
 	wait_for_write(caller);
 	site_disconnect(caller);
 	kill(site->proxies[3], SIGTERM);
-	g_assert_cmpint(harness_wait(&site->proxies[3], 10000), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 10000), ==, 0);
 }
 
 /* SIGTERM: not ready at once, an open transaction may end, then the process ends by itself. */
@@ -337,15 +337,15 @@
 	site_caller_t *caller;
 
 	site_start_proxy(site, 3, -1);
-	site_wait_ready(site, 3);
-	caller = site_open(site, 3, "jobs");
-	assert_reply(site_ask(caller, "BEGIN"), "DONE");
-	assert_reply(site_ask(caller, "WRITE c one"), "DONE core-");
+	site_wait_until_ready(site, 3);
+	caller = site_open_session(site, 3, "jobs");
+	assert_reply(site_query(caller, "BEGIN"), "DONE");
+	assert_reply(site_query(caller, "WRITE c one"), "DONE core-");
 	kill(site->proxies[3], SIGTERM);
 	g_usleep(300000);
-	g_assert_cmpint(site_get(site, 3, true, "/ready", NULL), ==, 503);
-	assert_reply(site_ask(caller, "COMMIT"), "DONE core-");
-	g_assert_cmpint(harness_wait(&site->proxies[3], 10000), ==, 0);
+	g_assert_cmpint(site_http_get(site, 3, true, "/ready", NULL), ==, 503);
+	assert_reply(site_query(caller, "COMMIT"), "DONE core-");
+	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 10000), ==, 0);
 	site_disconnect(caller);
 }
 
@@ -360,12 +360,12 @@
 	site_caller_t *caller;
 
 	site_start_proxy(site, 3, -1);
-	site_wait_ready(site, 3);
-	caller = site_open(site, 3, "jobs");
+	site_wait_until_ready(site, 3);
+	caller = site_open_session(site, 3, "jobs");
 	site_send(caller, "QUERY x READ", 12);
 	g_usleep(100000);
 	kill(site->proxies[3], SIGTERM);
-	g_assert_cmpint(harness_wait(&site->proxies[3], 10000), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 10000), ==, 0);
 	site_disconnect(caller);
 }
 
@@ -399,21 +399,21 @@
 	site_caller_t *caller;
 
 	site_start_proxy(site, 3, -1);
-	site_wait_ready(site, 3);
+	site_wait_until_ready(site, 3);
 	replace_setting(3, "grace_s = 4", "grace_s = 0.6");
 	kill(site->proxies[3], SIGHUP);
 	g_usleep(300000);
-	caller = site_open(site, 3, "jobs");
+	caller = site_open_session(site, 3, "jobs");
 	kill(site->platform, SIGSTOP);
 	site_send(caller, "QUERY reloaded WRITE e one\r\n", 28);
 	g_usleep(20000);
 	kill(site->proxies[3], SIGTERM);
-	assert_reply(site_receive(caller), "ERR ");
+	assert_reply(site_receive_reply(caller), "ERR ");
 	kill(site->platform, SIGCONT);
-	harness_wait(&site->proxies[3], 10000);
+	harness_wait_exit(&site->proxies[3], 10000);
 	site_disconnect(caller);
 	/* The members stood still with the store, so their primary may be about to change. */
-	caller = site_open(site, 0, "jobs");
+	caller = site_open_session(site, 0, "jobs");
 	wait_for_write(caller);
 	site_disconnect(caller);
 }
@@ -428,25 +428,25 @@
 
 	/* Written with the first start, read with the next. */
 	site_start_proxy(site, 3, -1);
-	site_wait_ready(site, 3);
+	site_wait_until_ready(site, 3);
 	kill(site->proxies[3], SIGTERM);
-	harness_wait(&site->proxies[3], 10000);
+	harness_wait_exit(&site->proxies[3], 10000);
 	replace_setting(3, "[callers]\n", "[callers]\nmax = 3\n");
 	site_restart_proxy(site, 3);
-	site_wait_ready(site, 3);
+	site_wait_until_ready(site, 3);
 	for (int i = 0; i < MOST; i++)
-		callers[i] = site_open(site, 3, "jobs");
+		callers[i] = site_open_session(site, 3, "jobs");
 	late = site_connect(site, 3);
-	reply = site_receive(late);
+	reply = site_receive_reply(late);
 	g_assert_true(g_str_has_prefix(reply, "ERR TOOMANY"));
 	g_free(reply);
 	site_disconnect(late);
 	for (int i = 0; i < MOST; i++) {
-		assert_reply(site_ask(callers[i], "READ nothing"), "ROW none");
+		assert_reply(site_query(callers[i], "READ nothing"), "ROW none");
 		site_disconnect(callers[i]);
 	}
 	kill(site->proxies[3], SIGTERM);
-	g_assert_cmpint(harness_wait(&site->proxies[3], 10000), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 10000), ==, 0);
 }
 
 /*
@@ -461,7 +461,7 @@
 	char *reply;
 
 	site_start_proxy(site, 3, -1);
-	site_wait_ready(site, 3);
+	site_wait_until_ready(site, 3);
 	kill(site->proxies[3], SIGTERM);
 	g_usleep(2 * G_USEC_PER_SEC);
 	kill(site->proxies[3], SIGSTOP);
@@ -470,11 +470,11 @@
 	site_send(caller, "START jobs x\r\n", 14);
 	g_usleep(600000);
 	kill(site->proxies[3], SIGCONT);
-	reply = site_receive(caller);
+	reply = site_receive_reply(caller);
 	g_assert_cmpstr(reply, !=, "");
 	g_free(reply);
 	site_disconnect(caller);
-	harness_wait(&site->proxies[3], 10000);
+	harness_wait_exit(&site->proxies[3], 10000);
 }
 
 /*
@@ -488,8 +488,8 @@
 	site_caller_t *caller;
 
 	site_start_proxy(site, 3, -1);
-	site_wait_ready(site, 3);
-	caller = site_open(site, 3, "jobs");
+	site_wait_until_ready(site, 3);
+	caller = site_open_session(site, 3, "jobs");
 	kill(site->platform, SIGSTOP);
 	site_send(caller, "QUERY stopped READ warm\r\n", 25);
 	g_usleep(100000);
@@ -497,12 +497,12 @@
 	kill(site->platform, SIGCONT);
 	g_usleep(900000);
 	kill(site->proxies[3], SIGCONT);
-	assert_reply(site_receive(caller), "ROW up");
+	assert_reply(site_receive_reply(caller), "ROW up");
 	site_disconnect(caller);
 	kill(site->proxies[3], SIGTERM);
-	g_assert_cmpint(harness_wait(&site->proxies[3], 10000), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 10000), ==, 0);
 	/* The members stood still with the store, so their primary may be about to change. */
-	caller = site_open(site, 0, "jobs");
+	caller = site_open_session(site, 0, "jobs");
 	wait_for_write(caller);
 	site_disconnect(caller);
 }
@@ -511,7 +511,7 @@
 static void test_settings_errors(void)
 {
 	char *path = g_build_filename(site->dir, "bad.toml", NULL);
-	char *program = harness_program("proxy/cyclamenspan");
+	char *program = harness_program_path("proxy/cyclamenspan");
 	char *argv[] = {program, "--pooler", "--check-config", "--config", path, NULL};
 	char *errors = NULL;
 	int status;
@@ -567,7 +567,7 @@
 	};
 	char *text = NULL;
 	char *path = g_build_filename(site->dir, "rendered.toml", NULL);
-	char *program = harness_program("proxy/cyclamenspan");
+	char *program = harness_program_path("proxy/cyclamenspan");
 	char *argv[] = {program, "--pooler", "--check-config", "--config", path, NULL};
 	int status;
 
@@ -612,7 +612,7 @@
 static void test_hangup_while_starting(void)
 {
 	char *path = g_build_filename(site->dir, "pipe.toml", NULL);
-	char *program = harness_program("proxy/cyclamenspan");
+	char *program = harness_program_path("proxy/cyclamenspan");
 	char *argv[] = {program, "--pooler", "--config", path, NULL};
 	pid_t pid;
 	int fd;
@@ -625,7 +625,7 @@
 	if (write(fd, "nonsense\n", 9) < 0)
 		g_test_message("the pipe is closed: %s", g_strerror(errno));
 	close(fd);
-	g_assert_cmpint(harness_wait(&pid, 5000), ==, 2);
+	g_assert_cmpint(harness_wait_exit(&pid, 5000), ==, 2);
 	g_free(path);
 	g_free(program);
 }
@@ -675,7 +675,7 @@
 	g_assert_cmpint(wait_until_full(fds[0]), >, 3 * 4096);
 	kill(site->proxies[3], SIGTERM);
 	reader = g_thread_new("reader", drain_pipe, GINT_TO_POINTER(fds[0]));
-	g_assert_cmpint(harness_wait(&site->proxies[3], 20000), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 20000), ==, 0);
 	g_thread_join(reader);
 	close(fds[0]);
 }
@@ -693,7 +693,7 @@
 	/* It comes before the program handles it, as a rule. */
 	kill(site->proxies[3], SIGTERM);
 	sigprocmask(SIG_SETMASK, &before, NULL);
-	g_assert_cmpint(harness_wait(&site->proxies[3], 20000), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 20000), ==, 0);
 }
 
 int main(int argc, char **argv)
