--- a/measure/pooler.c
+++ b/measure/pooler.c
@@ -50,11 +50,11 @@
 		.members = 3,
 		.slots = 2,
 		.max_connections = 16,
-		.work = 9 * MSEC,
-		.receive = 2 * MSEC,
+		.service_time = 9 * MSEC,
+		.receive_delay = 2 * MSEC,
 		.lag = 60 * MSEC,
-		.promote = 1000 * MSEC,
-		.open = 12 * MSEC},
+		.promote_delay = 1000 * MSEC,
+		.connect_time = 12 * MSEC},
 	 .kinds = {{"strict", 0.15, 0.35, 0.25, 100 * MSEC},
 		   {"bounded", 0.15, 0, 0.10, 300 * MSEC},
 		   {"session", 0.70, 0.12, 0.12, 200 * MSEC}}},
@@ -65,11 +65,11 @@
 		.members = 3,
 		.slots = 5,
 		.max_connections = 55,
-		.work = 33 * MSEC,
-		.receive = 2 * MSEC,
+		.service_time = 33 * MSEC,
+		.receive_delay = 2 * MSEC,
 		.lag = 8 * MSEC,
-		.promote = 1000 * MSEC,
-		.open = 12 * MSEC},
+		.promote_delay = 1000 * MSEC,
+		.connect_time = 12 * MSEC},
 	 .kinds = {{"strict", 0.15, 0.35, 0.40, 200 * MSEC},
 		   {"bounded", 0.15, 0, 0.10, 800 * MSEC},
 		   {"session", 0.70, 0.12, 0.12, 400 * MSEC}}},
@@ -260,7 +260,7 @@
 	size_t sum = 0;
 
 	for (size_t i = 0; i < world->db->config.members; i++)
-		sum += world->db->members[i].opened;
+		sum += world->db->members[i].sessions_opened;
 	return sum;
 }
 
--- a/tests/fake_db.c
+++ b/tests/fake_db.c
@@ -87,16 +87,16 @@
 static void append(fake_member_t *member, const fake_entry_t *entry)
 {
 	/* The log shrinks and grows again, so its room is asked for, not computed. */
-	if (member->len >= talloc_array_length(member->log))
-		member->log =
-			talloc_realloc(member->db, member->log, fake_entry_t, 2 * member->len + 64);
-	member->log[member->len++] = *entry;
+	if (member->log_len >= talloc_array_length(member->log))
+		member->log = talloc_realloc(member->db, member->log, fake_entry_t,
+					     2 * member->log_len + 64);
+	member->log[member->log_len++] = *entry;
 }
 
 /* Logs that agree on an entry agree on all before it, so the search goes back from the end. */
 static size_t common_prefix(const fake_member_t *a, const fake_member_t *b)
 {
-	size_t n = a->len < b->len ? a->len : b->len;
+	size_t n = a->log_len < b->log_len ? a->log_len : b->log_len;
 
 	while (n > 0 && a->log[n - 1].term != b->log[n - 1].term)
 		n--;
@@ -110,29 +110,31 @@
 	fake_member_t *leader = fake_db_primary(db);
 	usec_t now = now_of(db);
 
-	if (member->primary && member != leader && !member->deaf && !member->stopped &&
+	if (member->primary && member != leader && !member->isolated && !member->stopped &&
 	    now >= member->demote_at)
 		member->primary = false;
-	if (leader == NULL || member->primary || member->deaf || member->stopped || leader->stopped)
+	if (leader == NULL || member->primary || member->isolated || member->stopped ||
+	    leader->stopped)
 		return;
-	member->len = common_prefix(member, leader);
+	member->log_len = common_prefix(member, leader);
 	member->term = leader->term;
-	while (member->len < leader->len && leader->log[member->len].at + db->config.receive <= now)
-		append(member, &leader->log[member->len]);
+	while (member->log_len < leader->log_len &&
+	       leader->log[member->log_len].at + db->config.receive_delay <= now)
+		append(member, &leader->log[member->log_len]);
 }
 
 /* A replica that falls behind stays where it is; it never takes back what it has applied. */
 static size_t applied_len(fake_member_t *member)
 {
 	usec_t now = now_of(member->db);
-	size_t len = member->len;
+	size_t len = member->log_len;
 
 	if (member->primary)
 		return len;
 	if (member->applied > len)
 		member->applied = len;
 	while (len > member->applied &&
-	       member->log[len - 1].at + member->db->config.lag + member->lag > now)
+	       member->log[len - 1].at + member->db->config.lag + member->extra_lag > now)
 		len--;
 	member->applied = len;
 	return len;
@@ -142,7 +144,7 @@
 {
 	size_t count = 0;
 
-	for (size_t i = 0; i < member->len; i++)
+	for (size_t i = 0; i < member->log_len; i++)
 		count += strcmp(member->log[i].id, id) == 0;
 	return count;
 }
@@ -158,7 +160,7 @@
 
 const char *fake_member_last_value(fake_member_t *member, const char *item)
 {
-	return value_in(member, member->len, item);
+	return value_in(member, member->log_len, item);
 }
 
 fake_member_t *fake_db_find_member(fake_db_t *db, const char *id)
@@ -207,7 +209,7 @@
 
 static void signature(const fake_member_t *member, char *text, size_t size)
 {
-	if (member->db->config.numbered)
+	if (member->db->config.numbered_signatures)
 		snprintf(text, size, "%s.%" PRIu64, member->id, member->db->run_number);
 	else
 		snprintf(text, size, "%s", member->id);
@@ -238,15 +240,16 @@
 {
 	fake_member_t *member = session->member;
 	fake_db_t *db = member->db;
-	fake_run_t run = {.at = now_of(db), .tx = session->tx, .number = ++db->run_number};
+	fake_run_t run = {
+		.at = now_of(db), .tx_number = session->tx, .run_number = ++db->run_number};
 	size_t len = applied_len(member);
 
 	snprintf(run.id, sizeof(run.id), "%s", id);
 	snprintf(run.text, sizeof(run.text), "%s", text);
 	snprintf(run.member, sizeof(run.member), "%s", member->id);
-	snprintf(run.who, sizeof(run.who), "%s", session->who);
+	snprintf(run.customer, sizeof(run.customer), "%s", session->who);
 	snprintf(run.values, sizeof(run.values), "%.95s", session->values);
-	snprintf(run.after, sizeof(run.after), "%s", session->after);
+	snprintf(run.min_position, sizeof(run.min_position), "%s", session->after);
 	snprintf(run.shape, sizeof(run.shape), "%s", session->shape);
 	snprintf(run.row, sizeof(run.row), "%s", row);
 	if (len != 0) {
@@ -284,8 +287,9 @@
 	fake_member_t *member = session->member;
 
 	for (size_t i = 0; i < session->write_count; i++) {
-		fake_entry_t entry = {
-			.term = member->term, .number = member->len + 1, .at = now_of(member->db)};
+		fake_entry_t entry = {.term = member->term,
+				      .number = member->log_len + 1,
+				      .at = now_of(member->db)};
 
 		snprintf(entry.id, sizeof(entry.id), "%s", session->writes[i].id);
 		snprintf(entry.item, sizeof(entry.item), "%s", session->writes[i].item);
@@ -448,10 +452,10 @@
 {
 	fake_member_t *member = session->member;
 	char row[128];
-	uint64_t term = member->len != 0 ? member->log[member->len - 1].term : member->term;
+	uint64_t term = member->log_len != 0 ? member->log[member->log_len - 1].term : member->term;
 
 	snprintf(row, sizeof(row), "%s %" PRIu64 " %" PRIu64 ".%zu 0 0 0 %zu",
-		 member->primary ? "primary" : "replica", member->term, term, member->len,
+		 member->primary ? "primary" : "replica", member->term, term, member->log_len,
 		 member->sessions);
 	done(session, row, false);
 }
@@ -537,10 +541,10 @@
 
 static bool fails_now(fake_member_t *member)
 {
-	member->fail_sum += member->fail_percent;
-	if (member->fail_sum < 100)
+	member->fail_accumulator += member->fail_percent;
+	if (member->fail_accumulator < 100)
 		return false;
-	member->fail_sum -= 100;
+	member->fail_accumulator -= 100;
 	return true;
 }
 
@@ -633,7 +637,8 @@
 static usec_t take_slot(fake_member_t *member, const char *text)
 {
 	const fake_db_config_t *config = &member->db->config;
-	usec_t work = strcmp(text, OPENED) == 0 ? config->open : config->work + member->slow;
+	usec_t work = strcmp(text, OPENED) == 0 ? config->connect_time
+						: config->service_time + member->extra_service_time;
 	usec_t now = now_of(member->db);
 	size_t best = 0;
 
@@ -689,7 +694,7 @@
 	session->state = SESSION_IDLE;
 	snprintf(session->who, sizeof(session->who), "%s", who);
 	catch_up(member);
-	member->opened++;
+	member->sessions_opened++;
 	enqueue(session, OPENED, strlen(OPENED));
 }
 
@@ -770,9 +775,9 @@
 static void on_promote(run_timer_t *timer, usec_t now)
 {
 	fake_db_t *db = list_entry(timer, fake_db_t, promote_timer);
-	fake_member_t *member = db->promoting;
+	fake_member_t *member = db->promote_target;
 
-	db->promoting = NULL;
+	db->promote_target = NULL;
 	if (member->stopped)
 		return;
 	catch_up(member);
@@ -792,8 +797,9 @@
 		return false;
 	if (fake_db_primary(db) == member)
 		return true;
-	db->promoting = member;
-	timers_arm(db->timers, &db->promote_timer, now_of(db) + db->config.promote, on_promote);
+	db->promote_target = member;
+	timers_arm(db->timers, &db->promote_timer, now_of(db) + db->config.promote_delay,
+		   on_promote);
 	return true;
 }
 
--- a/tests/fake_db.h
+++ b/tests/fake_db.h
@@ -20,12 +20,13 @@
 	size_t members;
 	size_t slots;
 	size_t max_connections;
-	usec_t work;	/* of a read, write or commit */
-	usec_t receive; /* until a replica has a commit */
-	usec_t lag;	/* until it has applied it */
-	usec_t promote; /* from the call to its effect */
-	usec_t open;	/* of a slot, to take a connection */
-	bool numbered;	/* each signature differs: the member's id and the number of the run */
+	usec_t service_time;	  /* of a read, write or commit */
+	usec_t receive_delay;	  /* until a replica has a commit */
+	usec_t lag;		  /* until it has applied it */
+	usec_t promote_delay;	  /* from the call to its effect */
+	usec_t connect_time;	  /* of a slot, to take a connection */
+	bool numbered_signatures; /* each signature differs: the member's id and the number of the
+				     run */
 } fake_db_config_t;
 
 typedef struct fake_entry {
@@ -44,25 +45,25 @@
 	char id[48];
 	bool primary;
 	bool stopped;  /* its sessions are gone, new ones fail */
-	bool deaf;     /* receives nothing from the leader, and is not demoted */
+	bool isolated; /* receives nothing from the leader, and is not demoted */
 	bool unlisted; /* its entry has lapsed with the store; who knows it goes on knowing it */
 	bool leaving;
 	uint64_t term;
 	fake_entry_t *log; /* talloc array */
-	size_t len;
+	size_t log_len;
 	size_t applied;	    /* entries that reads have been shown, of a replica */
 	usec_t *busy_until; /* a slot each */
 	size_t sessions;
-	size_t opened;		/* sessions that it ever took */
+	size_t sessions_opened; /* sessions that it ever took */
 	unsigned lose_answers;	/* of the next statements that it runs */
 	unsigned reset_answers; /* the same, and the connection breaks */
 	unsigned refuse_begins; /* so many BEGIN are answered with BUSY */
 	unsigned refuse_runs; /* so many statements that would take a slot are answered with BUSY */
-	usec_t slow;	      /* more work for each statement */
-	usec_t lag;	      /* more time until it has applied a commit */
+	usec_t extra_service_time; /* more work for each statement */
+	usec_t extra_lag;	   /* more time until it has applied a commit */
 	unsigned fail_percent; /* of statements that are answered with an error, spread evenly */
 	const char *fail_code; /* NULL: FAILED */
-	unsigned fail_sum;
+	unsigned fail_accumulator;
 	usec_t demote_at;
 } fake_member_t;
 
@@ -72,14 +73,14 @@
 	char id[40];
 	char text[96];
 	char member[48];
-	char who[40];	   /* the customer that the connection is for */
-	char values[96];   /* the session's, "name value;" in order of setting */
-	char after[24];	   /* position that the log had to hold, "" for none */
-	uint64_t tx;	   /* which transaction, 0: none */
-	uint64_t number;   /* of the run, as in a numbered signature */
-	char shape[40];	   /* of a prepared statement, "" for none */
-	char row[64];	   /* that it returned, "" for none */
-	uint64_t log_term; /* last entry that it saw, 0.0 for none */
+	char customer[40];     /* the customer that the connection is for */
+	char values[96];       /* the session's, "name value;" in order of setting */
+	char min_position[24]; /* position that the log had to hold, "" for none */
+	uint64_t tx_number;    /* which transaction, 0: none */
+	uint64_t run_number;   /* of the run, as in a numbered signature */
+	char shape[40];	       /* of a prepared statement, "" for none */
+	char row[64];	       /* that it returned, "" for none */
+	uint64_t log_term;     /* last entry that it saw, 0.0 for none */
 	uint64_t log_number;
 } fake_run_t;
 
@@ -110,7 +111,7 @@
 	uint64_t run_number;
 	fake_events_t *events; /* NULL: nobody is told */
 	run_timer_t promote_timer;
-	fake_member_t *promoting;
+	fake_member_t *promote_target;
 	usec_t promoted_at; /* of the last promote's effect */
 } fake_db_t;
 
--- a/tests/pool_callers.c
+++ b/tests/pool_callers.c
@@ -126,8 +126,8 @@
 		if (run->id[0] != 'q')
 			continue;
 		sender = world->senders[strtoul(run->id + 1, NULL, 10)];
-		if (strcmp(run->who, sender) != 0)
-			g_error("%s of %s was run for %s: %s", run->id, sender, run->who,
+		if (strcmp(run->customer, sender) != 0)
+			g_error("%s of %s was run for %s: %s", run->id, sender, run->customer,
 				run->text);
 	}
 }
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -343,10 +343,10 @@
 		.members = 3,
 		.slots = 2,
 		.max_connections = 16,
-		.work = 4 * USEC_PER_MSEC,
-		.receive = 2 * USEC_PER_MSEC,
+		.service_time = 4 * USEC_PER_MSEC,
+		.receive_delay = 2 * USEC_PER_MSEC,
 		.lag = 60 * USEC_PER_MSEC,
-		.promote = 1000 * USEC_PER_MSEC,
+		.promote_delay = 1000 * USEC_PER_MSEC,
 	};
 	pool_world_t *world = talloc_zero(NULL, pool_world_t);
 
--- a/tests/standin_control.c
+++ b/tests/standin_control.c
@@ -33,8 +33,8 @@
 	(void)events;
 	printf("R\t%" PRIu64 "\t%s\t%s\t%" PRIu64 "\t%" PRIu64 "\t%" PRIu64 ".%" PRIu64
 	       "\t%s\t%s\t%s\t%s\n",
-	       run->at, run->id, run->member, run->tx, run->number, run->log_term, run->log_number,
-	       run->values, run->shape, run->row, run->text);
+	       run->at, run->id, run->member, run->tx_number, run->run_number, run->log_term,
+	       run->log_number, run->values, run->shape, run->row, run->text);
 }
 
 static void on_committed(fake_events_t *events, const fake_member_t *member,
@@ -50,7 +50,7 @@
 	(void)events;
 	printf("P\t%" PRIu64 "\t%s\t%s\t%" PRIu64 "\t%zu\t%" PRIu64 "\n",
 	       clock_now(member->db->clock), member->db->config.service, member->id, member->term,
-	       member->len, member->len != 0 ? member->log[member->len - 1].term : 0);
+	       member->log_len, member->log_len != 0 ? member->log[member->log_len - 1].term : 0);
 }
 
 static const fake_events_ops_t events_ops = {
@@ -124,9 +124,9 @@
 	} else if (strcmp(word, "leave") == 0) {
 		member->leaving = true;
 	} else if (strcmp(word, "slow") == 0) {
-		member->slow = number * USEC_PER_MSEC;
+		member->extra_service_time = number * USEC_PER_MSEC;
 	} else if (strcmp(word, "lag") == 0) {
-		member->lag = number * USEC_PER_MSEC;
+		member->extra_lag = number * USEC_PER_MSEC;
 	} else if (strcmp(word, "lose") == 0) {
 		member->lose_answers = number;
 	} else if (strcmp(word, "reset") == 0) {
@@ -134,7 +134,7 @@
 	} else if (strcmp(word, "grey") == 0) {
 		member->refuse_runs = number;
 	} else if (strcmp(word, "deaf") == 0) {
-		member->deaf = number != 0;
+		member->isolated = number != 0;
 	}
 }
 
--- a/tests/standin_site.c
+++ b/tests/standin_site.c
@@ -391,11 +391,11 @@
 			.members = SITE_MEMBERS,
 			.slots = options->slots,
 			.max_connections = options->connections,
-			.work = 2 * USEC_PER_MSEC,
-			.receive = 1 * USEC_PER_MSEC,
+			.service_time = 2 * USEC_PER_MSEC,
+			.receive_delay = 1 * USEC_PER_MSEC,
 			.lag = 20 * USEC_PER_MSEC,
-			.promote = 300 * USEC_PER_MSEC,
-			.numbered = options->control,
+			.promote_delay = 300 * USEC_PER_MSEC,
+			.numbered_signatures = options->control,
 		};
 
 		site->services[i] =
--- a/tests/test_pooler.c
+++ b/tests/test_pooler.c
@@ -39,7 +39,8 @@
 	snprintf(first, sizeof(first), "%s", caller->id);
 	assert_begins(world_ask(other, "READ job-1"), "ROW none");
 	assert_begins(world_ask(caller, "READ job-1"), "ROW open\r\nDONE core-0\r\nREADY T");
-	g_assert_cmpuint(last_run(world, first)->tx, ==, last_run(world, caller->id)->tx);
+	g_assert_cmpuint(last_run(world, first)->tx_number, ==,
+			 last_run(world, caller->id)->tx_number);
 	assert_begins(world_ask(caller, "COMMIT"), "DONE core-0\r\nREADY I 1.1");
 	assert_begins(world_ask(other, "BEGIN"), "DONE -");
 	assert_begins(world_ask(other, "READ job-1"), "ROW open");
@@ -170,7 +171,7 @@
 	world_leave(caller);
 	caller = world_open(world, 0);
 	assert_begins(world_ask(caller, "READ job-1"), "ROW none\r\nDONE core-0\r\nREADY I");
-	g_assert_cmpuint(last_run(world, caller->id)->tx, ==, 0);
+	g_assert_cmpuint(last_run(world, caller->id)->tx_number, ==, 0);
 	world_destroy(world);
 }
 
@@ -228,8 +229,8 @@
 	reader = world_open(world, 1);
 	assert_begins(world_ask(writer, "WRITE job-1 old"), "DONE");
 	world_run(world, SEC);
-	world->db->members[1].deaf = true;
-	world->db->members[2].deaf = true;
+	world->db->members[1].isolated = true;
+	world->db->members[2].isolated = true;
 	assert_begins(world_ask(writer, "WRITE job-1 new"), "DONE");
 	for (int i = 0; i < 30; i++) {
 		usec_t before = clock_now(&world->clock.base);
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -21,11 +21,11 @@
 	.members = 3,
 	.slots = 2,
 	.max_connections = 8,
-	.work = 4 * MSEC,
-	.receive = 2 * MSEC,
+	.service_time = 4 * MSEC,
+	.receive_delay = 2 * MSEC,
 	.lag = 20 * MSEC,
-	.promote = 1000 * MSEC,
-	.open = 12 * MSEC,
+	.promote_delay = 1000 * MSEC,
+	.connect_time = 12 * MSEC,
 };
 
 static usec_t now_in(const pool_world_t *world)
@@ -48,7 +48,7 @@
 
 	for (size_t i = db->run_count; i > 0; i--) {
 		if (strcmp(db->runs[i - 1].id, id) == 0)
-			return db->runs[i - 1].who;
+			return db->runs[i - 1].customer;
 	}
 	return NULL;
 }
@@ -127,11 +127,11 @@
 		.members = 1,
 		.slots = 2,
 		.max_connections = 2,
-		.work = 4 * MSEC,
-		.receive = 2 * MSEC,
+		.service_time = 4 * MSEC,
+		.receive_delay = 2 * MSEC,
 		.lag = 20 * MSEC,
-		.promote = 1000 * MSEC,
-		.open = 12 * MSEC,
+		.promote_delay = 1000 * MSEC,
+		.connect_time = 12 * MSEC,
 	};
 	pool_world_t *world = start(1, &one);
 	world_caller_t *busy[6];
@@ -375,7 +375,7 @@
 
 		for (size_t j = i; j < db->run_count && db->runs[j].at < db->runs[i].at + WINDOW;
 		     j++)
-			count += strcmp(db->runs[j].who, customer) == 0;
+			count += strcmp(db->runs[j].customer, customer) == 0;
 		if (count > most)
 			most = count;
 	}
--- a/tests/test_pooler_faults.c
+++ b/tests/test_pooler_faults.c
@@ -160,8 +160,8 @@
 		const fake_member_t *member = &play->world->db->members[i];
 
 		fprintf(stderr, "%s: primary %d, term %lu, entries %zu, stopped %d, deaf %d\n",
-			member->id, member->primary, (unsigned long)member->term, member->len,
-			member->stopped, member->deaf);
+			member->id, member->primary, (unsigned long)member->term, member->log_len,
+			member->stopped, member->isolated);
 	}
 }
 
@@ -169,7 +169,7 @@
 
 static ssize_t index_in_log(const fake_member_t *member, const char *id)
 {
-	for (size_t i = 0; i < member->len; i++) {
+	for (size_t i = 0; i < member->log_len; i++) {
 		if (strcmp(member->log[i].id, id) == 0)
 			return (ssize_t)i;
 	}
@@ -213,7 +213,7 @@
 	char item[16];
 
 	snprintf(item, sizeof(item), "i%d", client->item);
-	for (size_t i = leader->len; i > 0; i--) {
+	for (size_t i = leader->log_len; i > 0; i--) {
 		const fake_entry_t *entry = &leader->log[i - 1];
 		const write_record_t *write;
 
@@ -251,7 +251,8 @@
 			 client->caller->id, client->node, databases[client->route], data, index,
 			 least, leader->log[least].id, seconds(client->began),
 			 run != NULL ? seconds(run->at) : 0, run != NULL ? run->member : "nobody",
-			 run != NULL ? run->after : "", seconds(play->world->db->promoted_at));
+			 run != NULL ? run->min_position : "",
+			 seconds(play->world->db->promoted_at));
 		describe_nodes(play);
 		fail_play(play, "stale read", detail);
 	}
@@ -499,7 +500,7 @@
 		world_crash_member(play->world, at);
 		break;
 	case 2:
-		member->deaf = true;
+		member->isolated = true;
 		break;
 	case 3:
 		/* By the seed, so that the seeds that found faults play as they did. */
@@ -624,7 +625,7 @@
 		if (play->member_back[i] == 0 || (!all && now < play->member_back[i]))
 			continue;
 		play->member_back[i] = 0;
-		world->db->members[i].deaf = false;
+		world->db->members[i].isolated = false;
 		world->db->members[i].leaving = false;
 		if (world->db->members[i].stopped)
 			fake_member_start(&world->db->members[i]);
@@ -677,11 +678,11 @@
 	.members = 3,
 	.slots = 2,
 	.max_connections = 2,
-	.work = 4 * MSEC,
-	.receive = 2 * MSEC,
+	.service_time = 4 * MSEC,
+	.receive_delay = 2 * MSEC,
 	.lag = 60 * MSEC,
-	.promote = 1000 * MSEC,
-	.open = 12 * MSEC,
+	.promote_delay = 1000 * MSEC,
+	.connect_time = 12 * MSEC,
 };
 
 /* Two homes for five proxies: every fifth seed. */
@@ -690,11 +691,11 @@
 	.members = 3,
 	.slots = 2,
 	.max_connections = 8,
-	.work = 4 * MSEC,
-	.receive = 2 * MSEC,
+	.service_time = 4 * MSEC,
+	.receive_delay = 2 * MSEC,
 	.lag = 60 * MSEC,
-	.promote = 1000 * MSEC,
-	.open = 12 * MSEC,
+	.promote_delay = 1000 * MSEC,
+	.connect_time = 12 * MSEC,
 };
 
 static const fake_db_config_t *config_of(uint32_t seed)
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -460,10 +460,10 @@
 		.members = 3,
 		.slots = 2,
 		.max_connections = 6,
-		.work = 4 * MSEC,
-		.receive = 2 * MSEC,
+		.service_time = 4 * MSEC,
+		.receive_delay = 2 * MSEC,
 		.lag = 60 * MSEC,
-		.promote = 1000 * MSEC,
+		.promote_delay = 1000 * MSEC,
 	};
 	pool_world_t *world = world_create(12, &few);
 	world_caller_t *callers[12];
--- a/tests/test_pooler_forward.c
+++ b/tests/test_pooler_forward.c
@@ -23,9 +23,9 @@
 	.members = 1,
 	.slots = 2,
 	.max_connections = 2,
-	.work = 4 * MSEC,
-	.open = 12 * MSEC,
-	.promote = 1000 * MSEC,
+	.service_time = 4 * MSEC,
+	.connect_time = 12 * MSEC,
+	.promote_delay = 1000 * MSEC,
 };
 
 /* The proxy that holds the connections for this one; itself, if it is the home. */
@@ -482,7 +482,7 @@
 	size_t away = find_away(world);
 	world_caller_t *caller = world_open_database(world, away, "strict");
 
-	fake_db_primary(world->db)->slow = 600 * MSEC;
+	fake_db_primary(world->db)->extra_service_time = 600 * MSEC;
 	world->nodes[away].pooler->config.grace = 500 * MSEC;
 	world_send(caller, "WRITE job-1 a");
 	world_run(world, 2 * MSEC);
@@ -570,7 +570,7 @@
 
 	assert_begins(world_ask(writer, "WRITE job-1 a"), "DONE");
 	home = helper_of(world, writer);
-	world->db->members[0].slow = 2 * SEC;
+	world->db->members[0].extra_service_time = 2 * SEC;
 	for (int i = 0; i < 4; i++) {
 		world_caller_t *other =
 			world_open_database(world, (size_t)(home - world->nodes), "strict");
@@ -602,7 +602,7 @@
 	peer_message_t message = {.kind = PEER_RESULT, .result = &late};
 	const world_node_t *home;
 
-	world->db->members[0].slow = 1 * SEC;
+	world->db->members[0].extra_service_time = 1 * SEC;
 	world_send(caller, "WRITE job-1 a");
 	world_run(world, 10 * MSEC);
 	late.number = caller->caller->forward_number;
--- a/tests/test_pooler_hangup.c
+++ b/tests/test_pooler_hangup.c
@@ -172,7 +172,7 @@
 
 	world_settle(world);
 	caller = world_open(world, 0);
-	fake_db_primary(world->db)->slow = 2 * SEC;
+	fake_db_primary(world->db)->extra_service_time = 2 * SEC;
 	world->nodes[0].pooler->config.grace = 600 * MSEC;
 	world_send(caller, "WRITE job-1 a");
 	world_run(world, 2 * MSEC);
--- a/tests/test_pooler_load.c
+++ b/tests/test_pooler_load.c
@@ -13,7 +13,7 @@
 	.members = 1,
 	.slots = 2,
 	.max_connections = 16,
-	.work = 20 * MSEC,
+	.service_time = 20 * MSEC,
 };
 
 /* A statement of its own session. */
@@ -82,7 +82,7 @@
 	size_t count = 0;
 
 	for (size_t i = 0; i < world->db->config.members; i++)
-		count += world->db->members[i].opened;
+		count += world->db->members[i].sessions_opened;
 	return count;
 }
 
@@ -139,8 +139,8 @@
 		.members = 1,
 		.slots = 2,
 		.max_connections = 16,
-		.work = 6 * MSEC,
-		.open = 12 * MSEC,
+		.service_time = 6 * MSEC,
+		.connect_time = 12 * MSEC,
 	};
 	load_t load = {.world = world_create(9, &config)};
 	pool_world_t *world = load.world;
@@ -177,8 +177,8 @@
 	.members = 1,
 	.slots = 2,
 	.max_connections = 4,
-	.work = 4 * MSEC,
-	.open = 12 * MSEC,
+	.service_time = 4 * MSEC,
+	.connect_time = 12 * MSEC,
 };
 
 static world_caller_t *begin_and_rest(pool_world_t *world, const char *text)
--- a/tests/test_pooler_outlier.c
+++ b/tests/test_pooler_outlier.c
@@ -297,9 +297,9 @@
 		.members = 3,
 		.slots = 8,
 		.max_connections = 32,
-		.work = 20 * MSEC,
-		.open = 12 * MSEC,
-		.promote = 1000 * MSEC,
+		.service_time = 20 * MSEC,
+		.connect_time = 12 * MSEC,
+		.promote_delay = 1000 * MSEC,
 	};
 	pool_world_t *world = world_create(1, &config);
 	world_caller_t *callers[8];
@@ -358,7 +358,7 @@
 
 	world_settle(world);
 	work_on(world, 4);
-	world->db->members[0].slow = 80 * MSEC;
+	world->db->members[0].extra_service_time = 80 * MSEC;
 	work_on(world, 12);
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
@@ -371,7 +371,7 @@
 	world_settle(world);
 	work_on(world, 4);
 	for (size_t i = 0; i < 3; i++)
-		world->db->members[i].slow = 80 * MSEC;
+		world->db->members[i].extra_service_time = 80 * MSEC;
 	work_on(world, 12);
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
@@ -384,7 +384,7 @@
 
 	world_settle(world);
 	work_on(world, 4);
-	world->db->members[0].slow = 8 * MSEC;
+	world->db->members[0].extra_service_time = 8 * MSEC;
 	work_on(world, 12);
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -113,7 +113,7 @@
 
 	world_settle(world);
 	caller = world_open(world, 0);
-	world->db->members[1].deaf = true;
+	world->db->members[1].isolated = true;
 	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world_run(world, 100 * MSEC);
@@ -141,7 +141,7 @@
 	world->config_version++;
 	world_settle(world);
 	caller = world_open(world, 0);
-	world->db->members[2].deaf = true;
+	world->db->members[2].isolated = true;
 	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world_run(world, 200 * MSEC);
@@ -243,8 +243,8 @@
 	world_settle(world);
 	caller = world_open(world, 2);
 	world_ask(caller, "WRITE job-1 a");
-	world->db->members[1].deaf = true;
-	world->db->members[2].deaf = true;
+	world->db->members[1].isolated = true;
+	world->db->members[2].isolated = true;
 	world_send(caller, "WRITE job-1 b");
 	world_run(world, 5 * MSEC); /* at the member, its answer not yet here */
 	world_freeze(world, 2);
@@ -275,7 +275,7 @@
 	world_ask(caller, "WRITE job-1 a");
 	world->db->members[0].leaving = true;
 	world_run(world, 200 * MSEC);
-	world->db->members[0].deaf = true;
+	world->db->members[0].isolated = true;
 	world_run(world, 4 * SEC);
 	second = fake_db_primary(world->db)->id;
 	g_assert_cmpstr(second, !=, "core-0");
@@ -386,14 +386,14 @@
 	target = fake_db_primary(world->db);
 	world_crash_member(world, (size_t)(target - world->db->members));
 	world->db->members[0].leaving = false;
-	world->db->members[0].deaf = true; /* cut off from the one that is down anyway */
+	world->db->members[0].isolated = true; /* cut off from the one that is down anyway */
 	for (int i = 0; i < 100 && !g_str_has_prefix(world_ask(caller, "WRITE job-1 b"), "DONE");
 	     i++)
 		world_run(world, 100 * MSEC);
 	assert_begins(caller->reply, "DONE");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	fake_member_start(target);
-	world->db->members[0].deaf = false;
+	world->db->members[0].isolated = false;
 	world_run(world, 5 * SEC);
 	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 1);
 	world_destroy(world);
--- a/tests/test_pooler_restore.c
+++ b/tests/test_pooler_restore.c
@@ -105,7 +105,7 @@
 	world_settle(world);
 	world_run(world, 2 * SEC);
 	fake_kv_copy(world->kv);
-	world->db->members[0].deaf = true;
+	world->db->members[0].isolated = true;
 	world->db->members[0].leaving = true;
 	run_until_promoted(world, 1);
 	world->db->members[0].leaving = false;
@@ -163,7 +163,7 @@
 	behind = find_other(world);
 	world->nodes[behind].kv.cut = true;
 	world->nodes[behind].cut_from_peers = true;
-	world->db->members[0].deaf = true;
+	world->db->members[0].isolated = true;
 	world->db->members[0].leaving = true;
 	run_until_promoted(world, 1);
 	world->db->members[0].leaving = false;
--- a/tests/test_pooler_verdict.c
+++ b/tests/test_pooler_verdict.c
@@ -50,9 +50,9 @@
 		.members = 3,
 		.slots = 2,
 		.max_connections = 3,
-		.work = 4 * MSEC,
-		.open = 12 * MSEC,
-		.promote = 1000 * MSEC,
+		.service_time = 4 * MSEC,
+		.connect_time = 12 * MSEC,
+		.promote_delay = 1000 * MSEC,
 	};
 	pool_world_t *world = world_create(2, &config);
 	world_caller_t *caller;
