--- a/tests/harness.c
+++ b/tests/harness.c
@@ -35,10 +35,16 @@
 	sigset_t before;
 	pid_t pid;
 
-	/* A signal that comes before exec() is the program's, not our handlers'. */
+	/*
+	 * Signals stay blocked until exec(), so that none of them runs a handler of this process in
+	 * the child.
+	 */
 	sigfillset(&all);
 	sigprocmask(SIG_SETMASK, &all, &before);
-	/* Returns once the program is there: no signal is sent to a copy of this process. */
+	/*
+	 * vfork() returns in the parent only after exec(), so a signal that the caller then sends
+	 * reaches the new program and not a copy of this process.
+	 */
 	pid = vfork();
 	g_assert_cmpint(pid, >=, 0);
 	if (pid == 0) {
@@ -57,7 +63,7 @@
 	return pid;
 }
 
-static pid_t spawn(const harness_t *h, const char *log_name, char **argv)
+static pid_t spawn_with_log(const harness_t *h, const char *log_name, char **argv)
 {
 	char *log = g_build_filename(h->dir, log_name, NULL);
 	int fds[] = {-1, -1, g_open(log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)};
@@ -98,17 +104,17 @@
 	g_free(path);
 }
 
-static void start_platform(harness_t *h)
+static void spawn_platform(harness_t *h)
 {
 	char *argv[] = {harness_program_path("tests/standin_platform"), "--listen",
 			g_strdup_printf("127.0.0.1:%d", h->ports.first), NULL};
 
-	h->platform = spawn(h, "platform.log", argv);
+	h->platform = spawn_with_log(h, "platform.log", argv);
 	g_free(argv[0]);
 	g_free(argv[2]);
 }
 
-static void start_member(harness_t *h, int i)
+static void spawn_member(harness_t *h, int i)
 {
 	char *port = g_strdup_printf("%d", harness_member_port(h, i));
 	char *name = g_strdup_printf("m%d", i);
@@ -129,7 +135,7 @@
 			i == 0 ? NULL : follow,
 			NULL};
 
-	h->members[i] = spawn(h, name, argv);
+	h->members[i] = spawn_with_log(h, name, argv);
 	g_free(program);
 	g_free(port);
 	g_free(name);
@@ -153,13 +159,13 @@
 	write_file(h, "session.key", SESSION_KEY "\n");
 	zmq_curve_keypair(h->public_key, secret_key);
 	write_file(h, "peers.key", secret_key);
-	start_platform(h);
+	spawn_platform(h);
 	for (int i = 0; i < HARNESS_MEMBERS; i++)
-		start_member(h, i);
+		spawn_member(h, i);
 	return h;
 }
 
-static char *seeds(const harness_t *h)
+static char *format_seeds(const harness_t *h)
 {
 	GString *text = g_string_new(NULL);
 
@@ -171,7 +177,7 @@
 
 void harness_start_proxy(harness_t *h, int i, const char *extra_settings)
 {
-	char *list = seeds(h);
+	char *list = format_seeds(h);
 	char *name = g_strdup_printf("p%d.toml", i);
 	char *log = g_strdup_printf("p%d.log", i);
 	char *path = g_build_filename(h->dir, name, NULL);
@@ -190,7 +196,7 @@
 		extra_settings != NULL ? extra_settings : "");
 
 	write_file(h, name, text);
-	h->proxies[i] = spawn(h, log, argv);
+	h->proxies[i] = spawn_with_log(h, log, argv);
 	g_free(text);
 	g_free(program);
 	g_free(path);
@@ -199,16 +205,16 @@
 	g_free(list);
 }
 
-/* --- calls --- */
+/* --- HTTP calls --- */
 
-static size_t on_body(char *data, size_t size, size_t count, void *ptr)
+static size_t append_body(char *data, size_t size, size_t count, void *ptr)
 {
 	g_string_append_len(ptr, data, (gssize)(size * count));
 	return size * count;
 }
 
-static json_t *perform(int port, const char *path, const char *text, const char *token,
-		       long *http_status)
+static json_t *send_http_request(int port, const char *path, const char *text, const char *token,
+				 long *http_status)
 {
 	CURL *easy = curl_easy_init();
 	char *url = g_strdup_printf("http://127.0.0.1:%d%s", port, path);
@@ -222,7 +228,7 @@
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, 30000L);
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_body);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_body);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, body);
 	if (text != NULL)
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, text);
@@ -242,13 +248,14 @@
 
 json_t *harness_post_raw(int port, const char *path, const char *text, long *http_status)
 {
-	return perform(port, path, text, NULL, http_status);
+	return send_http_request(port, path, text, NULL, http_status);
 }
 
-static json_t *call_with(int port, const char *path, json_t *body, const char *token, long *status)
+static json_t *call_with_token(int port, const char *path, json_t *body, const char *token,
+			       long *status)
 {
 	char *text = body != NULL ? json_dumps(body, JSON_COMPACT) : NULL;
-	json_t *answer = perform(port, path, text, token, status);
+	json_t *answer = send_http_request(port, path, text, token, status);
 
 	free(text);
 	json_decref(body);
@@ -257,13 +264,13 @@
 
 json_t *harness_call(int port, const char *path, json_t *body, long *http_status)
 {
-	return call_with(port, path, body, NULL, http_status);
+	return call_with_token(port, path, body, NULL, http_status);
 }
 
 json_t *harness_call_operator(const harness_t *h, int proxy, const char *path, json_t *body)
 {
-	return call_with(harness_operator_port(h, proxy), path, body,
-			 "Authorization: Bearer " TOKEN, NULL);
+	return call_with_token(harness_operator_port(h, proxy), path, body,
+			       "Authorization: Bearer " TOKEN, NULL);
 }
 
 char *harness_run_sql(const harness_t *h, int member, const char *sql, const char *param)
@@ -351,7 +358,7 @@
 	harness_kill(&h->platform);
 	ports_release(&h->ports);
 	if (g_getenv("KEEP_LOGS") != NULL)
-		g_printerr("logs kept in %s\n", h->dir);
+		g_printerr("logs are kept in %s\n", h->dir);
 	else
 		g_spawn_sync(NULL, remove, NULL, G_SPAWN_DEFAULT, NULL, NULL, NULL, NULL, NULL,
 			     NULL);
@@ -368,7 +375,7 @@
 	return text != NULL ? text : "";
 }
 
-static char *table_text(const harness_t *h)
+static char *format_table(const harness_t *h)
 {
 	return g_strdup_printf(
 		"{\"group/callout-1\": {\"members\": ["
@@ -384,8 +391,8 @@
 		harness_member_port(h, 0), harness_member_port(h, 1), harness_member_port(h, 2));
 }
 
-static json_t *statement(const char *class_name, const char *text, json_t *params,
-			 const char *request_id, const char *token)
+static json_t *build_statement(const char *class_name, const char *text, json_t *params,
+			       const char *request_id, const char *token)
 {
 	json_t *body =
 		json_pack("{s:s, s:s, s:s, s:o, s:i}", "service", "dispatch", "class", class_name,
@@ -402,10 +409,10 @@
 		      const char *request_id, const char *token)
 {
 	return harness_call(harness_caller_port(h, proxy), "/v1/statement",
-			    statement("assign",
-				      "INSERT INTO records (key, value) VALUES ($1, $2) "
-				      "ON CONFLICT (key) DO UPDATE SET value = $2",
-				      json_pack("[s, s]", key, value), request_id, token),
+			    build_statement("assign",
+					    "INSERT INTO records (key, value) VALUES ($1, $2) "
+					    "ON CONFLICT (key) DO UPDATE SET value = $2",
+					    json_pack("[s, s]", key, value), request_id, token),
 			    NULL);
 }
 
@@ -413,12 +420,12 @@
 		     const char *token)
 {
 	return harness_call(harness_caller_port(h, proxy), "/v1/statement",
-			    statement(class_name, "SELECT value FROM records WHERE key = $1",
-				      json_pack("[s]", key), NULL, token),
+			    build_statement(class_name, "SELECT value FROM records WHERE key = $1",
+					    json_pack("[s]", key), NULL, token),
 			    NULL);
 }
 
-static void wait_for_operators(const harness_t *h, int proxy)
+static void wait_for_operator_port(const harness_t *h, int proxy)
 {
 	for (int i = 0; i < 200; i++) {
 		json_t *state = harness_call_operator(h, proxy, "/v1/state", NULL);
@@ -428,10 +435,9 @@
 			return;
 		g_usleep(50000);
 	}
-	g_error("proxy %d does not start", proxy);
+	g_error("proxy %d did not answer at its operators' port after 200 attempts", proxy);
 }
 
-/* What the platform lists, with the VM of one member leaving (-1: none). */
 void harness_set_vms(const harness_t *h, int leaving_member)
 {
 	json_t *vms = json_array();
@@ -472,13 +478,13 @@
 			return;
 		g_usleep(50000);
 	}
-	g_error("no write goes through proxy %d", proxy);
+	g_error("no write succeeded through proxy %d after 100 attempts", proxy);
 }
 
 harness_t *harness_start_fleet(int proxies, int lag_ms)
 {
 	harness_t *h = harness_start(lag_ms);
-	char *table = table_text(h);
+	char *table = format_table(h);
 	char *path = g_build_filename(h->dir, "table.json", NULL);
 	char *printed = NULL;
 	int code = -1;
@@ -487,10 +493,10 @@
 	for (int i = 0; i < proxies; i++)
 		harness_start_proxy(h, i, NULL);
 	for (int i = 0; i < proxies; i++)
-		wait_for_operators(h, i);
+		wait_for_operator_port(h, i);
 	harness_set_vms(h, -1);
 	write_file(h, "table.json", table);
-	/* Refused until the proxies have heard each other. */
+	/* Proxy 0 refuses the edit until it has received messages from most of the fleet. */
 	for (int i = 0; i < 50 && code != 0; i++) {
 		g_free(printed);
 		code = harness_run_ctl(h, 0, &printed, "table", "apply", path, NULL);
@@ -506,9 +512,9 @@
 	return h;
 }
 
-static json_t *dump_group(const harness_t *h, int ask)
+static json_t *get_group_state(const harness_t *h, int proxy)
 {
-	json_t *state = harness_call_operator(h, ask, "/v1/state", NULL);
+	json_t *state = harness_call_operator(h, proxy, "/v1/state", NULL);
 	json_t *core = json_object_get(state, "core");
 	json_t *group = json_object_get(json_object_get(core, "groups"), "callout-1");
 
@@ -517,9 +523,9 @@
 	return group;
 }
 
-int harness_find_home(const harness_t *h, int ask)
+int harness_find_home(const harness_t *h, int proxy)
 {
-	json_t *group = dump_group(h, ask);
+	json_t *group = get_group_state(h, proxy);
 	const char *name =
 		json_string_value(json_array_get(json_object_get(group, "served_by"), 0));
 	int home = name != NULL ? atoi(name + 1) : -1;
--- a/tests/site.c
+++ b/tests/site.c
@@ -16,8 +16,8 @@
 
 #include "harness.h"
 
-#define READY_TIMEOUT	20000
-#define RECEIVE_TIMEOUT 10000
+#define READY_TIMEOUT_MS   20000
+#define RECEIVE_TIMEOUT_MS 10000
 
 static int caller_port(const site_harness_t *site, int proxy)
 {
@@ -68,7 +68,7 @@
 	return path;
 }
 
-static void launch(site_harness_t *site, int proxy, int stdout_fd)
+static void spawn_proxy(site_harness_t *site, int proxy, int stdout_fd)
 {
 	char *config = settings_path(site, proxy);
 	char *log = log_path(site, proxy);
@@ -89,13 +89,13 @@
 	char *config = settings_path(site, proxy);
 
 	write_settings(site, proxy, config);
-	launch(site, proxy, stdout_fd);
+	spawn_proxy(site, proxy, stdout_fd);
 	g_free(config);
 }
 
 void site_restart_proxy(site_harness_t *site, int proxy)
 {
-	launch(site, proxy, -1);
+	spawn_proxy(site, proxy, -1);
 }
 
 site_harness_t *site_start(int proxies)
@@ -140,7 +140,7 @@
 	g_free(site);
 }
 
-static size_t on_body(char *data, size_t size, size_t count, void *ptr)
+static size_t append_body(char *data, size_t size, size_t count, void *ptr)
 {
 	if (ptr != NULL)
 		g_string_append_len(ptr, data, (gssize)(size * count));
@@ -157,7 +157,7 @@
 
 	curl_easy_setopt(curl, CURLOPT_URL, url);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, 5000L);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_body);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, body);
 	if (curl_easy_perform(curl) == CURLE_OK)
 		curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
@@ -202,13 +202,13 @@
 		ssize_t n = send(caller->fd, bytes, len, MSG_NOSIGNAL);
 
 		if (n <= 0)
-			return; /* the other side has closed; receiving shows it */
+			return; /* the proxy has closed; the next receive returns that */
 		bytes += n;
 		len -= (size_t)n;
 	}
 }
 
-/* Length of the buffer up to the end of the first READY line, 0 if it is not there yet. */
+/* Length of the first reply, up to the end of its READY line; 0 if it is incomplete. */
 static size_t reply_length(const site_caller_t *caller)
 {
 	const char *at = caller->buffer;
@@ -226,7 +226,7 @@
 	return 0;
 }
 
-static char *take(site_caller_t *caller, size_t len)
+static char *take_bytes(site_caller_t *caller, size_t len)
 {
 	char *text = g_strndup(caller->buffer, len);
 
@@ -244,12 +244,12 @@
 		ssize_t n;
 
 		if (len != 0)
-			return take(caller, len);
-		g_assert_cmpint(poll(&ready, 1, RECEIVE_TIMEOUT), ==, 1);
+			return take_bytes(caller, len);
+		g_assert_cmpint(poll(&ready, 1, RECEIVE_TIMEOUT_MS), ==, 1);
 		n = recv(caller->fd, caller->buffer + caller->len,
 			 sizeof(caller->buffer) - caller->len, 0);
 		if (n <= 0)
-			return take(caller, caller->len);
+			return take_bytes(caller, caller->len);
 		caller->len += (size_t)n;
 	}
 }
@@ -278,8 +278,11 @@
 	return site_receive_reply(caller);
 }
 
-/* A fleet that starts for the first time has no primary on its roster yet. */
-static bool takes_writes(const site_harness_t *site, int proxy)
+/*
+ * A proxy can be ready before writes succeed: the roster of a fleet that starts for the first time
+ * names no primary yet.
+ */
+static bool accepts_writes(const site_harness_t *site, int proxy)
 {
 	site_caller_t *caller = site_open_session(site, proxy, "jobs");
 	char *reply = site_query(caller, "WRITE warm up");
@@ -292,10 +295,10 @@
 
 void site_wait_until_ready(const site_harness_t *site, int proxy)
 {
-	gint64 end = g_get_monotonic_time() + READY_TIMEOUT * 1000;
+	gint64 end = g_get_monotonic_time() + READY_TIMEOUT_MS * 1000;
 
 	while (site_http_get(site, proxy, true, "/ready", NULL) != 200 ||
-	       !takes_writes(site, proxy)) {
+	       !accepts_writes(site, proxy)) {
 		g_assert_cmpint(g_get_monotonic_time(), <, end);
 		g_usleep(50000);
 	}
