--- a/tests/fake_db.c
+++ b/tests/fake_db.c
@@ -7,11 +7,11 @@
 
 #include <talloc.h>
 
-/* Until an old primary that reaches the new one becomes its replica. */
-#define DEMOTE_AFTER (1 * USEC_PER_SEC)
+/* Time after a promotion until a superseded primary becomes a replica of the new one. */
+#define DEMOTE_DELAY (1 * USEC_PER_SEC)
 #define REPLY_MAX    512
-/* In the queue of a session whose connection has been taken. */
-#define OPENED "START"
+/* Queued by an accepted START; the session is confirmed when its connect time is over. */
+#define CONNECT_LINE "START"
 
 typedef struct write {
 	char item[40];
@@ -19,16 +19,16 @@
 	char id[40];
 } write_t;
 
-typedef struct shape {
+typedef struct prepared {
 	list_t node;
 	char name[40];
 	char shape[40];
 	bool writes;
-} shape_t;
+} prepared_t;
 
 typedef enum { SESSION_NEW, SESSION_IDLE, SESSION_TX, SESSION_FAILED } session_state_t;
 
-/* Longest values of a session, bytes: more than a proxy lets one have. */
+/* Size of the values that a session has set, bytes; larger than the limit that a proxy enforces. */
 #define VALUES_MAX 1024
 
 struct fake_session {
@@ -36,20 +36,20 @@
 	fake_reply_t reply;
 	void *data;
 	session_state_t state;
-	char who[40]; /* the customer that it is for */
+	char customer[40]; /* from START */
 	bool tx_read_only;
 	uint64_t tx;
 	write_t *writes;
 	size_t write_count;
 	char values[VALUES_MAX];
-	char after[24]; /* of the statement that runs */
-	char shape[40]; /* the same */
-	list_t shapes;
-	list_t queue; /* line_t that wait for their turn */
+	char min_position[24]; /* of the running statement, "" for none */
+	char shape[40];	       /* of the prepared statement that runs, "" for none */
+	list_t prepared;
+	list_t queue; /* of line_t, in order of arrival */
 	run_timer_t timer;
-	bool busy;
-	bool closed; /* the other side has gone while a statement ran */
-	bool broken; /* the connection breaks before the answer is sent */
+	bool busy;	    /* the timer runs for the first line of the queue */
+	bool peer_closed;   /* the client closed while a statement ran */
+	bool reset_pending; /* the connection is closed in place of the reply */
 	list_t node;
 };
 
@@ -58,7 +58,7 @@
 	char *text;
 } line_t;
 
-static usec_t now_of(const fake_db_t *db)
+static usec_t db_now(const fake_db_t *db)
 {
 	return clock_now(db->clock);
 }
@@ -67,34 +67,37 @@
 
 fake_member_t *fake_db_primary(fake_db_t *db)
 {
-	fake_member_t *leader = NULL;
+	fake_member_t *primary = NULL;
 
 	for (size_t i = 0; i < db->config.members; i++) {
 		fake_member_t *member = &db->members[i];
 
-		if (member->primary && (leader == NULL || member->term > leader->term))
-			leader = member;
+		if (member->primary && (primary == NULL || member->term > primary->term))
+			primary = member;
 	}
-	return leader;
+	return primary;
 }
 
-/* Room for one more in an array of len items that grows by doubling. */
+/* True if an array of len items, allocated in powers of two, must grow for one more. */
 static bool is_full(size_t len)
 {
 	return (len & (len - 1)) == 0;
 }
 
-static void append(fake_member_t *member, const fake_entry_t *entry)
+static void append_entry(fake_member_t *member, const fake_entry_t *entry)
 {
-	/* The log shrinks and grows again, so its room is asked for, not computed. */
+	/* The log also shrinks, so its length does not tell how much is allocated. */
 	if (member->log_len >= talloc_array_length(member->log))
 		member->log = talloc_realloc(member->db, member->log, fake_entry_t,
 					     2 * member->log_len + 64);
 	member->log[member->log_len++] = *entry;
 }
 
-/* Logs that agree on an entry agree on all before it, so the search goes back from the end. */
-static size_t common_prefix(const fake_member_t *a, const fake_member_t *b)
+/*
+ * Number of equal entries at the start of both logs. Logs with an entry of the same number and term
+ * agree on all entries before it, so the search goes backwards from the shorter end.
+ */
+static size_t common_prefix_len(const fake_member_t *a, const fake_member_t *b)
 {
 	size_t n = a->log_len < b->log_len ? a->log_len : b->log_len;
 
@@ -103,30 +106,37 @@
 	return n;
 }
 
-/* Receive what the leader has sent long enough ago; rolled back where the logs differ. */
+/*
+ * Brings a member up to date: a superseded primary becomes a replica when its time has come, and a
+ * replica truncates its log where it differs from the primary's and receives the entries that are
+ * older than the receive delay.
+ */
 static void catch_up(fake_member_t *member)
 {
 	fake_db_t *db = member->db;
-	fake_member_t *leader = fake_db_primary(db);
-	usec_t now = now_of(db);
+	fake_member_t *primary = fake_db_primary(db);
+	usec_t now = db_now(db);
 
-	if (member->primary && member != leader && !member->isolated && !member->stopped &&
+	if (member->primary && member != primary && !member->isolated && !member->stopped &&
 	    now >= member->demote_at)
 		member->primary = false;
-	if (leader == NULL || member->primary || member->isolated || member->stopped ||
-	    leader->stopped)
+	if (primary == NULL || member->primary || member->isolated || member->stopped ||
+	    primary->stopped)
 		return;
-	member->log_len = common_prefix(member, leader);
-	member->term = leader->term;
-	while (member->log_len < leader->log_len &&
-	       leader->log[member->log_len].at + db->config.receive_delay <= now)
-		append(member, &leader->log[member->log_len]);
+	member->log_len = common_prefix_len(member, primary);
+	member->term = primary->term;
+	while (member->log_len < primary->log_len &&
+	       primary->log[member->log_len].at + db->config.receive_delay <= now)
+		append_entry(member, &primary->log[member->log_len]);
 }
 
-/* A replica that falls behind stays where it is; it never takes back what it has applied. */
+/*
+ * Number of entries that reads on the member see. An increase of the lag of a replica delays later
+ * entries but never hides those that the replica has already applied.
+ */
 static size_t applied_len(fake_member_t *member)
 {
-	usec_t now = now_of(member->db);
+	usec_t now = db_now(member->db);
 	size_t len = member->log_len;
 
 	if (member->primary)
@@ -149,7 +159,7 @@
 	return count;
 }
 
-static const char *value_in(const fake_member_t *member, size_t len, const char *item)
+static const char *find_value(const fake_member_t *member, size_t len, const char *item)
 {
 	for (size_t i = len; i > 0; i--) {
 		if (strcmp(member->log[i - 1].item, item) == 0)
@@ -160,7 +170,7 @@
 
 const char *fake_member_last_value(fake_member_t *member, const char *item)
 {
-	return value_in(member, member->log_len, item);
+	return find_value(member, member->log_len, item);
 }
 
 fake_member_t *fake_db_find_member(fake_db_t *db, const char *id)
@@ -174,7 +184,7 @@
 
 /* --- replies --- */
 
-static const char *state_word(const fake_session_t *session)
+static const char *session_state_text(const fake_session_t *session)
 {
 	if (session->state == SESSION_TX)
 		return "T";
@@ -193,11 +203,12 @@
 			 member->log[len - 1].term, member->log[len - 1].number);
 	else
 		snprintf(position, sizeof(position), "%" PRIu64 ".0", member->term);
-	snprintf(text, sizeof(text), "%sREADY %s %s\r\n", result, state_word(session), position);
+	snprintf(text, sizeof(text), "%sREADY %s %s\r\n", result, session_state_text(session),
+		 position);
 	session->reply(session->data, text, strlen(text));
 }
 
-static void fail(fake_session_t *session, const char *code)
+static void reply_error(fake_session_t *session, const char *code)
 {
 	char text[64];
 
@@ -207,7 +218,7 @@
 	send_reply(session, text);
 }
 
-static void signature(const fake_member_t *member, char *text, size_t size)
+static void format_signature(const fake_member_t *member, char *text, size_t size)
 {
 	if (member->db->config.numbered_signatures)
 		snprintf(text, size, "%s.%" PRIu64, member->id, member->db->run_number);
@@ -215,13 +226,13 @@
 		snprintf(text, size, "%s", member->id);
 }
 
-static void done(fake_session_t *session, const char *row, bool is_signed)
+static void reply_done(fake_session_t *session, const char *row, bool is_signed)
 {
 	char text[REPLY_MAX / 2];
 	char name[80] = "-";
 
 	if (is_signed)
-		signature(session->member, name, sizeof(name));
+		format_signature(session->member, name, sizeof(name));
 	snprintf(text, sizeof(text), "%s%s%sDONE %s\r\n", row != NULL ? "ROW " : "",
 		 row != NULL ? row : "", row != NULL ? "\r\n" : "", name);
 	send_reply(session, text);
@@ -229,27 +240,27 @@
 
 /* --- statements --- */
 
-static void keep_run(fake_db_t *db, const fake_run_t *run)
+static void append_run(fake_db_t *db, const fake_run_t *run)
 {
 	if (is_full(db->run_count))
 		db->runs = talloc_realloc(db, db->runs, fake_run_t, 2 * db->run_count + 1);
 	db->runs[db->run_count++] = *run;
 }
 
-static void record(fake_session_t *session, const char *id, const char *text, const char *row)
+static void record_run(fake_session_t *session, const char *id, const char *text, const char *row)
 {
 	fake_member_t *member = session->member;
 	fake_db_t *db = member->db;
 	fake_run_t run = {
-		.at = now_of(db), .tx_number = session->tx, .run_number = ++db->run_number};
+		.at = db_now(db), .tx_number = session->tx, .run_number = ++db->run_number};
 	size_t len = applied_len(member);
 
 	snprintf(run.id, sizeof(run.id), "%s", id);
 	snprintf(run.text, sizeof(run.text), "%s", text);
 	snprintf(run.member, sizeof(run.member), "%s", member->id);
-	snprintf(run.customer, sizeof(run.customer), "%s", session->who);
+	snprintf(run.customer, sizeof(run.customer), "%s", session->customer);
 	snprintf(run.values, sizeof(run.values), "%.95s", session->values);
-	snprintf(run.min_position, sizeof(run.min_position), "%s", session->after);
+	snprintf(run.min_position, sizeof(run.min_position), "%s", session->min_position);
 	snprintf(run.shape, sizeof(run.shape), "%s", session->shape);
 	snprintf(run.row, sizeof(run.row), "%s", row);
 	if (len != 0) {
@@ -259,7 +270,7 @@
 	if (db->events != NULL)
 		db->events->ops->ran(db->events, &run);
 	else
-		keep_run(db, &run);
+		append_run(db, &run);
 }
 
 static void add_write(fake_session_t *session, const char *id, const char *item, const char *data)
@@ -274,7 +285,7 @@
 	snprintf(write->id, sizeof(write->id), "%s", id);
 }
 
-static void rollback(fake_session_t *session)
+static void discard_transaction(fake_session_t *session)
 {
 	session->write_count = 0;
 	session->tx = 0;
@@ -282,23 +293,23 @@
 	session->state = SESSION_IDLE;
 }
 
-static void commit(fake_session_t *session)
+static void commit_writes(fake_session_t *session)
 {
 	fake_member_t *member = session->member;
 
 	for (size_t i = 0; i < session->write_count; i++) {
 		fake_entry_t entry = {.term = member->term,
 				      .number = member->log_len + 1,
-				      .at = now_of(member->db)};
+				      .at = db_now(member->db)};
 
 		snprintf(entry.id, sizeof(entry.id), "%s", session->writes[i].id);
 		snprintf(entry.item, sizeof(entry.item), "%s", session->writes[i].item);
 		snprintf(entry.data, sizeof(entry.data), "%s", session->writes[i].data);
-		append(member, &entry);
+		append_entry(member, &entry);
 		if (member->db->events != NULL)
 			member->db->events->ops->committed(member->db->events, member, &entry);
 	}
-	rollback(session);
+	discard_transaction(session);
 }
 
 static const char *read_value(const fake_session_t *session, const char *item)
@@ -309,12 +320,12 @@
 		if (strcmp(session->writes[i - 1].item, item) == 0)
 			return session->writes[i - 1].data;
 	}
-	value = value_in(session->member, applied_len(session->member), item);
+	value = find_value(session->member, applied_len(session->member), item);
 	return value != NULL ? value : "none";
 }
 
-/* Returns true if the log that has been applied holds the position. */
-static bool holds(fake_member_t *member, const char *position)
+/* True if the position, "TERM.NUMBER", is in the applied part of the log. */
+static bool has_applied(fake_member_t *member, const char *position)
 {
 	uint64_t term = strtoull(position, NULL, 10);
 	const char *dot = strchr(position, '.');
@@ -329,8 +340,8 @@
 {
 	const char *value = read_value(session, item);
 
-	record(session, id, text, value);
-	done(session, value, true);
+	record_run(session, id, text, value);
+	reply_done(session, value, true);
 }
 
 static void run_write(fake_session_t *session, const char *id, const char *text, char *item)
@@ -338,65 +349,65 @@
 	char *data = strchr(item, ' ');
 
 	if (!session->member->primary || session->tx_read_only) {
-		fail(session, "READONLY");
+		reply_error(session, "READONLY");
 		return;
 	}
 	if (data != NULL)
 		*data++ = '\0';
-	record(session, id, text, "");
+	record_run(session, id, text, "");
 	add_write(session, id, item, data != NULL ? data : "");
 	if (session->state == SESSION_IDLE)
-		commit(session);
-	done(session, NULL, true);
+		commit_writes(session);
+	reply_done(session, NULL, true);
 }
 
-static shape_t *find_shape(const fake_session_t *session, const char *name)
+static prepared_t *find_prepared(const fake_session_t *session, const char *name)
 {
-	list_for_each (it, &session->shapes) {
-		shape_t *shape = list_entry(it, shape_t, node);
+	list_for_each (it, &session->prepared) {
+		prepared_t *prepared = list_entry(it, prepared_t, node);
 
-		if (strcmp(shape->name, name) == 0)
-			return shape;
+		if (strcmp(prepared->name, name) == 0)
+			return prepared;
 	}
 	return NULL;
 }
 
-static void run_exec(fake_session_t *session, const char *id, const char *text, char *rest)
+static void run_prepared(fake_session_t *session, const char *id, const char *text, char *rest)
 {
 	char *args = strchr(rest, ' ');
-	const shape_t *shape;
+	const prepared_t *prepared;
 
 	if (args != NULL)
 		*args++ = '\0';
-	shape = find_shape(session, rest);
-	if (shape != NULL)
-		snprintf(session->shape, sizeof(session->shape), "%s", shape->shape);
-	if (shape == NULL || args == NULL)
-		fail(session, "NOSTMT");
-	else if (shape->writes)
+	prepared = find_prepared(session, rest);
+	if (prepared != NULL)
+		snprintf(session->shape, sizeof(session->shape), "%s", prepared->shape);
+	if (prepared == NULL || args == NULL)
+		reply_error(session, "NOSTMT");
+	else if (prepared->writes)
 		run_write(session, id, text, args);
 	else
 		run_read(session, id, text, args);
 }
 
-static void prepare(fake_session_t *session, char *rest)
+static void run_prepare(fake_session_t *session, char *rest)
 {
 	char *mode = strchr(rest, ' ');
 	const char *words = mode != NULL ? strchr(mode + 1, ' ') : NULL;
-	shape_t *shape = talloc_zero(session, shape_t);
+	prepared_t *prepared = talloc_zero(session, prepared_t);
 
 	if (words != NULL)
-		snprintf(shape->shape, sizeof(shape->shape), "%s", words + 1);
+		snprintf(prepared->shape, sizeof(prepared->shape), "%s", words + 1);
 	if (mode != NULL)
 		*mode++ = '\0';
-	snprintf(shape->name, sizeof(shape->name), "%s", rest);
-	shape->writes = mode != NULL && strncmp(mode, "WRITE", 5) == 0;
-	list_add_before(session->shapes.next, &shape->node);
-	done(session, NULL, false);
+	snprintf(prepared->name, sizeof(prepared->name), "%s", rest);
+	prepared->writes = mode != NULL && strncmp(mode, "WRITE", 5) == 0;
+	list_add_before(session->prepared.next, &prepared->node);
+	reply_done(session, NULL, false);
 }
 
-/* Take the entry of this name out of "name value;name value;". */
-static void unset_value(char *values, const char *name, size_t len)
+/* Removes the entry of this name from a text of the form "name value;name value;". */
+static void remove_value(char *values, const char *name, size_t len)
 {
 	char *at = values;
 
@@ -410,45 +421,45 @@
 	}
 }
 
-static void set_value(fake_session_t *session, const char *rest)
+static void run_set(fake_session_t *session, const char *rest)
 {
 	size_t len;
 
-	unset_value(session->values, rest, strcspn(rest, " "));
+	remove_value(session->values, rest, strcspn(rest, " "));
 	len = strlen(session->values);
 	if (len + strlen(rest) + 2 > sizeof(session->values)) {
-		fail(session, "MALFORMED");
+		reply_error(session, "MALFORMED");
 		return;
 	}
 	snprintf(session->values + len, sizeof(session->values) - len, "%s;", rest);
-	done(session, NULL, false);
+	reply_done(session, NULL, false);
 }
 
-static void begin(fake_session_t *session, bool read_only)
+static void run_begin(fake_session_t *session, bool read_only)
 {
 	if (!read_only && !session->member->primary) {
-		fail(session, "READONLY");
+		reply_error(session, "READONLY");
 		return;
 	}
 	session->state = SESSION_TX;
 	session->tx_read_only = read_only;
 	session->tx = ++session->member->db->next_tx;
-	done(session, NULL, false);
+	reply_done(session, NULL, false);
 }
 
 static void run_commit(fake_session_t *session, const char *id)
 {
 	if (session->write_count != 0 && !session->member->primary) {
-		rollback(session);
-		fail(session, "READONLY");
+		discard_transaction(session);
+		reply_error(session, "READONLY");
 		return;
 	}
-	record(session, id, "COMMIT", "");
-	commit(session);
-	done(session, NULL, true);
+	record_run(session, id, "COMMIT", "");
+	commit_writes(session);
+	reply_done(session, NULL, true);
 }
 
-static void status(fake_session_t *session)
+static void reply_status(fake_session_t *session)
 {
 	fake_member_t *member = session->member;
 	char row[128];
@@ -457,10 +468,10 @@
 	snprintf(row, sizeof(row), "%s %" PRIu64 " %" PRIu64 ".%zu 0 0 0 %zu",
 		 member->primary ? "primary" : "replica", member->term, term, member->log_len,
 		 member->sessions);
-	done(session, row, false);
+	reply_done(session, row, false);
 }
 
-static const char *after(const char *text, const char *word)
+static const char *skip_prefix(const char *text, const char *word)
 {
 	size_t len = strlen(word);
 
@@ -469,52 +480,53 @@
 	return text + len;
 }
 
-static void run_text(fake_session_t *session, const char *id, char *text)
+static void run_statement(fake_session_t *session, const char *id, char *text)
 {
 	const char *whole = text;
 	char *rest;
 
-	session->after[0] = '\0';
+	session->min_position[0] = '\0';
 	session->shape[0] = '\0';
-	if ((rest = (char *)after(text, "AFTER ")) != NULL) {
+	if ((rest = (char *)skip_prefix(text, "AFTER ")) != NULL) {
 		text = strchr(rest, ' ');
 		*text++ = '\0';
-		snprintf(session->after, sizeof(session->after), "%s", rest);
-		if (!holds(session->member, rest)) {
-			fail(session, "LAGGING");
+		snprintf(session->min_position, sizeof(session->min_position), "%s", rest);
+		if (!has_applied(session->member, rest)) {
+			reply_error(session, "LAGGING");
 			return;
 		}
 		whole = text;
 	}
 	if (strcmp(text, "BEGIN READ") == 0)
-		begin(session, true);
+		run_begin(session, true);
 	else if (strcmp(text, "BEGIN") == 0)
-		begin(session, false);
+		run_begin(session, false);
 	else if (strcmp(text, "COMMIT") == 0)
 		run_commit(session, id);
 	else if (strcmp(text, "ROLLBACK") == 0)
-		rollback(session), done(session, NULL, false);
+		discard_transaction(session), reply_done(session, NULL, false);
 	else if (strcmp(text, "RESET") == 0)
-		session->values[0] = '\0', list_init(&session->shapes), done(session, NULL, false);
+		session->values[0] = '\0', list_init(&session->prepared),
+		reply_done(session, NULL, false);
 	else if (strcmp(text, "STATUS") == 0)
-		status(session);
-	else if ((rest = (char *)after(text, "READ ")) != NULL)
+		reply_status(session);
+	else if ((rest = (char *)skip_prefix(text, "READ ")) != NULL)
 		run_read(session, id, whole, rest);
-	else if ((rest = (char *)after(text, "WRITE ")) != NULL)
+	else if ((rest = (char *)skip_prefix(text, "WRITE ")) != NULL)
 		run_write(session, id, talloc_strdup(session, whole), rest);
-	else if ((rest = (char *)after(text, "EXEC ")) != NULL)
-		run_exec(session, id, talloc_strdup(session, whole), rest);
-	else if ((rest = (char *)after(text, "PREPARE ")) != NULL)
-		prepare(session, rest);
-	else if ((rest = (char *)after(text, "SET ")) != NULL)
-		set_value(session, rest);
+	else if ((rest = (char *)skip_prefix(text, "EXEC ")) != NULL)
+		run_prepared(session, id, talloc_strdup(session, whole), rest);
+	else if ((rest = (char *)skip_prefix(text, "PREPARE ")) != NULL)
+		run_prepare(session, rest);
+	else if ((rest = (char *)skip_prefix(text, "SET ")) != NULL)
+		run_set(session, rest);
 	else
-		fail(session, "MALFORMED");
+		reply_error(session, "MALFORMED");
 }
 
-/* --- the turn of a line --- */
+/* --- scheduling of lines --- */
 
-/* Reads, writes and commits occupy a slot; line is "QUERY id [AFTER position] text". */
+/* True for reads, writes and commits. line is "QUERY id [AFTER position] text". */
 static bool takes_slot(const char *line)
 {
 	static const char *const words[] = {"READ ", "WRITE ", "EXEC ", "COMMIT"};
@@ -530,7 +542,7 @@
 	return false;
 }
 
-static void next_line(fake_session_t *session);
+static void schedule_next_line(fake_session_t *session);
 
 static void ignore_reply(void *data, const char *text, size_t len)
 {
@@ -539,7 +551,8 @@
 	(void)len;
 }
 
-static bool fails_now(fake_member_t *member)
+/* Spreads the failures evenly: true in fail_percent of 100 calls. */
+static bool should_fail_next(fake_member_t *member)
 {
 	member->fail_accumulator += member->fail_percent;
 	if (member->fail_accumulator < 100)
@@ -548,64 +561,65 @@
 	return true;
 }
 
-static void run_line(fake_session_t *session, char *text)
+static void run_query(fake_session_t *session, char *text)
 {
 	fake_member_t *member = session->member;
 	char *id = text + strlen("QUERY ");
 	char *body = strchr(id, ' ');
 	fake_reply_t reply = session->reply;
 	bool uses_slot = takes_slot(text);
-	bool counts;
+	bool from_caller; /* the id "-" marks statements of a proxy itself, which are not disturbed
+			   */
 
 	if (body == NULL) {
-		fail(session, "MALFORMED");
+		reply_error(session, "MALFORMED");
 		return;
 	}
 	*body++ = '\0';
 	catch_up(member);
-	counts = strcmp(id, "-") != 0;
+	from_caller = strcmp(id, "-") != 0;
 	if (member->refuse_begins != 0 && strncmp(body, "BEGIN", strlen("BEGIN")) == 0) {
 		member->refuse_begins--;
-		fail(session, "BUSY");
+		reply_error(session, "BUSY");
 		return;
 	}
-	if (counts && uses_slot && member->refuse_runs != 0) {
+	if (from_caller && uses_slot && member->refuse_runs != 0) {
 		member->refuse_runs--;
-		fail(session, "BUSY");
+		reply_error(session, "BUSY");
 		return;
 	}
-	if (counts && fails_now(member)) {
+	if (from_caller && should_fail_next(member)) {
 		if (member->fail_code == NULL)
-			record(session, id, body, "");
-		fail(session, member->fail_code != NULL ? member->fail_code : "FAILED");
+			record_run(session, id, body, "");
+		reply_error(session, member->fail_code != NULL ? member->fail_code : "FAILED");
 		return;
 	}
-	if (counts && member->reset_answers != 0) {
+	if (from_caller && member->reset_answers != 0) {
 		member->reset_answers--;
 		session->reply = ignore_reply;
-		run_text(session, id, body);
+		run_statement(session, id, body);
 		session->reply = reply;
-		session->broken = true;
+		session->reset_pending = true;
 		return;
 	}
-	if (counts && member->lose_answers != 0) {
+	if (from_caller && member->lose_answers != 0) {
 		member->lose_answers--;
 		session->reply = ignore_reply;
-		run_text(session, id, body);
+		run_statement(session, id, body);
 		session->reply = reply;
 		return;
 	}
-	run_text(session, id, body);
+	run_statement(session, id, body);
 }
 
-static void release(fake_session_t *session)
+static void free_session(fake_session_t *session)
 {
 	timers_cancel(session->member->db->timers, &session->timer);
 	session->member->sessions--;
 	talloc_free(session);
 }
 
-static void on_turn(run_timer_t *timer, usec_t now)
+static void on_line_due(run_timer_t *timer, usec_t now)
 {
 	fake_session_t *session = list_entry(timer, fake_session_t, timer);
 	line_t *line = list_entry(session->queue.next, line_t, node);
@@ -613,36 +627,40 @@
 	(void)now;
 	session->busy = false;
 	list_del(&line->node);
-	if (session->closed)
+	if (session->peer_closed)
 		session->reply = ignore_reply;
 	if (session->member->stopped) {
 		session->reply(session->data, NULL, 0);
-		release(session);
+		free_session(session);
 		return;
 	}
-	if (strcmp(line->text, OPENED) == 0)
+	if (strcmp(line->text, CONNECT_LINE) == 0)
 		send_reply(session, "");
 	else
-		run_line(session, line->text);
+		run_query(session, line->text);
 	talloc_free(line);
-	if (session->broken && !session->closed)
+	if (session->reset_pending && !session->peer_closed)
 		session->reply(session->data, NULL, 0);
-	if (session->closed || session->broken)
-		release(session);
+	if (session->peer_closed || session->reset_pending)
+		free_session(session);
 	else
-		next_line(session);
+		schedule_next_line(session);
 }
 
-/* When a slot is free for text, which then occupies it. */
-static usec_t take_slot(fake_member_t *member, const char *text)
+/*
+ * Occupies the slot that is free first for the line. Returns the time at which the line is done,
+ * the current time if it needs no slot.
+ */
+static usec_t reserve_slot(fake_member_t *member, const char *text)
 {
 	const fake_db_config_t *config = &member->db->config;
-	usec_t work = strcmp(text, OPENED) == 0 ? config->connect_time
-						: config->service_time + member->extra_service_time;
-	usec_t now = now_of(member->db);
+	usec_t work = strcmp(text, CONNECT_LINE) == 0
+			      ? config->connect_time
+			      : config->service_time + member->extra_service_time;
+	usec_t now = db_now(member->db);
 	size_t best = 0;
 
-	if (work == 0 || (strcmp(text, OPENED) != 0 && !takes_slot(text)))
+	if (work == 0 || (strcmp(text, CONNECT_LINE) != 0 && !takes_slot(text)))
 		return now;
 	for (size_t i = 1; i < member->db->config.slots; i++) {
 		if (member->busy_until[i] < member->busy_until[best])
@@ -654,14 +672,15 @@
 	return member->busy_until[best];
 }
 
-static void next_line(fake_session_t *session)
+static void schedule_next_line(fake_session_t *session)
 {
 	if (session->busy || list_empty(&session->queue))
 		return;
 	session->busy = true;
-	timers_arm(session->member->db->timers, &session->timer,
-		   take_slot(session->member, list_entry(session->queue.next, line_t, node)->text),
-		   on_turn);
+	timers_arm(
+		session->member->db->timers, &session->timer,
+		reserve_slot(session->member, list_entry(session->queue.next, line_t, node)->text),
+		on_line_due);
 }
 
 static void enqueue(fake_session_t *session, const char *text, size_t len)
@@ -670,10 +689,10 @@
 
 	line->text = talloc_strndup(line, text, len);
 	list_add_tail(&session->queue, &line->node);
-	next_line(session);
+	schedule_next_line(session);
 }
 
-static void start(fake_session_t *session, const char *line)
+static void handle_start(fake_session_t *session, const char *line)
 {
 	fake_member_t *member = session->member;
 	char service[40] = "";
@@ -692,10 +711,10 @@
 		return;
 	}
 	session->state = SESSION_IDLE;
-	snprintf(session->who, sizeof(session->who), "%s", who);
+	snprintf(session->customer, sizeof(session->customer), "%s", who);
 	catch_up(member);
 	member->sessions_opened++;
-	enqueue(session, OPENED, strlen(OPENED));
+	enqueue(session, CONNECT_LINE, strlen(CONNECT_LINE));
 }
 
 void fake_session_receive_line(fake_session_t *session, const char *text, size_t len)
@@ -703,7 +722,7 @@
 	if (session->state == SESSION_NEW) {
 		char *copy = talloc_strndup(NULL, text, len);
 
-		start(session, copy);
+		handle_start(session, copy);
 		talloc_free(copy);
 		return;
 	}
@@ -720,7 +739,7 @@
 	session->member = member;
 	session->reply = reply;
 	session->data = data;
-	list_init(&session->shapes);
+	list_init(&session->prepared);
 	list_init(&session->queue);
 	member->sessions++;
 	return session;
@@ -734,18 +753,18 @@
 void fake_session_close(fake_session_t *session)
 {
 	session->reply = ignore_reply;
-	/* What runs now is finished; a transaction is rolled back. */
+	/* A running statement is completed first. An open transaction ends with the session. */
 	if (session->busy)
-		session->closed = true;
+		session->peer_closed = true;
 	else
-		release(session);
+		free_session(session);
 }
 
-/* --- trouble and change --- */
+/* --- stops, restarts, promotions --- */
 
 void fake_member_stop(fake_member_t *member)
 {
-	/* What it has sent by now arrives. */
+	/* Entries that the replicas would have received by now are not lost with the member. */
 	for (size_t i = 0; i < member->db->config.members; i++)
 		catch_up(&member->db->members[i]);
 	member->stopped = true;
@@ -753,12 +772,12 @@
 
 void fake_member_start(fake_member_t *member)
 {
-	fake_member_t *leader;
+	fake_member_t *primary;
 
 	member->stopped = false;
-	leader = fake_db_primary(member->db);
-	/* Back with its log, as a replica if another member was promoted. */
-	if (leader != member)
+	primary = fake_db_primary(member->db);
+	/* The member keeps its log; it is a replica if another member has been promoted. */
+	if (primary != member)
 		member->primary = false;
 	for (size_t i = 0; i < member->db->config.slots; i++)
 		member->busy_until[i] = 0;
@@ -782,7 +801,7 @@
 		return;
 	catch_up(member);
 	for (size_t i = 0; i < db->config.members; i++)
-		db->members[i].demote_at = now + DEMOTE_AFTER;
+		db->members[i].demote_at = now + DEMOTE_DELAY;
 	db->term++;
 	db->promoted_at = now;
 	member->term = db->term;
@@ -798,12 +817,12 @@
 	if (fake_db_primary(db) == member)
 		return true;
 	db->promote_target = member;
-	timers_arm(db->timers, &db->promote_timer, now_of(db) + db->config.promote_delay,
+	timers_arm(db->timers, &db->promote_timer, db_now(db) + db->config.promote_delay,
 		   on_promote);
 	return true;
 }
 
-static int destructor(fake_db_t *db)
+static int fake_db_destroy(fake_db_t *db)
 {
 	timers_cancel(db->timers, &db->promote_timer);
 	return 0;
@@ -827,6 +846,6 @@
 		member->busy_until = talloc_zero_array(db, usec_t, config->slots);
 		snprintf(member->id, sizeof(member->id), "%.16s-%zu", config->service, i);
 	}
-	talloc_set_destructor(db, destructor);
+	talloc_set_destructor(db, fake_db_destroy);
 	return db;
 }
