--- a/tests/pg_input.c
+++ b/tests/pg_input.c
@@ -26,7 +26,7 @@
 	return (guint32)at[0] << 24 | (guint32)at[1] << 16 | (guint32)at[2] << 8 | at[3];
 }
 
-static void take_bind(conn_t *conn, const guint8 *at)
+static void handle_bind(conn_t *conn, const guint8 *at)
 {
 	guint16 count;
 
@@ -51,7 +51,7 @@
 	pg_send_empty(conn, '2');
 }
 
-static void describe(conn_t *conn)
+static void handle_describe(conn_t *conn)
 {
 	const pg_statement_t *statement = pg_statement_find(conn->sql);
 
@@ -63,7 +63,7 @@
 		pg_send_empty(conn, 'n');
 }
 
-static void simple_query(conn_t *conn, const char *sql)
+static void handle_simple_query(conn_t *conn, const char *sql)
 {
 	const pg_statement_t *statement = pg_statement_find(sql);
 
@@ -75,8 +75,8 @@
 	pg_send_ready(conn);
 }
 
-/* FALSE when the message has to be tried again later. */
-static gboolean take_message(conn_t *conn, char type, const guint8 *body)
+/* Returns FALSE if the message is blocked and must be handled again later. */
+static gboolean handle_message(conn_t *conn, char type, const guint8 *body)
 {
 	if (type == 'S') {
 		conn->skipping = FALSE;
@@ -84,7 +84,7 @@
 		return TRUE;
 	}
 	if (type == 'X') {
-		conn->dead = TRUE;
+		conn->closing = TRUE;
 		return TRUE;
 	}
 	if (conn->skipping)
@@ -96,15 +96,15 @@
 		pg_send_empty(conn, '1');
 		return TRUE;
 	case 'B':
-		take_bind(conn, body);
+		handle_bind(conn, body);
 		return TRUE;
 	case 'D':
-		describe(conn);
+		handle_describe(conn);
 		return TRUE;
 	case 'E':
 		return pg_statement_execute(conn);
 	case 'Q':
-		simple_query(conn, (const char *)body);
+		handle_simple_query(conn, (const char *)body);
 		return TRUE;
 	case 'C':
 		pg_send_empty(conn, '3');
@@ -118,28 +118,28 @@
 {
 	int n = 0;
 
-	for (guint i = 0; i < me.conns->len; i++) {
-		const conn_t *conn = me.conns->pdata[i];
+	for (guint i = 0; i < self.conns->len; i++) {
+		const conn_t *conn = self.conns->pdata[i];
 
-		n += !conn->dead && conn->kind == PEER_SQL;
+		n += !conn->closing && conn->kind == CONN_SQL;
 	}
 	return n;
 }
 
-static void let_in(conn_t *conn)
+static void accept_session(conn_t *conn)
 {
 	GByteArray *body = g_byte_array_new();
 	int count;
 
-	conn->kind = PEER_SQL;
+	conn->kind = CONN_SQL;
 	count = count_sql_conns();
-	if (count > me.max_conns) {
+	if (count > self.max_conns) {
 		pg_send_error(conn, "53300", "too many connections");
-		conn->dead = TRUE;
+		conn->closing = TRUE;
 		g_byte_array_unref(body);
 		return;
 	}
-	me.peak_conns = MAX(me.peak_conns, count);
+	self.peak_conns = MAX(self.peak_conns, count);
 	pg_put_u32(body, 0);
 	pg_send_message(conn, 'R', body);
 	g_byte_array_set_size(body, 0);
@@ -154,16 +154,16 @@
 	pg_send_ready(conn);
 }
 
-/* A number of milliseconds that the client asked for in its startup options. */
-static gint64 startup_option(const guint8 *data, guint32 len, const char *name)
+/* A time-out that the startup options of the client set, in microseconds; 0 for none. */
+static gint64 get_timeout_option_us(const guint8 *data, guint32 len, const char *name)
 {
 	const char *at = memmem(data, len, name, strlen(name));
 
 	return at != NULL ? g_ascii_strtoll(at + strlen(name), NULL, 10) * 1000 : 0;
 }
 
-/* The first message has no type. FALSE if it is not whole yet. */
-static gboolean take_startup(conn_t *conn)
+/* Handles a startup message, which has no type byte. Returns FALSE while it is incomplete. */
+static gboolean handle_startup(conn_t *conn)
 {
 	guint32 len;
 	guint32 code;
@@ -176,35 +176,36 @@
 		return FALSE;
 	code = get_u32(conn->in->data + 4);
 	text = g_strndup((const char *)conn->in->data + 8, len - 8);
-	conn->idle_limit = startup_option(conn->in->data, len, " idle_session_timeout=");
-	conn->idle_tx_limit =
-		startup_option(conn->in->data, len, " idle_in_transaction_session_timeout=");
+	conn->idle_timeout_us =
+		get_timeout_option_us(conn->in->data, len, " idle_session_timeout=");
+	conn->idle_tx_timeout_us =
+		get_timeout_option_us(conn->in->data, len, " idle_in_transaction_session_timeout=");
 	g_byte_array_remove_range(conn->in, 0, len);
 	if (code == CODE_SSL || code == CODE_GSS)
 		g_byte_array_append(conn->out, (const guint8 *)"N", 1);
-	else if (code == PG_CODE_REPLICA)
-		pg_replica_welcome(conn, text);
+	else if (code == PG_CODE_REPLICATION)
+		pg_replica_accept(conn, text);
 	else if (code == CODE_PROTOCOL)
-		let_in(conn);
+		accept_session(conn);
 	else
-		conn->dead = TRUE;
+		conn->closing = TRUE;
 	g_free(text);
 	return TRUE;
 }
 
-void pg_input_take(conn_t *conn)
+void pg_input_process(conn_t *conn)
 {
-	while (!conn->dead && conn->kind == PEER_NEW && pg_now_us() >= conn->ready_at) {
-		if (!take_startup(conn))
+	while (!conn->closing && conn->kind == CONN_NEW && pg_now_us() >= conn->accept_at) {
+		if (!handle_startup(conn))
 			return;
 	}
-	while (!conn->dead && conn->kind == PEER_SQL && conn->in->len >= 5) {
+	while (!conn->closing && conn->kind == CONN_SQL && conn->in->len >= 5) {
 		guint32 len = get_u32(conn->in->data + 1);
 
 		if (conn->in->len < len + 1)
 			return;
 		if (conn->blocked ||
-		    !take_message(conn, (char)conn->in->data[0], conn->in->data + 5))
+		    !handle_message(conn, (char)conn->in->data[0], conn->in->data + 5))
 			return;
 		g_byte_array_remove_range(conn->in, 0, len + 1);
 	}
--- a/tests/pg_input.h
+++ b/tests/pg_input.h
@@ -1,7 +1,10 @@
-/* Messages of the PostgreSQL protocol from a client. */
+/* Parses and runs the messages of the PostgreSQL protocol that a client sends. */
 #pragma once
 
 #include "pg_state.h"
 
-/* Take up the whole messages that have come, as far as none of them waits. */
-void pg_input_take(conn_t *conn);
+/*
+ * Handles the complete messages in the input buffer, up to one that is blocked: it waits for a
+ * lock, a slot or the end of its service time, stays in the buffer and is handled again later.
+ */
+void pg_input_process(conn_t *conn);
--- a/tests/pg_log.c
+++ b/tests/pg_log.c
@@ -11,7 +11,7 @@
 static void apply_writes(const GPtrArray *writes)
 {
 	for (guint i = 0; i + 1 < writes->len; i += 2)
-		g_hash_table_replace(me.records, g_strdup(writes->pdata[i]),
+		g_hash_table_replace(self.records, g_strdup(writes->pdata[i]),
 				     g_strdup(writes->pdata[i + 1]));
 }
 
@@ -21,21 +21,21 @@
 
 	entry->term = term;
 	entry->writes = writes;
-	g_ptr_array_add(me.log, entry);
+	g_ptr_array_add(self.log, entry);
 	apply_writes(writes);
 }
 
 guint64 pg_log_last_term(void)
 {
-	return me.log->len > 0 ? ((entry_t *)me.log->pdata[me.log->len - 1])->term : 0;
+	return self.log->len > 0 ? ((entry_t *)self.log->pdata[self.log->len - 1])->term : 0;
 }
 
 void pg_log_truncate(guint64 lsn)
 {
-	if (lsn >= me.log->len)
+	if (lsn >= self.log->len)
 		return;
-	g_ptr_array_set_size(me.log, (gint)lsn);
-	g_hash_table_remove_all(me.records);
-	for (guint i = 0; i < me.log->len; i++)
-		apply_writes(((entry_t *)me.log->pdata[i])->writes);
+	g_ptr_array_set_size(self.log, (gint)lsn);
+	g_hash_table_remove_all(self.records);
+	for (guint i = 0; i < self.log->len; i++)
+		apply_writes(((entry_t *)self.log->pdata[i])->writes);
 }
--- a/tests/pg_log.h
+++ b/tests/pg_log.h
@@ -1,15 +1,16 @@
-/* The log of a stand-in, and the records that come of it. */
+/* Replication log of the stand-in for a backend server, and the records built from it. */
 #pragma once
 
 #include "pg_state.h"
 
 void pg_log_entry_free(void *ptr);
 
-/* Takes writes over: keys and values in turn. */
+/* Appends an entry and applies it to the records. Takes ownership of writes: key, value, key, ...
+ */
 void pg_log_append(guint64 term, GPtrArray *writes);
 
-/* 0 if the log is empty. */
+/* Term of the last entry, 0 if the log is empty. */
 guint64 pg_log_last_term(void);
 
-/* Forget what comes behind lsn. */
+/* Removes the entries after the first lsn ones and rebuilds the records. */
 void pg_log_truncate(guint64 lsn);
--- a/tests/pg_out.c
+++ b/tests/pg_out.c
@@ -50,12 +50,12 @@
 {
 	GByteArray *body = g_byte_array_new();
 
-	g_byte_array_append(body, (guint8 *)&conn->state, 1);
+	g_byte_array_append(body, (guint8 *)&conn->tx_status, 1);
 	pg_send_message(conn, 'Z', body);
 	g_byte_array_unref(body);
 }
 
-void pg_send_error(conn_t *conn, const char *state, const char *text)
+void pg_send_error(conn_t *conn, const char *sqlstate, const char *text)
 {
 	GByteArray *body = g_byte_array_new();
 	const char *const fields[] = {"SERROR", "VERROR", NULL};
@@ -63,15 +63,15 @@
 	for (int i = 0; fields[i] != NULL; i++)
 		pg_put_text(body, fields[i]);
 	g_byte_array_append(body, (const guint8 *)"C", 1);
-	pg_put_text(body, state);
+	pg_put_text(body, sqlstate);
 	g_byte_array_append(body, (const guint8 *)"M", 1);
 	pg_put_text(body, text);
 	g_byte_array_append(body, (const guint8 *)"", 1);
 	pg_send_message(conn, 'E', body);
 	g_byte_array_unref(body);
 	conn->skipping = TRUE;
-	if (conn->state == 'T')
-		conn->state = 'E';
+	if (conn->tx_status == 'T')
+		conn->tx_status = 'E';
 }
 
 void pg_send_columns(conn_t *conn, const char *columns)
--- a/tests/pg_statement.h
+++ b/tests/pg_statement.h
@@ -1,4 +1,5 @@
-/* The statements that a stand-in knows, and what they do. */
+/* The SQL statements that the stand-in for a backend server supports, matched by their exact text.
+ */
 #pragma once
 
 #include "pg_state.h"
@@ -7,11 +8,11 @@
 	const char *sql;
 	const char *columns; /* NULL: returns no rows */
 	void (*run)(conn_t *conn);
-	gboolean is_records; /* works on the record store, so it takes a slot */
+	gboolean needs_slot; /* reads or writes records, so a slot runs it */
 } pg_statement_t;
 
-/* NULL if it is none. */
+/* Returns NULL for an unsupported statement. */
 const pg_statement_t *pg_statement_find(const char *sql);
 
-/* Run what the connection was told to; FALSE when it has to be tried again later. */
+/* Runs conn->sql. Returns FALSE if the statement is blocked and must be executed again later. */
 gboolean pg_statement_execute(conn_t *conn);
--- a/tests/pg_tx.h
+++ b/tests/pg_tx.h
@@ -1,24 +1,34 @@
-/* Transactions of a stand-in: own writes, locks, and slots for statements that take time. */
+/* Transactions of the stand-in for a backend server: buffered writes, row locks and slots. */
 #pragma once
 
 #include "pg_state.h"
 
-/* Forget its writes; others may go on. */
-void pg_tx_clear(conn_t *conn);
+/* Drops the writes of the transaction and unblocks the connections that wait for its locks. */
+void pg_tx_reset(conn_t *conn);
 
-/* Statements take time and so many run at once; FALSE while this one waits or runs. */
-gboolean pg_slot_pass(conn_t *conn);
+/*
+ * With a service time set, a statement waits for one of the slots and occupies it for that time.
+ * Returns FALSE while the statement waits or its time runs, TRUE when it may be executed.
+ */
+gboolean pg_slot_acquire(conn_t *conn);
 
-void pg_slot_leave(conn_t *conn);
+/* Frees the slot of the connection, if it holds one. */
+void pg_slot_release(conn_t *conn);
 
-/* As the transaction sees it: its own writes first. */
+/* Value of the key as the transaction sees it, with its own writes; NULL if there is none. */
 const char *pg_tx_read(conn_t *conn, const char *key);
 
-/* Another open transaction has written the key: wait for its end, as for a row lock. */
+/*
+ * Returns TRUE and blocks the connection if another open transaction has written the key, as a row
+ * lock does.
+ */
 gboolean pg_tx_is_locked(conn_t *conn, const char *key);
 
-/* FALSE after an error. */
+/* Returns FALSE if an error was sent. */
 gboolean pg_tx_commit(conn_t *conn);
 
-/* Note a write; outside a transaction it commits at once. FALSE after an error or a lock. */
+/*
+ * Adds a write to the transaction; outside one it is committed at once. Returns FALSE if an error
+ * was sent or the key is locked.
+ */
 gboolean pg_tx_write(conn_t *conn, const char *key, const char *value);
--- a/tests/standin_pg.c
+++ b/tests/standin_pg.c
@@ -1,9 +1,10 @@
 /*
- * Stand-in for a backend server: one member of a database group that speaks the
- * PostgreSQL protocol over a small keyed record store, with asynchronous
- * replication, and obeys seal, promote and follow. Started by tests only.
+ * Stand-in for a backend server, used in tests only: one member of a database group that speaks the
+ * PostgreSQL protocol over a key-value table of records. It replicates asynchronously and obeys the
+ * control statements seal, promote and follow.
  *
- * Test controls are SQL too: standin_cut($1), standin_lag($1), standin_stats().
+ * Tests control it with SQL as well: standin_cut($1) ends or resumes replication, standin_lag($1)
+ * sets the lag in milliseconds, standin_stats() returns counts of bytes and connections.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -21,13 +22,13 @@
 #include "pg_replica.h"
 #include "pg_tx.h"
 
-member_t me = {.up_fd = -1, .connect_us = 10000, .max_conns = 15, .slots = 2};
+member_t self = {.upstream_fd = -1, .connect_us = 10000, .max_conns = 15, .slots = 2};
 
 static void conn_free(void *ptr)
 {
 	conn_t *conn = ptr;
 
-	pg_slot_leave(conn);
+	pg_slot_release(conn);
 	close(conn->fd);
 	g_byte_array_unref(conn->in);
 	g_byte_array_unref(conn->out);
@@ -36,13 +37,13 @@
 	for (int i = 0; i < PG_MAX_PARAMS; i++)
 		g_free(conn->params[i]);
 	g_free(conn->sql);
-	g_free(conn->claim);
+	g_free(conn->slot_claim);
 	g_free(conn);
 }
 
 static void accept_conn(void)
 {
-	int fd = accept4(me.listener, NULL, NULL, SOCK_CLOEXEC | SOCK_NONBLOCK);
+	int fd = accept4(self.listener, NULL, NULL, SOCK_CLOEXEC | SOCK_NONBLOCK);
 	conn_t *conn;
 	int on = 1;
 
@@ -51,17 +52,17 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 	conn = g_new0(conn_t, 1);
 	conn->fd = fd;
-	conn->state = 'I';
-	conn->ready_at = pg_now_us() + me.connect_us;
+	conn->tx_status = 'I';
+	conn->accept_at = pg_now_us() + self.connect_us;
 	conn->in = g_byte_array_new();
 	conn->out = g_byte_array_new();
 	conn->writes = g_ptr_array_new_with_free_func(g_free);
 	conn->prepared = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g_ptr_array_add(me.conns, conn);
+	g_ptr_array_add(self.conns, conn);
 }
 
-/* Append what fd has; FALSE at its end. */
-static gboolean receive(int fd, GByteArray *in)
+/* Appends the available bytes of fd. Returns FALSE when the peer has closed or on an error. */
+static gboolean receive_bytes(int fd, GByteArray *in)
 {
 	guint8 buffer[65536];
 	ssize_t n = recv(fd, buffer, sizeof(buffer), MSG_DONTWAIT);
@@ -74,125 +75,126 @@
 	return TRUE;
 }
 
-static void flush(conn_t *conn)
+static void flush_output(conn_t *conn)
 {
 	ssize_t n;
 
 	if (conn->out->len == 0)
 		return;
 	n = send(conn->fd, conn->out->data, conn->out->len, MSG_DONTWAIT | MSG_NOSIGNAL);
-	if (n > 0 && conn->kind == PEER_SQL)
-		me.bytes += (guint64)n;
+	if (n > 0 && conn->kind == CONN_SQL)
+		self.bytes += (guint64)n;
 	if (n > 0)
 		g_byte_array_remove_range(conn->out, 0, (guint)n);
 	else if (n < 0 && errno != EAGAIN)
-		conn->dead = TRUE;
+		conn->closing = TRUE;
 }
 
-/* A connection that ends takes its transaction with it: nothing half done stays. */
-static void bury_dead(void)
+/* Frees connections that are closing; their open transactions are rolled back. */
+static void free_closing_conns(void)
 {
-	for (guint i = 0; i < me.conns->len;) {
-		conn_t *conn = me.conns->pdata[i];
+	for (guint i = 0; i < self.conns->len;) {
+		conn_t *conn = self.conns->pdata[i];
 
-		if (!conn->dead) {
+		if (!conn->closing) {
 			i++;
 			continue;
 		}
-		flush(conn);
-		pg_tx_clear(conn);
-		g_ptr_array_remove_index(me.conns, i);
+		flush_output(conn);
+		pg_tx_reset(conn);
+		g_ptr_array_remove_index(self.conns, i);
 	}
 }
 
-static void wake_sleepers(void)
+static void wake_sleeping_conns(void)
 {
-	for (guint i = 0; i < me.conns->len; i++) {
-		conn_t *conn = me.conns->pdata[i];
+	for (guint i = 0; i < self.conns->len; i++) {
+		conn_t *conn = self.conns->pdata[i];
 
-		if (conn->sleep_until != 0)
-			conn->blocked = pg_now_us() < conn->sleep_until;
+		if (conn->busy_until != 0)
+			conn->blocked = pg_now_us() < conn->busy_until;
 	}
 }
 
-static void end_idle_sessions(void)
+static void close_idle_sessions(void)
 {
-	for (guint i = 0; i < me.conns->len; i++) {
-		conn_t *conn = me.conns->pdata[i];
-		gint64 limit = conn->state == 'I' ? conn->idle_limit : conn->idle_tx_limit;
+	for (guint i = 0; i < self.conns->len; i++) {
+		conn_t *conn = self.conns->pdata[i];
+		gint64 limit =
+			conn->tx_status == 'I' ? conn->idle_timeout_us : conn->idle_tx_timeout_us;
 
-		if (conn->kind == PEER_SQL && limit != 0 && !conn->blocked &&
+		if (conn->kind == CONN_SQL && limit != 0 && !conn->blocked &&
 		    conn->last_active != 0 && pg_now_us() - conn->last_active > limit)
-			conn->dead = TRUE;
+			conn->closing = TRUE;
 	}
 }
 
-static void work(void)
+static void process_all(void)
 {
-	me.unblocked = FALSE;
+	self.has_unblocked = FALSE;
 	pg_replica_connect();
 	pg_replica_apply_due();
-	wake_sleepers();
-	end_idle_sessions();
-	for (guint i = 0; i < me.conns->len; i++) {
-		conn_t *conn = me.conns->pdata[i];
+	wake_sleeping_conns();
+	close_idle_sessions();
+	for (guint i = 0; i < self.conns->len; i++) {
+		conn_t *conn = self.conns->pdata[i];
 
-		pg_input_take(conn);
-		if (conn->kind == PEER_REPLICA)
-			pg_replica_feed(conn);
-		flush(conn);
+		pg_input_process(conn);
+		if (conn->kind == CONN_REPLICA)
+			pg_replica_send_entries(conn);
+		flush_output(conn);
 	}
-	bury_dead();
+	free_closing_conns();
 }
 
-static int wait_ms(void)
+static int poll_timeout_ms(void)
 {
-	if (me.unblocked)
+	if (self.has_unblocked)
 		return 0;
-	for (guint i = 0; i < me.conns->len; i++) {
-		const conn_t *conn = me.conns->pdata[i];
+	for (guint i = 0; i < self.conns->len; i++) {
+		const conn_t *conn = self.conns->pdata[i];
 
-		if (conn->sleep_until != 0 || (conn->kind == PEER_NEW && conn->in->len > 0))
+		if (conn->busy_until != 0 || (conn->kind == CONN_NEW && conn->in->len > 0))
 			return 1;
 	}
-	if (!g_queue_is_empty(&me.pending))
+	if (!g_queue_is_empty(&self.pending))
 		return 1;
-	return me.upstream != NULL && me.up_fd < 0 ? PG_RETRY_FOLLOW_MS : 200;
+	return self.upstream != NULL && self.upstream_fd < 0 ? PG_UPSTREAM_RETRY_MS : 200;
 }
 
 static void poll_once(void)
 {
-	guint count = me.conns->len;
+	guint count = self.conns->len;
 	struct pollfd *fds = g_new0(struct pollfd, count + 2);
 
 	for (guint i = 0; i < count; i++) {
-		const conn_t *conn = me.conns->pdata[i];
+		const conn_t *conn = self.conns->pdata[i];
 
 		fds[i].fd = conn->fd;
 		fds[i].events = (short)(POLLIN | (conn->out->len > 0 ? POLLOUT : 0));
 	}
-	fds[count].fd = me.listener;
+	fds[count].fd = self.listener;
 	fds[count].events = POLLIN;
-	fds[count + 1].fd = me.up_fd;
+	fds[count + 1].fd = self.upstream_fd;
 	fds[count + 1].events = POLLIN;
-	poll(fds, count + 2, wait_ms());
+	poll(fds, count + 2, poll_timeout_ms());
 	for (guint i = 0; i < count; i++) {
-		conn_t *conn = me.conns->pdata[i];
+		conn_t *conn = self.conns->pdata[i];
 
 		guint before = conn->in->len;
 
-		if (fds[i].revents != 0 && !receive(conn->fd, conn->in))
-			conn->dead = TRUE;
-		if (conn->kind == PEER_SQL)
-			me.bytes += conn->in->len - before;
+		if (fds[i].revents != 0 && !receive_bytes(conn->fd, conn->in))
+			conn->closing = TRUE;
+		if (conn->kind == CONN_SQL)
+			self.bytes += conn->in->len - before;
 	}
 	if (fds[count].revents != 0)
 		accept_conn();
 	if (fds[count + 1].revents != 0) {
-		if (receive(me.up_fd, me.up_in))
-			pg_replica_take();
+		if (receive_bytes(self.upstream_fd, self.upstream_in))
+			pg_replica_receive();
 		else
-			pg_replica_drop_upstream();
+			pg_replica_close_upstream();
 	}
 	g_free(fds);
 }
@@ -209,7 +211,7 @@
 
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
 	if (bind(fd, (struct sockaddr *)&sin, sizeof(sin)) < 0 || listen(fd, 256) < 0)
-		g_error("can't listen on port %d", port);
+		g_error("cannot listen on port %d", port);
 	return fd;
 }
 
@@ -234,47 +236,47 @@
 	while ((opt = getopt_long(argc, argv, "", longopts, NULL)) != -1) {
 		switch (opt) {
 		case 'n':
-			me.name = optarg;
+			self.name = optarg;
 			break;
 		case 'p':
 			port = atoi(optarg);
 			break;
 		case 'P':
-			me.primary = TRUE;
+			self.primary = TRUE;
 			break;
 		case 'f':
-			me.upstream = g_strdup(optarg);
+			self.upstream = g_strdup(optarg);
 			break;
 		case 'l':
-			me.lag_us = (gint64)atoi(optarg) * 1000;
+			self.lag_us = (gint64)atoi(optarg) * 1000;
 			break;
 		case 's':
-			me.slots = atoi(optarg);
+			self.slots = atoi(optarg);
 			break;
 		case 'S':
-			me.service_us = atoi(optarg);
+			self.service_us = atoi(optarg);
 			break;
 		case 'm':
-			me.max_conns = atoi(optarg);
+			self.max_conns = atoi(optarg);
 			break;
 		case 'c':
-			me.connect_us = (gint64)atoi(optarg) * 1000;
+			self.connect_us = (gint64)atoi(optarg) * 1000;
 			break;
 		default:
 			return 2;
 		}
 	}
-	me.sealed = 1;
-	me.log = g_ptr_array_new_with_free_func(pg_log_entry_free);
-	me.records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	me.conns = g_ptr_array_new_with_free_func(conn_free);
-	me.up_in = g_byte_array_new();
-	g_queue_init(&me.pending);
-	if (me.primary)
+	self.sealed_term = 1;
+	self.log = g_ptr_array_new_with_free_func(pg_log_entry_free);
+	self.records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	self.conns = g_ptr_array_new_with_free_func(conn_free);
+	self.upstream_in = g_byte_array_new();
+	g_queue_init(&self.pending);
+	if (self.primary)
 		pg_log_append(1, g_ptr_array_new_with_free_func(g_free));
-	me.listener = listen_on(port);
+	self.listener = listen_on(port);
 	for (;;) {
 		poll_once();
-		work();
+		process_all();
 	}
 }
