--- a/tests/standin_command.h
+++ b/tests/standin_command.h
@@ -1,5 +1,8 @@
-/* What the stand-in's commands and those who send them share. */
+/* Constants of the commands that standin_site reads, shared with the programs that send them. */
 #pragma once
 
-/* In a command this and the number of a service mean the service's leader at that time. */
+/*
+ * A member index of STANDIN_PRIMARY_OF + N in a command means the member that is the primary of
+ * service N when the command runs.
+ */
 #define STANDIN_PRIMARY_OF 100
--- a/tests/standin_control.c
+++ b/tests/standin_control.c
@@ -10,7 +10,7 @@
 #include "names.h"
 #include "standin_command.h"
 
-/* Longest command: a configuration of a few routes. */
+/* Length of the longest command: a configuration with a few routes. */
 #define LINE_MAX_BYTES 16384
 
 typedef struct command {
@@ -24,7 +24,7 @@
 } input_t;
 
 static input_t input;
-static site_t *controlled;
+static site_t *controlled_site;
 
 /* --- the record --- */
 
@@ -59,13 +59,13 @@
 	.promoted = on_promoted,
 };
 
-void control_record_promote(const char *holder, const char *fence, const char *service,
+void control_record_promote(const char *leader, const char *fencing_token, const char *service,
 			    const char *id, bool done)
 {
-	if (controlled == NULL)
+	if (controlled_site == NULL)
 		return;
-	printf("K\t%" PRIu64 "\t%s\t%s\t%s\t%s\t%d\n", clock_now(controlled->loop.clock), holder,
-	       fence, service, id != NULL ? id : "", done);
+	printf("K\t%" PRIu64 "\t%s\t%s\t%s\t%s\t%d\n", clock_now(controlled_site->loop.clock),
+	       leader, fencing_token, service, id != NULL ? id : "", done);
 }
 
 void control_flush(void)
@@ -99,15 +99,17 @@
 		site_restore(site);
 }
 
-static void run_cloud(site_t *site, char *rest)
+static void run_promotion(site_t *site, char *rest)
 {
 	if (strcmp(rest, "loses") == 0)
-		site->cloud_state = CLOUD_LOSES;
+		site->promotion_state = PROMOTION_LOSE_REPLIES;
 	else
-		site->cloud_state = strcmp(rest, "refuses") == 0 ? CLOUD_REFUSES : CLOUD_UP;
+		site->promotion_state =
+			strcmp(rest, "refuses") == 0 ? PROMOTION_REFUSE : PROMOTION_NORMAL;
 }
 
-static void change_member(site_t *site, fake_member_t *member, const char *word, unsigned number)
+static void apply_member_command(site_t *site, fake_member_t *member, const char *word,
+				 unsigned number)
 {
 	char id[48];
 
@@ -138,7 +140,7 @@
 	}
 }
 
-/* "member INDEX WORD [NUMBER]"; an index of 100 and more: the leader of service INDEX - 100. */
+/* "member INDEX WORD [NUMBER]"; an INDEX from 100 on is the primary of service INDEX - 100. */
 static void run_member(site_t *site, char *rest)
 {
 	char word[16] = "";
@@ -153,11 +155,11 @@
 	else
 		member = site->listeners[index % (site->service_count * SITE_MEMBERS)].member;
 	if (member != NULL)
-		change_member(site, member, word, number);
+		apply_member_command(site, member, word, number);
 }
 
-/* "leavers SERVICE WORD NUMBER": each member of the service that is leaving. */
-static void run_leavers(site_t *site, char *rest)
+/* "leavers SERVICE WORD NUMBER": applies WORD to each member of the service that is leaving. */
+static void run_leaving_members(site_t *site, char *rest)
 {
 	char word[16] = "";
 	unsigned service = 0;
@@ -168,7 +170,7 @@
 	db = site->services[service % site->service_count];
 	for (size_t i = 0; i < db->config.members; i++) {
 		if (db->members[i].leaving)
-			change_member(site, &db->members[i], word, number);
+			apply_member_command(site, &db->members[i], word, number);
 	}
 }
 
@@ -177,6 +179,7 @@
 	fake_kv_put(site->kv, KEY_CONFIG, rest);
 }
 
+/* "sync TEXT": marks a point in the record and flushes it. */
 static void run_sync(site_t *site, char *rest)
 {
 	printf("S\t%" PRIu64 "\t%s\n", clock_now(site->loop.clock), rest);
@@ -184,38 +187,39 @@
 }
 
 static const command_t commands[] = {
-	{"store ", run_store},	   {"cloud ", run_cloud},   {"member ", run_member},
-	{"leavers ", run_leavers}, {"config ", run_config}, {"sync ", run_sync},
+	{"store ", run_store},	 {"cloud ", run_promotion},
+	{"member ", run_member}, {"leavers ", run_leaving_members},
+	{"config ", run_config}, {"sync ", run_sync},
 };
 
-static void run_line(char *line)
+static void run_command(char *line)
 {
 	for (size_t i = 0; i < sizeof(commands) / sizeof(commands[0]); i++) {
 		size_t len = strlen(commands[i].name);
 
 		if (strncmp(line, commands[i].name, len) == 0)
-			commands[i].run(controlled, line + len);
+			commands[i].run(controlled_site, line + len);
 	}
 }
 
 /* --- standard input --- */
 
-static void on_control(loop_watch_t *watch)
+static void on_command_input(loop_watch_t *watch)
 {
 	ssize_t n = read(STDIN_FILENO, input.line + input.len, sizeof(input.line) - input.len - 1);
 	char *lf;
 
-	/* Who gives the commands is gone, or has sent a line longer than the buffer. */
+	/* End of input, or a line that does not fit in the buffer: the stand-in stops. */
 	if (n <= 0) {
 		loop_watch_stop(watch);
-		loop_stop(&controlled->loop);
+		loop_stop(&controlled_site->loop);
 		return;
 	}
 	input.len += (size_t)n;
 	input.line[input.len] = '\0';
 	while ((lf = strchr(input.line, '\n')) != NULL) {
 		*lf = '\0';
-		run_line(input.line);
+		run_command(input.line);
 		input.len -= (size_t)(lf + 1 - input.line);
 		memmove(input.line, lf + 1, input.len + 1);
 	}
@@ -223,9 +227,9 @@
 
 int control_start(site_t *site)
 {
-	controlled = site;
+	controlled_site = site;
 	site->events.ops = &events_ops;
 	for (size_t i = 0; i < site->service_count; i++)
 		site->services[i]->events = &site->events;
-	return loop_watch_start(&site->loop, &site->control, STDIN_FILENO, on_control);
+	return loop_watch_start(&site->loop, &site->control, STDIN_FILENO, on_command_input);
 }
--- a/tests/standin_members.c
+++ b/tests/standin_members.c
@@ -8,9 +8,10 @@
 #include "protocol.h"
 #include "stream.h"
 
-/* How long the store still lists a member that has crashed. */
-#define ENTRY_LIFE (3600 * USEC_PER_MSEC)
+/* Time for which the store keeps the entry of a stopped member. */
+#define ENTRY_LIFETIME (3600 * USEC_PER_MSEC)
 
+/* A connection from a proxy to a member. */
 typedef struct link {
 	list_t node;
 	stream_t stream;
@@ -46,7 +47,7 @@
 	return line;
 }
 
-static void on_link_down(stream_t *stream, const char *reason)
+static void on_link_close(stream_t *stream, const char *reason)
 {
 	link_t *link = list_entry(stream, link_t, stream);
 
@@ -56,7 +57,7 @@
 	free_link(link);
 }
 
-static const stream_ops_t link_ops = {.on_data = on_line, .on_down = on_link_down};
+static const stream_ops_t link_ops = {.on_data = on_line, .on_down = on_link_close};
 
 static void on_accept(h2o_socket_t *sock, const char *err)
 {
@@ -78,40 +79,40 @@
 	}
 }
 
-static void unlist(site_t *site, listener_t *listener)
+static void remove_entry(site_t *site, listener_t *listener)
 {
 	char key[64];
 
-	if (listener->listed[0] == '\0')
+	if (listener->listed_entry[0] == '\0')
 		return;
 	snprintf(key, sizeof(key), "servers/%s", listener->listed_id);
 	fake_kv_put(site->kv, key, NULL);
-	listener->listed[0] = '\0';
+	listener->listed_entry[0] = '\0';
 }
 
-static void list_stopped(site_t *site, listener_t *listener)
+static void expire_entry(site_t *site, listener_t *listener)
 {
 	usec_t now = clock_now(site->loop.clock);
 
 	if (listener->stopped_at == 0)
 		listener->stopped_at = now;
-	if (now >= listener->stopped_at + ENTRY_LIFE)
-		unlist(site, listener);
+	if (now >= listener->stopped_at + ENTRY_LIFETIME)
+		remove_entry(site, listener);
 }
 
-static void list_member(site_t *site, listener_t *listener)
+static void update_entry(site_t *site, listener_t *listener)
 {
 	const fake_member_t *member = listener->member;
 	char key[64];
 	char value[512];
 
 	if (member->stopped) {
-		list_stopped(site, listener);
+		expire_entry(site, listener);
 		return;
 	}
 	listener->stopped_at = 0;
 	if (strcmp(listener->listed_id, member->id) != 0)
-		unlist(site, listener);
+		remove_entry(site, listener);
 	snprintf(key, sizeof(key), "servers/%s", member->id);
 	snprintf(
 		value, sizeof(value),
@@ -119,17 +120,17 @@
 		"\"dbRole\":\"%s\",\"seq\":1}",
 		member->db->config.service, listener->address, member->db->config.slots,
 		member->leaving ? "draining" : "ready", member->primary ? "primary" : "replica");
-	if (strcmp(value, listener->listed) == 0)
+	if (strcmp(value, listener->listed_entry) == 0)
 		return;
-	memcpy(listener->listed, value, sizeof(value));
+	memcpy(listener->listed_entry, value, sizeof(value));
 	memcpy(listener->listed_id, member->id, sizeof(member->id));
 	fake_kv_put(site->kv, key, value);
 }
 
-void members_list(site_t *site)
+void members_update_entries(site_t *site)
 {
 	for (size_t i = 0; i < site->service_count * SITE_MEMBERS; i++)
-		list_member(site, &site->listeners[i]);
+		update_entry(site, &site->listeners[i]);
 }
 
 void members_crash(site_t *site, fake_member_t *member)
@@ -157,7 +158,7 @@
 	listener->member = &site->services[index / SITE_MEMBERS]->members[index % SITE_MEMBERS];
 	snprintf(address, sizeof(address), "127.0.0.1:%d", port);
 	snprintf(listener->address, sizeof(listener->address), "127.0.0.1:%d",
-		 port + site->link_offset);
+		 port + site->listed_port_offset);
 	fd = stream_listen(address, err);
 	if (fd < 0)
 		return fd;
@@ -167,7 +168,7 @@
 	return 0;
 }
 
-int members_start(site_t *site, int base, err_t *err)
+int members_listen(site_t *site, int base, err_t *err)
 {
 	int rc = 0;
 
--- a/tests/standin_site.c
+++ b/tests/standin_site.c
@@ -1,14 +1,15 @@
 /*
- * Stand-in for the users' platform as one process: the metadata store, the call
- * to promote, and three members of each service, over their real protocols.
+ * Stand-in for the users' platform as one process: the metadata store, the promotion interface and
+ * three members of each service, each over the platform's protocol.
  *
  * Usage: standin_site [--services N] [--slots N] [--connections N] [--control]
  *                     [--link-offset N] BASE_PORT
  *
- * The store listens at BASE_PORT, the promote call one above, a door that turns
- * every call to the store away two above, the members above that. SIGUSR1
- * crashes the leading member of the first service, SIGUSR2 brings every member
- * back. With --control, commands are read from standard input.
+ * Ports from BASE_PORT on: the store; the promotion interface; a store that refuses every call; the
+ * members. --link-offset is added to the ports that the members' entries in the store name, for
+ * proxies that shall connect through links in between. SIGUSR1 crashes the primary of the first
+ * service, SIGUSR2 starts every stopped member. With --control, commands are read from standard
+ * input.
  */
 #include "standin_site.h"
 
@@ -28,58 +29,59 @@
 
 #define BODY_MAX      (2 * 1024 * 1024)
 #define LIST_INTERVAL (50 * USEC_PER_MSEC)
-/* Changes that the store remembers: a minute of a busy fleet. */
+/* Changes that the store keeps for watches; a busy fleet makes as many in a minute. */
 #define HISTORY	 2000
 #define ERA_TEXT 24
 
-static volatile sig_atomic_t crash_asked;
-static volatile sig_atomic_t return_asked;
+static volatile sig_atomic_t crash_requested;
+static volatile sig_atomic_t restart_requested;
 
 static const char *const service_names[SITE_SERVICES_MAX] = {"core",  "ledger", "fleet", "stock",
 							     "depot", "crew",	"rota",	 "map"};
 
-static void on_list(run_timer_t *timer, usec_t now)
+static void on_list_timer(run_timer_t *timer, usec_t now)
 {
 	site_t *site = list_entry(timer, site_t, list_timer);
 
-	if (crash_asked)
+	if (crash_requested)
 		members_crash(site, fake_db_primary(site->services[0]));
-	crash_asked = 0;
-	for (size_t i = 0; return_asked && i < site->service_count * SITE_MEMBERS; i++) {
+	crash_requested = 0;
+	for (size_t i = 0; restart_requested && i < site->service_count * SITE_MEMBERS; i++) {
 		if (site->listeners[i].member->stopped)
 			fake_member_start(site->listeners[i].member);
 	}
-	return_asked = 0;
-	members_list(site);
+	restart_requested = 0;
+	members_update_entries(site);
 	control_flush();
-	timers_arm(&site->loop.timers, timer, now + LIST_INTERVAL, on_list);
+	timers_arm(&site->loop.timers, timer, now + LIST_INTERVAL, on_list_timer);
 }
 
 /* --- the store --- */
 
-/* A request whose answer comes later; req is NULL once its connection is gone. */
+/* A request that the store answers later; req is NULL once its connection has closed. */
 typedef struct pending {
 	h2o_req_t *req;
 	site_t *site;
 	bool is_watch;
-} pending_t;
+} pending_request_t;
 
+/* Lives in the pool of the request and resets pending->req when the request is disposed of. */
 typedef struct guard {
-	pending_t *pending;
-} guard_t;
+	pending_request_t *pending;
+} request_guard_t;
 
-static void on_req_gone(void *data)
+static void on_req_disposed(void *data)
 {
-	guard_t *guard = data;
+	request_guard_t *guard = data;
 
 	if (guard->pending != NULL)
 		guard->pending->req = NULL;
 }
 
-static pending_t *pending_create(site_t *site, h2o_req_t *req)
+static pending_request_t *pending_create(site_t *site, h2o_req_t *req)
 {
-	pending_t *pending = talloc_zero(site->kv, pending_t);
-	guard_t *guard = h2o_mem_alloc_shared(&req->pool, sizeof(*guard), on_req_gone);
+	pending_request_t *pending = talloc_zero(site->kv, pending_request_t);
+	request_guard_t *guard = h2o_mem_alloc_shared(&req->pool, sizeof(*guard), on_req_disposed);
 
 	pending->req = req;
 	pending->site = site;
@@ -87,13 +89,16 @@
 	return pending;
 }
 
-/* On the wire the store's numbers are without their era, and the same may come twice. */
-static json_int_t to_wire(int64_t number)
+/*
+ * In this process a revision contains the era of the store. On the wire it does not, so a restored
+ * store can use the same revision again.
+ */
+static json_int_t revision_to_wire(int64_t number)
 {
 	return kv_number(number);
 }
 
-static int64_t from_wire(const site_t *site, int64_t number)
+static int64_t revision_from_wire(const site_t *site, int64_t number)
 {
 	return kv_in_era(kv_era(site->kv->revision), number);
 }
@@ -106,18 +111,18 @@
 
 	if (item->value == NULL)
 		return json_pack("{s:s, s:I, s:b}", "key", item->key, "rev",
-				 to_wire(item->revision), "tombstone", 1);
+				 revision_to_wire(item->revision), "tombstone", 1);
 	text = talloc_size(NULL, size);
 	sodium_bin2base64(text, size, (const unsigned char *)item->value, item->len,
 			  sodium_base64_VARIANT_ORIGINAL);
 	object = json_pack("{s:s, s:s, s:I, s:I, s:I}", "key", item->key, "value", text, "rev",
-			   to_wire(item->revision), "createdRev", to_wire(item->created), "lease",
-			   (json_int_t)item->lease);
+			   revision_to_wire(item->revision), "createdRev",
+			   revision_to_wire(item->created), "lease", (json_int_t)item->lease);
 	talloc_free(text);
 	return object;
 }
 
-static int http_status(kv_status_t status)
+static int get_http_status(kv_status_t status)
 {
 	static const int codes[] = {
 		[KV_OK] = 200,	      [KV_CONFLICT] = 412, [KV_NOT_FOUND] = 404,
@@ -127,8 +132,8 @@
 	return codes[status];
 }
 
-/* Eras are counted from 1. */
-static void tell_era(const site_t *site, h2o_req_t *req)
+/* Adds the store's era, on the wire counted from 1, to the reply. */
+static void add_era_header(const site_t *site, h2o_req_t *req)
 {
 	char *text = h2o_mem_alloc_pool(&req->pool, ERA_TEXT);
 	int len = snprintf(text, ERA_TEXT, "%" PRId64, kv_era(site->kv->revision) + 1);
@@ -137,29 +142,29 @@
 			      (size_t)len);
 }
 
-static void on_result(void *data, const kv_result_t *result)
+static void send_result(void *data, const kv_result_t *result)
 {
-	pending_t *pending = data;
+	pending_request_t *pending = data;
 	json_t *items = json_array();
 	json_t *body;
 
 	for (size_t i = 0; i < result->count; i++)
 		json_array_append_new(items, encode_item(&result->items[i]));
 	body = json_pack("{s:o, s:b, s:I, s:I, s:I}", pending->is_watch ? "events" : "items", items,
-			 "truncated", result->truncated, "asOf", to_wire(result->as_of), "lease",
-			 (json_int_t)result->lease, "ttlMs", (json_int_t)result->ttl_ms);
+			 "truncated", result->truncated, "asOf", revision_to_wire(result->as_of),
+			 "lease", (json_int_t)result->lease, "ttlMs", (json_int_t)result->ttl_ms);
 	if (pending->req != NULL) {
-		tell_era(pending->site, pending->req);
-		httpd_send_json(pending->req, http_status(result->status), body, 0);
+		add_era_header(pending->site, pending->req);
+		httpd_send_json(pending->req, get_http_status(result->status), body, 0);
 		body = NULL;
 	}
 	json_decref(body);
-	/* The guard may outlive it. */
+	/* Not freed: the guard may refer to it until the request is disposed of. */
 	pending->req = NULL;
 }
 
-/* The text of a query's parameter as a child of parent, "" if it is missing. */
-static char *parameter(void *parent, const h2o_req_t *req, const char *name)
+/* Value of a parameter of the URL's query, allocated below parent; "" if it is missing. */
+static char *get_query_parameter(void *parent, const h2o_req_t *req, const char *name)
 {
 	char *query = talloc_strndup(parent, req->path.base, req->path.len);
 	size_t len = strlen(name);
@@ -171,7 +176,7 @@
 		return talloc_strdup(parent, "");
 	at += len + 2;
 	at[strcspn(at, "&")] = '\0';
-	/* The only character that our keys have escaped. */
+	/* The only character in a key that the proxies escape. */
 	for (char *slash = strstr(at, "%2F"); slash != NULL; slash = strstr(at, "%2F")) {
 		*slash = '/';
 		memmove(slash + 1, slash + 3, strlen(slash + 3) + 1);
@@ -190,7 +195,7 @@
 	return out;
 }
 
-static bool lists_key(const json_t *keys, const char *key)
+static bool contains_key(const json_t *keys, const char *key)
 {
 	size_t index;
 	json_t *value;
@@ -203,14 +208,14 @@
 }
 
 /*
- * Writes, deletes and mere conditions as the kv interface has them: a row each, with its expected
- * revision.
+ * Commits a transaction. "expected" holds a row with the expected revision for each key; a key that
+ * is neither in "writes" nor in "deletes" is only compared.
  */
-static void commit(site_t *site, h2o_req_t *req, const json_t *body)
+static void handle_txn(site_t *site, h2o_req_t *req, const json_t *body)
 {
 	const json_t *expected = json_object_get(body, "expected");
 	size_t count = json_array_size(expected);
-	pending_t *pending = pending_create(site, req);
+	pending_request_t *pending = pending_create(site, req);
 	kv_write_t *writes = talloc_zero_array(pending, kv_write_t, count);
 
 	for (size_t i = 0; i < count; i++) {
@@ -220,8 +225,9 @@
 
 		writes[i].key = json_string_value(json_object_get(row, "key"));
 		writes[i].expected =
-			from_wire(site, json_integer_value(json_object_get(row, "rev")));
-		writes[i].only_check = !lists_key(json_object_get(body, "deletes"), writes[i].key);
+			revision_from_wire(site, json_integer_value(json_object_get(row, "rev")));
+		writes[i].only_check =
+			!contains_key(json_object_get(body, "deletes"), writes[i].key);
 		json_array_foreach (json_object_get(body, "writes"), index, write) {
 			if (strcmp(json_string_value(json_object_get(write, "key")),
 				   writes[i].key) != 0)
@@ -233,22 +239,22 @@
 				(uint64_t)json_integer_value(json_object_get(write, "lease"));
 		}
 	}
-	site->client.kv.ops->commit(&site->client.kv, writes, count, on_result, pending);
+	site->client.kv.ops->commit(&site->client.kv, writes, count, send_result, pending);
 }
 
-static bool path_begins(const h2o_req_t *req, const char *path)
+static bool path_has_prefix(const h2o_req_t *req, const char *path)
 {
 	size_t len = strlen(path);
 
 	return req->path_normalized.len >= len && memcmp(req->path_normalized.base, path, len) == 0;
 }
 
-static void call_lease(site_t *site, h2o_req_t *req, const char *path,
-		       void (*call)(kv_t *kv, uint64_t lease, kv_done_t done, void *data))
+static void handle_lease(site_t *site, h2o_req_t *req, const char *path,
+			 void (*call)(kv_t *kv, uint64_t lease, kv_done_t done, void *data))
 {
 	uint64_t id = strtoull(req->path_normalized.base + strlen(path), NULL, 10);
 
-	call(&site->client.kv, id, on_result, pending_create(site, req));
+	call(&site->client.kv, id, send_result, pending_create(site, req));
 }
 
 static int handle_store(httpd_t *httpd, h2o_req_t *req)
@@ -257,29 +263,31 @@
 	kv_t *kv = &site->client.kv;
 	json_t *body = json_loadb(req->entity.base, req->entity.len, 0, NULL);
 	void *scratch = talloc_new(NULL);
-	pending_t *pending;
+	pending_request_t *pending;
 	int rc = 0;
 
-	if (path_begins(req, "/kv-range")) {
-		kv->ops->range(kv, parameter(scratch, req, "prefix"),
-			       parameter(scratch, req, "after"), on_result,
+	if (path_has_prefix(req, "/kv-range")) {
+		kv->ops->range(kv, get_query_parameter(scratch, req, "prefix"),
+			       get_query_parameter(scratch, req, "after"), send_result,
 			       pending_create(site, req));
-	} else if (path_begins(req, "/kv-watch")) {
+	} else if (path_has_prefix(req, "/kv-watch")) {
 		pending = pending_create(site, req);
 		pending->is_watch = true;
-		kv->ops->watch(kv, parameter(scratch, req, "prefix"),
-			       from_wire(site, strtoll(parameter(scratch, req, "after"), NULL, 10)),
-			       strtoll(parameter(scratch, req, "waitMs"), NULL, 10), on_result,
-			       pending);
-	} else if (path_begins(req, "/kv-txn")) {
-		commit(site, req, body);
-	} else if (path_begins(req, "/kv-keep/")) {
-		call_lease(site, req, "/kv-keep/", kv->ops->lease_keep);
-	} else if (path_begins(req, "/kv-lease-end/")) {
-		call_lease(site, req, "/kv-lease-end/", kv->ops->lease_end);
-	} else if (path_begins(req, "/kv-lease")) {
+		kv->ops->watch(
+			kv, get_query_parameter(scratch, req, "prefix"),
+			revision_from_wire(site, strtoll(get_query_parameter(scratch, req, "after"),
+							 NULL, 10)),
+			strtoll(get_query_parameter(scratch, req, "waitMs"), NULL, 10), send_result,
+			pending);
+	} else if (path_has_prefix(req, "/kv-txn")) {
+		handle_txn(site, req, body);
+	} else if (path_has_prefix(req, "/kv-keep/")) {
+		handle_lease(site, req, "/kv-keep/", kv->ops->lease_keep);
+	} else if (path_has_prefix(req, "/kv-lease-end/")) {
+		handle_lease(site, req, "/kv-lease-end/", kv->ops->lease_end);
+	} else if (path_has_prefix(req, "/kv-lease")) {
 		kv->ops->lease_create(kv, json_integer_value(json_object_get(body, "ttlMs")),
-				      on_result, pending_create(site, req));
+				      send_result, pending_create(site, req));
 	} else {
 		rc = -1;
 	}
@@ -288,8 +296,8 @@
 	return rc;
 }
 
-/* The store turns this caller away: nothing is done. */
-static int refuse_store(httpd_t *httpd, h2o_req_t *req)
+/* Refuses a call of the store without any effect. */
+static int refuse_request(httpd_t *httpd, h2o_req_t *req)
 {
 	(void)httpd;
 	httpd_send_json(req, STATUS_UNAVAILABLE, json_object(), 0);
@@ -304,11 +312,11 @@
 	fake_kv_put(site->kv, KEY_CONFIG, newest);
 	fake_kv_delete(site->kv, PREFIX_MEMBERS);
 	for (size_t i = 0; i < G_N_ELEMENTS(site->listeners); i++)
-		site->listeners[i].listed[0] = '\0';
+		site->listeners[i].listed_entry[0] = '\0';
 	talloc_free(newest);
 }
 
-/* --- the call to promote --- */
+/* --- the promotion interface --- */
 
 static fake_member_t *find_member(site_t *site, const char *id)
 {
@@ -319,7 +327,7 @@
 	return member;
 }
 
-static char *header(void *parent, const h2o_req_t *req, const char *name)
+static char *get_header(void *parent, const h2o_req_t *req, const char *name)
 {
 	char *lower = g_ascii_strdown(name, -1);
 	ssize_t index = h2o_find_header_by_str(&req->headers, lower, strlen(lower), -1);
@@ -331,31 +339,31 @@
 			      req->headers.entries[index].value.len);
 }
 
-static int handle_cloud(httpd_t *httpd, h2o_req_t *req)
+static int handle_promotion(httpd_t *httpd, h2o_req_t *req)
 {
 	site_t *site = httpd->data;
 	json_t *body = json_loadb(req->entity.base, req->entity.len, 0, NULL);
 	const char *id = json_string_value(json_object_get(body, "id"));
 	fake_member_t *member = find_member(site, id);
 	void *scratch = talloc_new(NULL);
-	bool done = site->cloud_state != CLOUD_REFUSES && member != NULL &&
+	bool done = site->promotion_state != PROMOTION_REFUSE && member != NULL &&
 		    fake_db_promote(member->db, member);
 
-	control_record_promote(header(scratch, req, HEADER_HOLDER),
-			       header(scratch, req, HEADER_FENCE),
+	control_record_promote(get_header(scratch, req, HEADER_HOLDER),
+			       get_header(scratch, req, HEADER_FENCE),
 			       member != NULL ? member->db->config.service : "", id, done);
 	talloc_free(scratch);
 	json_decref(body);
-	if (site->cloud_state == CLOUD_REFUSES)
+	if (site->promotion_state == PROMOTION_REFUSE)
 		httpd_send_json(req, STATUS_UNAVAILABLE, json_object(), 0);
-	else if (site->cloud_state == CLOUD_UP)
+	else if (site->promotion_state == PROMOTION_NORMAL)
 		httpd_send_json(req, done ? STATUS_OK : 409, json_object(), 0);
 	return 0;
 }
 
 /* --- start --- */
 
-static const char config[] =
+static const char initial_config[] =
 	"{\"version\":3,\"routes\":["
 	"{\"name\":\"r1\",\"host\":\"jobs\",\"kind\":\"primary\",\"timeoutMs\":800,\"sloMs\":100,"
 	"\"priority\":1,\"service\":\"core\"},"
@@ -371,16 +379,16 @@
 	size_t services;
 	size_t slots;
 	size_t connections;
-	int link_offset;
+	int listed_port_offset;
 	bool control;
 } options_t;
 
 static void on_signal(int signo)
 {
 	if (signo == SIGUSR1)
-		crash_asked = 1;
+		crash_requested = 1;
 	else
-		return_asked = 1;
+		restart_requested = 1;
 }
 
 static void create_services(site_t *site, const options_t *options)
@@ -412,32 +420,33 @@
 	return httpd_start(httpd, &site->loop, address, BODY_MAX, handle, site, err);
 }
 
-static int start(site_t *site, const options_t *options, err_t *err)
+static int start_site(site_t *site, const options_t *options, err_t *err)
 {
 	int rc;
 
 	site->kv = fake_kv_create(NULL, site->loop.clock, &site->loop.timers);
 	site->kv->history = HISTORY;
 	fake_kv_client_init(&site->client, site->kv);
-	site->link_offset = options->link_offset;
+	site->listed_port_offset = options->listed_port_offset;
 	create_services(site, options);
 	list_init(&site->links);
-	fake_kv_put(site->kv, KEY_CONFIG, config);
+	fake_kv_put(site->kv, KEY_CONFIG, initial_config);
 	rc = listen_http(site, &site->store, options->base, handle_store, err);
 	if (rc == 0)
-		rc = listen_http(site, &site->cloud, options->base + 1, handle_cloud, err);
+		rc = listen_http(site, &site->promotion, options->base + 1, handle_promotion, err);
 	if (rc == 0)
-		rc = listen_http(site, &site->closed_door, options->base + 2, refuse_store, err);
+		rc = listen_http(site, &site->refusing_store, options->base + 2, refuse_request,
+				 err);
 	if (rc == 0)
-		rc = members_start(site, options->base + SITE_FIRST_MEMBER, err);
+		rc = members_listen(site, options->base + SITE_FIRST_MEMBER_PORT, err);
 	if (rc == 0 && options->control)
 		rc = control_start(site);
 	if (rc == 0)
-		on_list(&site->list_timer, clock_now(site->loop.clock));
+		on_list_timer(&site->list_timer, clock_now(site->loop.clock));
 	return rc;
 }
 
-static bool read_options(options_t *options, int argc, char **argv)
+static bool parse_options(options_t *options, int argc, char **argv)
 {
 	static const struct option longopts[] = {
 		{"services", required_argument, NULL, 's'},
@@ -457,7 +466,7 @@
 		else if (opt == 'n')
 			options->connections = strtoul(optarg, NULL, 10);
 		else if (opt == 'l')
-			options->link_offset = (int)strtol(optarg, NULL, 10);
+			options->listed_port_offset = (int)strtol(optarg, NULL, 10);
 		else if (opt == 'c')
 			options->control = true;
 		else
@@ -474,7 +483,7 @@
 	options_t options = {.services = 1, .slots = 2, .connections = 16};
 	err_t err = {0};
 
-	if (!read_options(&options, argc, argv)) {
+	if (!parse_options(&options, argc, argv)) {
 		fprintf(stderr, "usage: standin_site [--services N] [--slots N] [--connections N] "
 				"[--control] [--link-offset N] BASE_PORT\n");
 		return 2;
@@ -484,7 +493,7 @@
 	signal(SIGUSR2, on_signal);
 	if (sodium_init() < 0 || loop_init(&site.loop, clock_system()) < 0)
 		return 1;
-	if (start(&site, &options, &err) < 0) {
+	if (start_site(&site, &options, &err) < 0) {
 		char line[256];
 
 		err_format(&err, line, sizeof(line));
