--- a/tests/demo.c
+++ b/tests/demo.c
@@ -1,11 +1,14 @@
-/* The whole path as separate processes, once: what ./dev/demo runs. */
+/*
+ * Runs a write, reads and a shutdown through two proxies with stand-ins for the platform and the
+ * backend servers, all as processes. Started by dev/demo; also a test.
+ */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
 
 #include "harness.h"
 
-static void show(const char *what, const json_t *answer)
+static void print_reply(const char *what, const json_t *answer)
 {
 	char *text = json_dumps(answer, JSON_COMPACT | JSON_ENCODE_ANY);
 
@@ -24,11 +27,11 @@
 	gboolean ok;
 
 	printf("two proxies in two availability zones, one group of three backend servers\n");
-	show("write through p0 (repeatable by its request id):", wrote);
-	show("strict read through p1, same session:", read);
-	show("read of bounded age through p1, same session:", status);
+	print_reply("write through p0 (repeatable by its request id):", wrote);
+	print_reply("linearizable read through p1, same session:", read);
+	print_reply("read of bounded age through p1, same session:", status);
 	harness_run_ctl(h, 1, &fleet, "fleet", NULL);
-	printf("cyclamenctl fleet, asked of p1:\n%s", fleet);
+	printf("cyclamenctl fleet, as p1 reports it:\n%s", fleet);
 	ok = strcmp(harness_text_field(wrote, "outcome"), "done") == 0 &&
 	     strcmp(harness_text_field(read, "outcome"), "done") == 0 &&
 	     strcmp(harness_text_field(status, "outcome"), "done") == 0;
--- a/tests/demo_platform.c
+++ b/tests/demo_platform.c
@@ -1,4 +1,7 @@
-/* The whole path on the platform's wire as separate processes, once: ./dev/demo --platform. */
+/*
+ * Runs sessions, a transaction and the crash of a primary through two poolers in front of
+ * standin_site, all as processes. Started by dev/demo --platform; also a test.
+ */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
@@ -6,8 +9,8 @@
 #include "harness.h"
 #include "site.h"
 
-/* Print a statement and its reply; returns whether the reply begins as expected. */
-static gboolean show(site_caller_t *caller, const char *text, const char *expected)
+/* Runs a statement and prints its reply. Returns whether the reply begins as expected. */
+static gboolean run_and_print(site_caller_t *caller, const char *text, const char *expected)
 {
 	char *reply = site_query(caller, text);
 	gboolean ok = g_str_has_prefix(reply, expected);
@@ -19,8 +22,11 @@
 	return ok;
 }
 
-/* Ask until the reply begins as expected, for 10 s at most; prints the last try. */
-static gboolean show_when(site_caller_t *caller, const char *text, const char *expected)
+/*
+ * Repeats a statement every 100 ms until the reply begins as expected, 100 times at most, and
+ * prints that reply. Returns whether there was one.
+ */
+static gboolean run_until_expected(site_caller_t *caller, const char *text, const char *expected)
 {
 	for (int i = 0; i < 100; i++) {
 		char *reply = site_query(caller, text);
@@ -44,20 +50,20 @@
 	gboolean ok = TRUE;
 
 	printf("two proxies, one service of three members; a session through p0:\n");
-	ok = show_when(first, "WRITE job-17 truck-4", "DONE core-0") && ok;
-	ok = show(first, "BEGIN", "DONE -") && ok;
-	ok = show(first, "READ job-17", "ROW truck-4") && ok;
-	ok = show(first, "WRITE job-17 truck-5", "DONE core-0") && ok;
-	ok = show(first, "COMMIT", "DONE core-0") && ok;
+	ok = run_until_expected(first, "WRITE job-17 truck-4", "DONE core-0") && ok;
+	ok = run_and_print(first, "BEGIN", "DONE -") && ok;
+	ok = run_and_print(first, "READ job-17", "ROW truck-4") && ok;
+	ok = run_and_print(first, "WRITE job-17 truck-5", "DONE core-0") && ok;
+	ok = run_and_print(first, "COMMIT", "DONE core-0") && ok;
 	printf("a session through p1 that reads its own write:\n");
-	ok = show(second, "SET lang fr", "DONE -") && ok;
-	ok = show(second, "PREPARE s1 WRITE q1", "DONE -") && ok;
-	ok = show(second, "EXEC s1 job-18 towed", "DONE core-0") && ok;
-	ok = show(second, "READ job-18", "ROW towed") && ok;
+	ok = run_and_print(second, "SET lang fr", "DONE -") && ok;
+	ok = run_and_print(second, "PREPARE s1 WRITE q1", "DONE -") && ok;
+	ok = run_and_print(second, "EXEC s1 job-18 towed", "DONE core-0") && ok;
+	ok = run_and_print(second, "READ job-18", "ROW towed") && ok;
 	printf("the primary crashes; another member is promoted:\n");
 	kill(site->platform, SIGUSR1);
 	g_usleep(200000);
-	ok = show_when(first, "WRITE job-17 truck-6", "DONE core-") && ok;
+	ok = run_until_expected(first, "WRITE job-17 truck-6", "DONE core-") && ok;
 	site_disconnect(first);
 	site_disconnect(second);
 	for (int i = 0; i < 2; i++) {
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -1,4 +1,4 @@
-/* Poolers as real processes: bad input, shutdown, logs, metrics, settings. */
+/* Poolers as processes: invalid input, start, shutdown, logs, metrics, settings, cyclamenctl. */
 #include <errno.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -33,7 +33,7 @@
 	site_disconnect(caller);
 }
 
-/* Two messages in one packet, and one message in many. */
+/* Two requests in one TCP segment, and one request in many. */
 static void test_packets(void)
 {
 	site_caller_t *caller = site_open_session(site, 0, "jobs");
@@ -51,7 +51,7 @@
 	site_disconnect(caller);
 }
 
-/* What is no message ends that connection with a clear error; the process lives. */
+/* Input that is no request gets ERR MALFORMED and ends its connection, but not the process. */
 static void test_bad_input(void)
 {
 	static const char *const inputs[] = {
@@ -69,7 +69,7 @@
 	test_statements();
 }
 
-/* A statement that is broken is refused, and nothing of it reaches a member. */
+/* An invalid statement is refused, no part of it reaches a member, and the session goes on. */
 static void test_bad_statements(void)
 {
 	static const char *const texts[] = {
@@ -98,7 +98,7 @@
 	memset(big, 'x', len);
 	memcpy(big, "QUERY x WRITE a ", 16);
 	site_send(caller, big, len);
-	/* The rest is unread at the close, which may reset the connection before the answer. */
+	/* The proxy closes with input unread, which may reset the connection before the reply. */
 	g_free(site_receive_reply(caller));
 	g_free(big);
 	site_disconnect(caller);
@@ -114,15 +114,15 @@
 	site_disconnect(caller);
 }
 
-/* A reader of metrics rejects all of them if one is described twice. */
-static void assert_described_once(const char *metrics)
+/* Prometheus rejects a whole scrape if the type of a metric is declared twice. */
+static void assert_metric_types_unique(const char *metrics)
 {
 	GHashTable *seen = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	char **lines = g_strsplit(metrics, "\n", -1);
 
 	for (char **line = lines; *line != NULL; line++) {
 		if (g_str_has_prefix(*line, "# TYPE ") && !g_hash_table_add(seen, g_strdup(*line)))
-			g_error("described twice: %s", *line);
+			g_error("metric type declared twice: %s", *line);
 	}
 	g_strfreev(lines);
 	g_hash_table_destroy(seen);
@@ -144,7 +144,7 @@
 					   "reason=\"unknown_statement\",outcome=\"malformed\"} "));
 	g_assert_nonnull(strstr(body->str, "cyclamenspan_member_connections_open{service="));
 	g_assert_nonnull(strstr(body->str, "cyclamenspan_roster_age_seconds "));
-	assert_described_once(body->str);
+	assert_metric_types_unique(body->str);
 	g_string_truncate(body, 0);
 	g_assert_cmpint(site_http_get(site, 0, false, "/state", body), ==, 200);
 	state = json_loads(body->str, 0, NULL);
@@ -154,7 +154,7 @@
 	g_string_free(body, TRUE);
 }
 
-/* Each line of the log is a JSON object with its fields apart. */
+/* Each log line is a JSON object whose text does not contain the fields. */
 static void test_log_lines(void)
 {
 	char *log = site_read_log(site, 0);
@@ -166,7 +166,7 @@
 		json_t *object = json_loads(*line, 0, &error);
 
 		if (object == NULL)
-			g_error("not JSON: %s (%s)", *line, error.text);
+			g_error("log line is not JSON: %s (%s)", *line, error.text);
 		g_assert_nonnull(json_string_value(json_object_get(object, "text")));
 		json_decref(object);
 	}
@@ -177,25 +177,25 @@
 }
 
 /*
- * Nobody reads the log, and failures come in a flood. Callers are served as
- * before: lines are dropped and counted, the process never waits for them.
+ * Standard output is a full pipe that nobody reads, and 3000 statements fail. Log lines must be
+ * dropped and counted; a blocking write would stop the process and with it all callers.
  */
 static void test_log_without_reader(void)
 {
 	int pipe_fds[2];
 	site_caller_t *caller;
 	GString *metrics = g_string_new(NULL);
-	gint64 began;
+	gint64 started_at;
 
 	g_assert_cmpint(pipe(pipe_fds), ==, 0);
 	fcntl(pipe_fds[1], F_SETPIPE_SZ, 4096);
 	site_start_proxy(site, 2, pipe_fds[1]);
 	site_wait_until_ready(site, 2);
 	caller = site_open_session(site, 2, "jobs");
-	began = g_get_monotonic_time();
+	started_at = g_get_monotonic_time();
 	for (int i = 0; i < 3000; i++)
 		assert_reply(site_query(caller, "EXEC unknown a"), "ERR NOSTMT");
-	g_assert_cmpint(g_get_monotonic_time() - began, <, 30 * G_USEC_PER_SEC);
+	g_assert_cmpint(g_get_monotonic_time() - started_at, <, 30 * G_USEC_PER_SEC);
 	site_http_get(site, 2, false, "/metrics", metrics);
 	g_assert_null(strstr(metrics->str, "cyclamenspan_log_lines_limited_total 0\n"));
 	g_string_free(metrics, TRUE);
@@ -214,7 +214,7 @@
 	return output;
 }
 
-/* A failed request's id is enough: the command finds its line, and what came before it. */
+/* "cyclamenctl explain" finds the log line of a failed request by its id; an unknown id fails. */
 static void test_explain(void)
 {
 	char *program = harness_program_path("ctl/cyclamenctl");
@@ -240,7 +240,10 @@
 	g_free(program);
 }
 
-/* Changes of primary out of the logs of two proxies, one change left unfinished. */
+/*
+ * "cyclamenctl changes" reports each change of primary from the logs of two proxies; here one
+ * change is complete and one is not.
+ */
 static void test_changes(void)
 {
 	static const char text[] =
@@ -275,7 +278,7 @@
 	g_free(program);
 }
 
-/* The state of a pooler for people. */
+/* "cyclamenctl pooler" prints the state of a proxy. */
 static void test_ctl_pooler(void)
 {
 	char *program = harness_program_path("ctl/cyclamenctl");
@@ -307,11 +310,11 @@
 }
 
 /*
- * What callers see: a session refused with "not ready yet", and again, until they give up. What
- * happens: the proxy starts while the store is away for a moment. Why waiting suffices: it serves
- * as soon as the store is back, within the time that callers wait for a session.
+ * Guards against sessions being refused with "not ready yet" until their callers give up, when a
+ * proxy starts during a short outage of the store. The proxy must hold the START instead and serve
+ * it when the store answers again, which is within the time that callers wait for a session.
  */
-static void test_start_while_the_store_is_away(void)
+static void test_start_without_store(void)
 {
 	site_caller_t *caller;
 
@@ -324,14 +327,14 @@
 	g_usleep(300000);
 	kill(site->platform, SIGCONT);
 	assert_reply(site_receive_reply(caller), "READY I -");
-	/* The members stood still with the store, so their primary may be about to change. */
+	/* The members were stopped with the store, so the proxies may be replacing the primary. */
 	wait_for_write(caller);
 	site_disconnect(caller);
 	kill(site->proxies[3], SIGTERM);
 	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 10000), ==, 0);
 }
 
-/* SIGTERM: not ready at once, an open transaction may end, then the process ends by itself. */
+/* After SIGTERM the proxy is not ready, lets an open transaction end and exits with 0. */
 static void test_shutdown(void)
 {
 	site_caller_t *caller;
@@ -350,12 +353,11 @@
 }
 
 /*
- * What callers see: those that open a session until the last moment are told that it is ready, and
- * then cut off; operators see a shutdown that was cut short. What happens: one caller has sent half
- * a line, and its session is kept for unread input until the process is stopped by its grace. Why
- * it may be closed: it has sent no whole request, so there is nothing to answer.
+ * Guards against a shutdown that lasts until the end of the grace period and breaks the sessions
+ * that were opened meanwhile. A session that has sent half a line must not be kept because of its
+ * unread input: there is no complete request to answer.
  */
-static void test_half_a_line_at_shutdown(void)
+static void test_shutdown_with_incomplete_request(void)
 {
 	site_caller_t *caller;
 
@@ -369,7 +371,7 @@
 	site_disconnect(caller);
 }
 
-/* In the settings of the proxy. */
+/* Replaces a text that occurs once in the settings file of the proxy. */
 static void replace_setting(int proxy, const char *from, const char *to)
 {
 	char *name = g_strdup_printf("p%d.toml", proxy);
@@ -390,9 +392,9 @@
 }
 
 /*
- * What the caller sees: its statement gets neither an answer nor a refusal. What happens: operators
- * have shortened the grace with a reload, and the proxy shuts down; the process ends with the new
- * grace, but refuses what is unanswered as if it had the old one. Why: there are two copies of it.
+ * Guards against a statement that gets neither a reply nor a refusal at shutdown. The grace period
+ * is stored in two places. When a reload shortened it in only one of them, the process exited after
+ * the new period but would have refused unanswered statements only at the end of the old one.
  */
 static void test_shutdown_with_a_reloaded_grace(void)
 {
@@ -412,21 +414,22 @@
 	kill(site->platform, SIGCONT);
 	harness_wait_exit(&site->proxies[3], 10000);
 	site_disconnect(caller);
-	/* The members stood still with the store, so their primary may be about to change. */
+	/* The members were stopped with the store, so the proxies may be replacing the primary. */
 	caller = site_open_session(site, 0, "jobs");
 	wait_for_write(caller);
 	site_disconnect(caller);
 }
 
-/* A caller beyond the limit is told so, and those that are there go on. */
+/* A connection beyond callers.max gets ERR TOOMANY; the existing sessions go on. */
 static void test_too_many_callers(void)
 {
-	enum { MOST = 3 };
-	site_caller_t *callers[MOST];
-	site_caller_t *late;
+	enum { CALLERS_MAX = 3 };
+	site_caller_t *callers[CALLERS_MAX];
+	site_caller_t *excess;
 	char *reply;
 
-	/* Written with the first start, read with the next. */
+	/* The first start writes the settings file, which the second start reads with the change.
+	 */
 	site_start_proxy(site, 3, -1);
 	site_wait_until_ready(site, 3);
 	kill(site->proxies[3], SIGTERM);
@@ -434,14 +437,14 @@
 	replace_setting(3, "[callers]\n", "[callers]\nmax = 3\n");
 	site_restart_proxy(site, 3);
 	site_wait_until_ready(site, 3);
-	for (int i = 0; i < MOST; i++)
+	for (int i = 0; i < CALLERS_MAX; i++)
 		callers[i] = site_open_session(site, 3, "jobs");
-	late = site_connect(site, 3);
-	reply = site_receive_reply(late);
+	excess = site_connect(site, 3);
+	reply = site_receive_reply(excess);
 	g_assert_true(g_str_has_prefix(reply, "ERR TOOMANY"));
 	g_free(reply);
-	site_disconnect(late);
-	for (int i = 0; i < MOST; i++) {
+	site_disconnect(excess);
+	for (int i = 0; i < CALLERS_MAX; i++) {
 		assert_reply(site_query(callers[i], "READ nothing"), "ROW none");
 		site_disconnect(callers[i]);
 	}
@@ -450,12 +453,12 @@
 }
 
 /*
- * What the caller sees: its connection is made, it sends START, and the connection is reset. What
- * happens: the proxy is stopped for a moment when it is to close its listener in a shutdown, and
- * closes it before it has taken what waits there. Why: awake again the loop runs its timers before
- * it reads, as the stop has interrupted its wait; closing a listener resets what it holds.
+ * Guards against a reset of a connection that was established shortly before the listener closes in
+ * a shutdown. The process is paused around that time. When it resumes, the event loop runs its
+ * timers before it reads, because the pause has interrupted its wait; closing the listener then
+ * resets the connections that have not been accepted yet.
  */
-static void test_connection_at_the_listeners_end(void)
+static void test_connect_before_listener_closes(void)
 {
 	site_caller_t *caller;
 	char *reply;
@@ -478,12 +481,12 @@
 }
 
 /*
- * What the caller sees: its read has no answer in time, though the member gave one in time. What
- * happens: the proxy is stopped for a moment while the answer comes in, and awake again it runs its
- * timers, with them the statement's deadline, before it reads. Why: the stop has interrupted its
- * wait, and a turn that was interrupted reads nothing.
+ * Guards against a read that times out although the member's reply has arrived. The process is
+ * paused while the reply comes in. When it resumes, the event loop runs its timers, among them the
+ * deadline of the statement, before it reads, because an iteration whose wait was interrupted reads
+ * nothing.
  */
-static void test_answer_during_a_stop(void)
+static void test_reply_while_proxy_stopped(void)
 {
 	site_caller_t *caller;
 
@@ -501,13 +504,13 @@
 	site_disconnect(caller);
 	kill(site->proxies[3], SIGTERM);
 	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 10000), ==, 0);
-	/* The members stood still with the store, so their primary may be about to change. */
+	/* The members were stopped with the store, so the proxies may be replacing the primary. */
 	caller = site_open_session(site, 0, "jobs");
 	wait_for_write(caller);
 	site_disconnect(caller);
 }
 
-/* A key that nobody knows: the settings are refused with file, line, key and what was expected. */
+/* A setting of the wrong type is refused with its line, its key and the expected type. */
 static void test_settings_errors(void)
 {
 	char *path = g_build_filename(site->dir, "bad.toml", NULL);
@@ -526,7 +529,7 @@
 	g_free(program);
 }
 
-/* The template of the deployment renders to settings that are accepted. */
+/* The settings template of the deployment, deploy/proxy.toml, renders to valid settings. */
 static void test_template(void)
 {
 	static const char *const fields[][2] = {
@@ -589,8 +592,8 @@
 	g_free(program);
 }
 
-/* Wait until somebody reads from the pipe; the end to write to. */
-static int open_pipe(const char *path)
+/* Waits until a process has opened the named pipe for reading; returns the end to write to. */
+static int open_pipe_for_writing(const char *path)
 {
 	for (int i = 0; i < 500; i++) {
 		int fd = open(path, O_WRONLY | O_NONBLOCK);
@@ -603,13 +606,13 @@
 }
 
 /*
- * What callers see: a proxy that has just been started is gone again, for the time of a restart.
- * What happens: its settings change while it is about to read them, and SIGHUP, which tells it so,
- * ends a process that does not handle it yet. Why handling it from the first step on suffices: the
- * signal is noted, and the settings are read again once the process runs. Here the settings are a
- * pipe, so that the signal comes while they are read, and they are bad, so that it ends at once.
+ * Guards against SIGHUP ending a process that still starts: the settings may change, with SIGHUP as
+ * the notification, before the process has read them. The signal must be handled from the first
+ * step on; the settings are then read again when the process runs. The settings file is a pipe
+ * here, so that the signal arrives during the read, and its content is invalid, so that the process
+ * exits with 2 right after it.
  */
-static void test_hangup_while_starting(void)
+static void test_sighup_while_starting(void)
 {
 	char *path = g_build_filename(site->dir, "pipe.toml", NULL);
 	char *program = harness_program_path("proxy/cyclamenspan");
@@ -619,19 +622,19 @@
 
 	g_assert_cmpint(mkfifo(path, 0600), ==, 0);
 	pid = harness_spawn(argv, (const int[]){-1, -1, -1});
-	fd = open_pipe(path);
+	fd = open_pipe_for_writing(path);
 	kill(pid, SIGHUP);
 	g_usleep(50000);
 	if (write(fd, "nonsense\n", 9) < 0)
-		g_test_message("the pipe is closed: %s", g_strerror(errno));
+		g_test_message("write to the settings pipe failed: %s", g_strerror(errno));
 	close(fd);
 	g_assert_cmpint(harness_wait_exit(&pid, 5000), ==, 2);
 	g_free(path);
 	g_free(program);
 }
 
-/* Bytes that lie in a pipe, once that does not change any more. */
-static int wait_until_full(int fd)
+/* Waits until the number of unread bytes in the pipe is not 0 and no longer changes; returns it. */
+static int wait_until_pipe_settles(int fd)
 {
 	int before = 0;
 	int now = 0;
@@ -654,10 +657,11 @@
 }
 
 /*
- * SIGTERM ends a process that loads its libraries. The loader tells of each here, in a pipe that
- * nobody reads until the signal was sent, so that it is stopped in the middle of them.
+ * SIGTERM during the loading of shared libraries ends the process with exit code 0. LD_DEBUG makes
+ * the dynamic loader write a line per library to standard error, a small pipe that is read only
+ * after the signal, so the loader is blocked in the middle of its work when the signal arrives.
  */
-static void test_term_while_loading(void)
+static void test_sigterm_while_loading(void)
 {
 	int out = dup(STDERR_FILENO);
 	int fds[2];
@@ -672,7 +676,7 @@
 	g_unsetenv("LD_DEBUG");
 	close(fds[1]);
 	close(out);
-	g_assert_cmpint(wait_until_full(fds[0]), >, 3 * 4096);
+	g_assert_cmpint(wait_until_pipe_settles(fds[0]), >, 3 * 4096);
 	kill(site->proxies[3], SIGTERM);
 	reader = g_thread_new("reader", drain_pipe, GINT_TO_POINTER(fds[0]));
 	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 20000), ==, 0);
@@ -680,7 +684,7 @@
 	close(fds[0]);
 }
 
-/* A process whose starter blocked its signals until it handles them never hears of them. */
+/* SIGTERM must end a process also if its parent has started it with the signal blocked. */
 static void test_started_with_signals_blocked(void)
 {
 	sigset_t blocked;
@@ -690,7 +694,7 @@
 	sigaddset(&blocked, SIGTERM);
 	sigprocmask(SIG_BLOCK, &blocked, &before);
 	site_start_proxy(site, 3, -1);
-	/* It comes before the program handles it, as a rule. */
+	/* Usually arrives before the program has installed its handler. */
 	kill(site->proxies[3], SIGTERM);
 	sigprocmask(SIG_SETMASK, &before, NULL);
 	g_assert_cmpint(harness_wait_exit(&site->proxies[3], 20000), ==, 0);
@@ -715,16 +719,16 @@
 	g_test_add_func("/site/explain", test_explain);
 	g_test_add_func("/site/changes", test_changes);
 	g_test_add_func("/site/ctl-pooler", test_ctl_pooler);
-	g_test_add_func("/site/start-without-store", test_start_while_the_store_is_away);
-	g_test_add_func("/site/hangup-while-starting", test_hangup_while_starting);
-	g_test_add_func("/site/term-while-loading", test_term_while_loading);
+	g_test_add_func("/site/start-without-store", test_start_without_store);
+	g_test_add_func("/site/hangup-while-starting", test_sighup_while_starting);
+	g_test_add_func("/site/term-while-loading", test_sigterm_while_loading);
 	g_test_add_func("/site/started-with-signals-blocked", test_started_with_signals_blocked);
 	g_test_add_func("/site/shutdown", test_shutdown);
-	g_test_add_func("/site/half-a-line-at-shutdown", test_half_a_line_at_shutdown);
+	g_test_add_func("/site/half-a-line-at-shutdown", test_shutdown_with_incomplete_request);
 	g_test_add_func("/site/reloaded-grace", test_shutdown_with_a_reloaded_grace);
 	g_test_add_func("/site/too-many-callers", test_too_many_callers);
-	g_test_add_func("/site/at-the-listeners-end", test_connection_at_the_listeners_end);
-	g_test_add_func("/site/answer-during-a-stop", test_answer_during_a_stop);
+	g_test_add_func("/site/at-the-listeners-end", test_connect_before_listener_closes);
+	g_test_add_func("/site/answer-during-a-stop", test_reply_while_proxy_stopped);
 	g_test_add_func("/site/settings-errors", test_settings_errors);
 	g_test_add_func("/site/template", test_template);
 	rc = g_test_run();
