--- a/tests/standin_control.c
+++ b/tests/standin_control.c
@@ -24,7 +24,7 @@
 } input_t;
 
 static input_t input;
-static site_t *controlled_site;
+static site_t *controlled;
 
 /* --- the record --- */
 
@@ -62,10 +62,10 @@
 void control_record_promote(const char *leader, const char *fencing_token, const char *service,
 			    const char *id, bool done)
 {
-	if (controlled_site == NULL)
+	if (controlled == NULL)
 		return;
-	printf("K\t%" PRIu64 "\t%s\t%s\t%s\t%s\t%d\n", clock_now(controlled_site->loop.clock),
-	       leader, fencing_token, service, id != NULL ? id : "", done);
+	printf("K\t%" PRIu64 "\t%s\t%s\t%s\t%s\t%d\n", clock_now(controlled->loop.clock), leader,
+	       fencing_token, service, id != NULL ? id : "", done);
 }
 
 void control_flush(void)
@@ -198,7 +198,7 @@
 		size_t len = strlen(commands[i].name);
 
 		if (strncmp(line, commands[i].name, len) == 0)
-			commands[i].run(controlled_site, line + len);
+			commands[i].run(controlled, line + len);
 	}
 }
 
@@ -212,7 +212,7 @@
 	/* End of input, or a line that does not fit in the buffer: the stand-in stops. */
 	if (n <= 0) {
 		loop_watch_stop(watch);
-		loop_stop(&controlled_site->loop);
+		loop_stop(&controlled->loop);
 		return;
 	}
 	input.len += (size_t)n;
@@ -227,7 +227,7 @@
 
 int control_start(site_t *site)
 {
-	controlled_site = site;
+	controlled = site;
 	site->events.ops = &events_ops;
 	for (size_t i = 0; i < site->service_count; i++)
 		site->services[i]->events = &site->events;
--- a/tests/standin_site.c
+++ b/tests/standin_site.c
@@ -33,8 +33,9 @@
 #define HISTORY	 2000
 #define ERA_TEXT 24
 
-static volatile sig_atomic_t crash_requested;
-static volatile sig_atomic_t restart_requested;
+/* Set by SIGUSR1 and SIGUSR2; handled by the next run of the list timer. */
+static volatile sig_atomic_t crash_asked;
+static volatile sig_atomic_t return_asked;
 
 static const char *const service_names[SITE_SERVICES_MAX] = {"core",  "ledger", "fleet", "stock",
 							     "depot", "crew",	"rota",	 "map"};
@@ -43,14 +44,14 @@
 {
 	site_t *site = list_entry(timer, site_t, list_timer);
 
-	if (crash_requested)
+	if (crash_asked)
 		members_crash(site, fake_db_primary(site->services[0]));
-	crash_requested = 0;
-	for (size_t i = 0; restart_requested && i < site->service_count * SITE_MEMBERS; i++) {
+	crash_asked = 0;
+	for (size_t i = 0; return_asked && i < site->service_count * SITE_MEMBERS; i++) {
 		if (site->listeners[i].member->stopped)
 			fake_member_start(site->listeners[i].member);
 	}
-	restart_requested = 0;
+	return_asked = 0;
 	members_update_entries(site);
 	control_flush();
 	timers_arm(&site->loop.timers, timer, now + LIST_INTERVAL, on_list_timer);
@@ -386,9 +387,9 @@
 static void on_signal(int signo)
 {
 	if (signo == SIGUSR1)
-		crash_requested = 1;
+		crash_asked = 1;
 	else
-		restart_requested = 1;
+		return_asked = 1;
 }
 
 static void create_services(site_t *site, const options_t *options)
