--- a/tests/demo_platform.c
+++ b/tests/demo_platform.c
@@ -1,6 +1,6 @@
 /*
- * Runs sessions, a transaction and the crash of a primary through two poolers in front of
- * standin_site, all as processes. Started by dev/demo --platform; also a test.
+ * Runs sessions, a transaction and the crash of a primary through two proxies in pooler mode in
+ * front of standin_site, all as processes. Started by dev/demo --platform; also a test.
  */
 #include <signal.h>
 #include <stdio.h>
--- a/tests/fake_db.c
+++ b/tests/fake_db.c
@@ -568,8 +568,7 @@
 	char *body = strchr(id, ' ');
 	fake_reply_t reply = session->reply;
 	bool uses_slot = takes_slot(text);
-	bool from_caller; /* the id "-" marks statements of a proxy itself, which are not disturbed
-			   */
+	bool from_caller; /* id "-": of the proxy itself, only refuse_begins applies */
 
 	if (body == NULL) {
 		reply_error(session, "MALFORMED");
@@ -764,7 +763,7 @@
 
 void fake_member_stop(fake_member_t *member)
 {
-	/* Entries that the replicas would have received by now are not lost with the member. */
+	/* The replicas first receive what the member has sent; only later entries are lost. */
 	for (size_t i = 0; i < member->db->config.members; i++)
 		catch_up(&member->db->members[i]);
 	member->stopped = true;
--- a/tests/fake_db.h
+++ b/tests/fake_db.h
@@ -33,7 +33,7 @@
 	uint64_t term;
 	uint64_t number; /* in the log, from 1 */
 	usec_t at;
-	char id[40]; /* of the statement */
+	char id[40]; /* of the statement that wrote the entry */
 	char item[40];
 	char data[64];
 } fake_entry_t;
@@ -56,15 +56,15 @@
 	size_t sessions;
 	size_t sessions_opened;	   /* in total */
 	unsigned lose_answers;	   /* the next N statements run, but get no reply */
-	unsigned reset_answers;	   /* the same, and the connection is closed */
+	unsigned reset_answers;	   /* the next N run, then the connection is closed */
 	unsigned refuse_begins;	   /* the next N BEGIN get ERR BUSY */
 	unsigned refuse_runs;	   /* the next N statements that take a slot get ERR BUSY */
 	usec_t extra_service_time; /* added to the service time */
 	usec_t extra_lag;	   /* added to the lag */
-	unsigned fail_percent;	   /* of statements fail, spread evenly */
+	unsigned fail_percent;	   /* percentage of statements that fail, spread evenly */
 	const char *fail_code;	   /* error code of these failures; NULL: FAILED */
-	unsigned fail_accumulator;
-	usec_t demote_at; /* a superseded primary becomes a replica */
+	unsigned fail_accumulator; /* of fail_percent; a statement fails at 100 */
+	usec_t demote_at;	   /* when a superseded primary becomes a replica */
 } fake_member_t;
 
 /* A statement that a member ran. */
@@ -153,6 +153,7 @@
 
 /* The primary with the highest term, also if it is stopped; NULL if there is none. */
 fake_member_t *fake_db_primary(fake_db_t *db);
+
 /* NULL if the service has no member with this id. */
 fake_member_t *fake_db_find_member(fake_db_t *db, const char *id);
 
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -34,7 +34,7 @@
 /* Path of a built program below $BUILD_DIR, by default build-test. */
 char *harness_program_path(const char *name);
 
-/* Starts the platform and the members. */
+/* Starts the platform and the members, of which member 0 is the primary. */
 harness_t *harness_start(int lag_ms);
 void harness_start_proxy(harness_t *h, int i, const char *extra_settings);
 
--- a/tests/pg_log.h
+++ b/tests/pg_log.h
@@ -5,8 +5,7 @@
 
 void pg_log_entry_free(void *ptr);
 
-/* Appends an entry and applies it to the records. Takes ownership of writes: key, value, key, ...
- */
+/* Appends an entry and applies it to the records. Takes ownership of writes, as in entry_t. */
 void pg_log_append(guint64 term, GPtrArray *writes);
 
 /* Term of the last entry, 0 if the log is empty. */
--- a/tests/pg_statement.c
+++ b/tests/pg_statement.c
@@ -57,6 +57,7 @@
 	return conn->params[i] != NULL ? g_ascii_strtoull(conn->params[i], NULL, 10) : 0;
 }
 
+/* Adopts the term: the member is no primary any more, and replication in both directions ends. */
 static void seal(guint64 term)
 {
 	self.sealed_term = term;
--- a/tests/site.c
+++ b/tests/site.c
@@ -226,7 +226,7 @@
 	return 0;
 }
 
-static char *take_bytes(site_caller_t *caller, size_t len)
+static char *consume_bytes(site_caller_t *caller, size_t len)
 {
 	char *text = g_strndup(caller->buffer, len);
 
@@ -244,12 +244,12 @@
 		ssize_t n;
 
 		if (len != 0)
-			return take_bytes(caller, len);
+			return consume_bytes(caller, len);
 		g_assert_cmpint(poll(&ready, 1, RECEIVE_TIMEOUT_MS), ==, 1);
 		n = recv(caller->fd, caller->buffer + caller->len,
 			 sizeof(caller->buffer) - caller->len, 0);
 		if (n <= 0)
-			return take_bytes(caller, caller->len);
+			return consume_bytes(caller, caller->len);
 		caller->len += (size_t)n;
 	}
 }
--- a/tests/site.h
+++ b/tests/site.h
@@ -1,6 +1,6 @@
 /*
- * Runs poolers as processes on loopback, with standin_site, the stand-in for the users' platform,
- * behind them, for tests and the demo.
+ * Runs proxies in pooler mode (cyclamenspan --pooler) as processes on loopback, for tests and the
+ * demo. standin_site, the stand-in for the users' platform, is their store and their members.
  */
 #pragma once
 
--- a/tests/standin_site.c
+++ b/tests/standin_site.c
@@ -79,7 +79,7 @@
 		guard->pending->req = NULL;
 }
 
-static pending_request_t *pending_create(site_t *site, h2o_req_t *req)
+static pending_request_t *pending_request_create(site_t *site, h2o_req_t *req)
 {
 	pending_request_t *pending = talloc_zero(site->kv, pending_request_t);
 	request_guard_t *guard = h2o_mem_alloc_shared(&req->pool, sizeof(*guard), on_req_disposed);
@@ -216,7 +216,7 @@
 {
 	const json_t *expected = json_object_get(body, "expected");
 	size_t count = json_array_size(expected);
-	pending_request_t *pending = pending_create(site, req);
+	pending_request_t *pending = pending_request_create(site, req);
 	kv_write_t *writes = talloc_zero_array(pending, kv_write_t, count);
 
 	for (size_t i = 0; i < count; i++) {
@@ -255,7 +255,7 @@
 {
 	uint64_t id = strtoull(req->path_normalized.base + strlen(path), NULL, 10);
 
-	call(&site->client.kv, id, send_result, pending_create(site, req));
+	call(&site->client.kv, id, send_result, pending_request_create(site, req));
 }
 
 static int handle_store(httpd_t *httpd, h2o_req_t *req)
@@ -270,9 +270,9 @@
 	if (path_has_prefix(req, "/kv-range")) {
 		kv->ops->range(kv, get_query_parameter(scratch, req, "prefix"),
 			       get_query_parameter(scratch, req, "after"), send_result,
-			       pending_create(site, req));
+			       pending_request_create(site, req));
 	} else if (path_has_prefix(req, "/kv-watch")) {
-		pending = pending_create(site, req);
+		pending = pending_request_create(site, req);
 		pending->is_watch = true;
 		kv->ops->watch(
 			kv, get_query_parameter(scratch, req, "prefix"),
@@ -288,7 +288,7 @@
 		handle_lease(site, req, "/kv-lease-end/", kv->ops->lease_end);
 	} else if (path_has_prefix(req, "/kv-lease")) {
 		kv->ops->lease_create(kv, json_integer_value(json_object_get(body, "ttlMs")),
-				      send_result, pending_create(site, req));
+				      send_result, pending_request_create(site, req));
 	} else {
 		rc = -1;
 	}
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -1,4 +1,4 @@
-/* Poolers as processes: invalid input, start, shutdown, logs, metrics, settings, cyclamenctl. */
+/* Proxies in pooler mode as processes: invalid input, start, shutdown, logs, settings, commands. */
 #include <errno.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -154,7 +154,7 @@
 	g_string_free(body, TRUE);
 }
 
-/* Each log line is a JSON object whose text does not contain the fields. */
+/* Each log line is a JSON object with separate keys for the text and the fields. */
 static void test_log_lines(void)
 {
 	char *log = site_read_log(site, 0);
