--- a/measure/pooler.c
+++ b/measure/pooler.c
@@ -163,7 +163,7 @@
 	}
 	operation = g_new0(operation_t, 1);
 	operation->kind = pick_kind(run, deployment);
-	operation->caller = world_open_database(run->world, node, operation->kind->database);
+	operation->caller = world_open_session_on(run->world, node, operation->kind->database);
 	operation->next = now_in(run);
 	plan_steps(run, operation);
 	g_ptr_array_add(run->operations, operation);
@@ -250,7 +250,7 @@
 static void restart(pool_world_t *world, fault_t fault)
 {
 	if (fault == FAULT_KILL || fault == FAULT_POWER)
-		stop_all(world, world_start);
+		stop_all(world, world_start_proxy);
 }
 
 /* --- runs --- */
@@ -299,8 +299,8 @@
 
 	run.world->plain = plain;
 	stop_all(run.world, world_kill);
-	stop_all(run.world, world_start);
-	world_settle(run.world);
+	stop_all(run.world, world_start_proxy);
+	world_wait_until_ready(run.world);
 	before = opened(run.world);
 	play(&run, deployment, fault);
 	printf("%-6s %-16s %-6s", deployment->name, fault_names[fault], plain ? "plain" : "");
--- a/tests/fake_kv.c
+++ b/tests/fake_kv.c
@@ -156,7 +156,7 @@
 	return item != NULL ? item->value : NULL;
 }
 
-void fake_kv_revoke(fake_kv_t *store, const char *key)
+void fake_kv_delete_key(fake_kv_t *store, const char *key)
 {
 	fake_kv_put(store, key, NULL);
 }
@@ -183,7 +183,7 @@
 	list_add_tail(to, &item->node);
 }
 
-void fake_kv_copy(fake_kv_t *store)
+void fake_kv_make_backup(fake_kv_t *store)
 {
 	drop_items(&store->copy);
 	list_for_each (it, &store->items)
@@ -191,7 +191,7 @@
 	store->copy_revision = kv_number(store->revision);
 }
 
-void fake_kv_restore(fake_kv_t *store)
+void fake_kv_restore_backup(fake_kv_t *store)
 {
 	int64_t era = kv_era(store->revision) + 1;
 
@@ -212,7 +212,7 @@
 	fake_kv_compact(store);
 }
 
-void fake_kv_delete(fake_kv_t *store, const char *prefix)
+void fake_kv_delete_prefix(fake_kv_t *store, const char *prefix)
 {
 	list_for_each_safe (it, &store->items) {
 		const char *key = list_entry(it, item_t, node)->key;
@@ -612,7 +612,7 @@
 	(void)result;
 }
 
-void fake_kv_client_gone(fake_kv_client_t *client)
+void fake_kv_client_abandon(fake_kv_client_t *client)
 {
 	list_for_each (it, &client->store->calls) {
 		call_t *call = list_entry(it, call_t, node);
--- a/tests/fake_kv.h
+++ b/tests/fake_kv.h
@@ -28,7 +28,7 @@
 	unsigned lose_answers; /* of the next writes, which are done */
 	unsigned lose_keeps;   /* the same of the next renewals of leases */
 	size_t call_count;
-	list_t copy; /* of the items, for fake_kv_restore() */
+	list_t copy; /* of the items, for fake_kv_restore_backup() */
 	int64_t copy_revision;
 } fake_kv_t;
 
@@ -46,23 +46,23 @@
 void fake_kv_client_init(fake_kv_client_t *client, fake_kv_t *store);
 
 /* The caller's process is gone: its calls go on, nobody hears of their ends. */
-void fake_kv_client_gone(fake_kv_client_t *client);
+void fake_kv_client_abandon(fake_kv_client_t *client);
 
 /* The operator's and the members' writes; value NULL deletes. */
 void fake_kv_put(fake_kv_t *store, const char *key, const char *value);
 const char *fake_kv_get(const fake_kv_t *store, const char *key);
 
 /* Take a copy of what it holds. */
-void fake_kv_copy(fake_kv_t *store);
+void fake_kv_make_backup(fake_kv_t *store);
 
 /*
  * It comes back from its copy, in the next era: what was written since is gone, leases and their
  * keys are, and its numbers are given out again.
  */
-void fake_kv_restore(fake_kv_t *store);
+void fake_kv_restore_backup(fake_kv_t *store);
 
 /* Delete all keys that begin so. */
-void fake_kv_delete(fake_kv_t *store, const char *prefix);
+void fake_kv_delete_prefix(fake_kv_t *store, const char *prefix);
 
 /* Drop the history up to now. */
 void fake_kv_compact(fake_kv_t *store);
@@ -71,4 +71,4 @@
 void fake_kv_drop_events(fake_kv_t *store);
 
 /* Take the keys under a lease away although the lease lives. */
-void fake_kv_revoke(fake_kv_t *store, const char *key);
+void fake_kv_delete_key(fake_kv_t *store, const char *key);
--- a/tests/pool_callers.c
+++ b/tests/pool_callers.c
@@ -41,13 +41,13 @@
 	return CLOSE_DONE;
 }
 
-world_caller_t *world_open(pool_world_t *world, size_t at)
+world_caller_t *world_open_session(pool_world_t *world, size_t at)
 {
-	return world_open_database(world, at, WORLD_DATABASE);
+	return world_open_session_on(world, at, WORLD_DATABASE);
 }
 
-world_caller_t *world_open_key(pool_world_t *world, size_t at, const char *database,
-			       const char *key)
+world_caller_t *world_open_session_with_key(pool_world_t *world, size_t at, const char *database,
+					    const char *key)
 {
 	world_node_t *node = &world->nodes[at];
 	world_caller_t *caller = talloc_zero(world, world_caller_t);
@@ -61,9 +61,9 @@
 	return caller;
 }
 
-world_caller_t *world_open_database(pool_world_t *world, size_t at, const char *database)
+world_caller_t *world_open_session_on(pool_world_t *world, size_t at, const char *database)
 {
-	return world_open_key(world, at, database, "");
+	return world_open_session_with_key(world, at, database, "");
 }
 
 static void note_sender(const world_caller_t *caller)
@@ -86,12 +86,12 @@
 	note_sender(caller);
 	snprintf(caller->id, sizeof(caller->id), "q%zu", caller->at->world->next_id++);
 	snprintf(line, sizeof(line), "QUERY %s %s", caller->id, text);
-	protocol_decode_caller(line, strlen(line), &message);
+	protocol_decode_caller_message(line, strlen(line), &message);
 	caller->reply[0] = '\0';
 	caller_on_statement(caller->caller, &message.statement);
 }
 
-const char *world_ask(world_caller_t *caller, const char *text)
+const char *world_send_and_wait(world_caller_t *caller, const char *text)
 {
 	size_t before = caller->replies;
 
@@ -110,7 +110,7 @@
 		caller_on_gone(gone);
 }
 
-bool world_state_is(const world_caller_t *caller, const char *ready)
+bool world_reply_has_state(const world_caller_t *caller, const char *ready)
 {
 	const char *last = strstr(caller->reply, "READY ");
 
--- a/tests/pool_check.c
+++ b/tests/pool_check.c
@@ -7,13 +7,13 @@
 #include "hold.h"
 #include "permit.h"
 
-void assert_begins(const char *text, const char *with)
+void assert_has_prefix(const char *text, const char *with)
 {
 	if (!g_str_has_prefix(text, with))
 		g_error("expected \"%s...\", got \"%s\"", with, text);
 }
 
-const fake_run_t *last_run(const pool_world_t *world, const char *id)
+const fake_run_t *find_last_run(const pool_world_t *world, const char *id)
 {
 	for (size_t i = world->db->run_count; i > 0; i--) {
 		if (strcmp(world->db->runs[i - 1].id, id) == 0)
@@ -22,7 +22,7 @@
 	return NULL;
 }
 
-bool holds_duty(const pool_world_t *world, size_t node)
+bool is_leader(const pool_world_t *world, size_t node)
 {
 	return hold_is_ours(world->nodes[node].pooler, clock_now(&world->clock.base));
 }
@@ -31,7 +31,7 @@
 {
 	size_t node = 0;
 
-	while (holds_duty(world, node) != holds)
+	while (is_leader(world, node) != holds)
 		node++;
 	return node;
 }
@@ -41,7 +41,7 @@
 	return find_node(world, true);
 }
 
-size_t find_other(const pool_world_t *world)
+size_t find_non_leader(const pool_world_t *world)
 {
 	return find_node(world, false);
 }
@@ -55,7 +55,7 @@
 	return count;
 }
 
-size_t count_registered(const pool_world_t *world)
+size_t count_registered_proxies(const pool_world_t *world)
 {
 	size_t count = 0;
 
--- a/tests/pool_directory.c
+++ b/tests/pool_directory.c
@@ -17,7 +17,8 @@
 {
 	world_node_t *node = list_entry(follow, world_node_t, config);
 
-	pooler_on_routes(node->pooler, world_routes(node->world, strtoll(item->value, NULL, 10)));
+	pooler_on_routes(node->pooler,
+			 world_create_routes(node->world, strtoll(item->value, NULL, 10)));
 }
 
 static void on_config_read(follow_t *follow, usec_t asked_at)
@@ -57,7 +58,7 @@
 	follow_start(follow, NULL);
 }
 
-void directory_start(world_node_t *node)
+void directory_start_followers(world_node_t *node)
 {
 	node->members_version = 0;
 	start(node, &node->config, CONFIG_PREFIX, &config_ops);
@@ -65,7 +66,7 @@
 	pooler_set_directory(node->pooler, &node->config, &node->members);
 }
 
-void directory_stop(world_node_t *node)
+void directory_stop_followers(world_node_t *node)
 {
 	if (node->config.ops == NULL)
 		return;
@@ -105,7 +106,7 @@
 	put_version(world, MEMBERS_PREFIX "versioned", ++world->members_version, bytes);
 }
 
-int64_t world_version_at(const pool_world_t *world, size_t node)
+int64_t world_config_version_at(const pool_world_t *world, size_t node)
 {
 	const pooler_t *pooler = world->nodes[node].pooler;
 
--- a/tests/pool_links.c
+++ b/tests/pool_links.c
@@ -69,7 +69,7 @@
 		post(link, &link->from->world->timers, NULL, 0, on_arrived_at_member);
 		return;
 	}
-	g_assert_cmpint(progress, ==, REPLY_WHOLE);
+	g_assert_cmpint(progress, ==, REPLY_COMPLETE);
 	g_assert_cmpuint(scan.reply.raw.len, ==, len);
 	if (!link->started) {
 		link->started = true;
@@ -152,7 +152,7 @@
 	size_t done = 0;
 
 	while (done < len) {
-		size_t line = protocol_line(text + done, len - done, 0);
+		size_t line = protocol_line_length(text + done, len - done, 0);
 
 		post(link, &link->from->world->timers, text + done, line - 2, on_arrived_at_member);
 		done += line;
@@ -208,7 +208,7 @@
 	}
 }
 
-void links_delay(world_node_t *node, usec_t by)
+void links_delay_delivery(world_node_t *node, usec_t by)
 {
 	usec_t until = world_now(node->world) + by;
 
@@ -220,7 +220,7 @@
 	}
 }
 
-bool world_in_transaction(const pool_world_t *world)
+bool world_has_transaction(const pool_world_t *world)
 {
 	for (size_t i = 0; i < world->node_count; i++) {
 		list_for_each (it, &world->nodes[i].links) {
--- a/tests/pool_parts.h
+++ b/tests/pool_parts.h
@@ -12,12 +12,12 @@
 }
 
 /* What the configuration says in that version; the caller frees it. */
-routes_t *world_routes(const pool_world_t *world, int64_t version);
+routes_t *world_create_routes(const pool_world_t *world, int64_t version);
 
 /* --- the directory, in a world that follows the store --- */
 
-void directory_start(world_node_t *node);
-void directory_stop(world_node_t *node);
+void directory_start_followers(world_node_t *node);
+void directory_stop_followers(world_node_t *node);
 void directory_refresh(world_node_t *node, follow_t *follow);
 
 /* --- to members: env_ops_t --- */
@@ -31,7 +31,7 @@
 void links_close_all(world_node_t *node);
 
 /* Nothing more arrives on the links of the node, in either direction, for so long. */
-void links_delay(world_node_t *node, usec_t by);
+void links_delay_delivery(world_node_t *node, usec_t by);
 
 /* --- to callers: env_ops_t --- */
 
--- a/tests/pool_peers.c
+++ b/tests/pool_peers.c
@@ -65,8 +65,8 @@
 	mail->world = from->world;
 	mail->island = from->island;
 	snprintf(mail->to, sizeof(mail->to), "%s", name);
-	text = fleet_encode(message);
-	mail->message = fleet_decode(mail, text, strlen(text));
+	text = peer_message_encode(message);
+	mail->message = peer_message_decode(mail, text, strlen(text));
 	g_assert_nonnull(mail->message);
 	from->messages++;
 	from->bytes += strlen(text);
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -109,7 +109,7 @@
 	route->statement_timeout = 800 * USEC_PER_MSEC;
 	route->objective = WORLD_OBJECTIVE;
 	route->open = world->customer_count == 0 || strcmp(database, "open") == 0 ||
-		      strcmp(database, WORLD_ADDED) == 0;
+		      strcmp(database, WORLD_ADDED_DATABASE) == 0;
 }
 
 static void add_customers(routes_t *routes, const pool_world_t *world)
@@ -125,7 +125,7 @@
 	}
 }
 
-routes_t *world_routes(const pool_world_t *world, int64_t version)
+routes_t *world_create_routes(const pool_world_t *world, int64_t version)
 {
 	routes_t *routes = routes_create(NULL);
 	service_limits_t *limits = routes_add_service(routes, WORLD_SERVICE);
@@ -138,7 +138,7 @@
 	add_route(routes, world, "session", READS_SESSION);
 	add_route(routes, world, "open", READS_BOUNDED);
 	if (world->added_by != 0 && version >= world->added_by)
-		add_route(routes, world, WORLD_ADDED, READS_BOUNDED);
+		add_route(routes, world, WORLD_ADDED_DATABASE, READS_BOUNDED);
 	add_customers(routes, world);
 	limits->max_connections = (int64_t)world->db->config.max_connections;
 	limits->sync_replicas = world->sync_replicas;
@@ -168,7 +168,7 @@
 	}
 }
 
-void world_publish(pool_world_t *world)
+void world_publish_directory(pool_world_t *world)
 {
 	for (size_t i = 0; i < world->node_count; i++) {
 		world_node_t *node = &world->nodes[i];
@@ -176,7 +176,8 @@
 		if (node->pooler == NULL || node->kv.cut || node->frozen)
 			continue;
 		if (world->config_bytes == 0) {
-			pooler_on_routes(node->pooler, world_routes(world, world->config_version));
+			pooler_on_routes(node->pooler,
+					 world_create_routes(world, world->config_version));
 			pooler_on_keys_proved(node->pooler, world_now(world));
 		}
 		publish_members(world, node);
@@ -205,7 +206,7 @@
 	    world_now(world) < world->published + 50 * USEC_PER_MSEC)
 		return;
 	world->published = world_now(world);
-	world_publish(world);
+	world_publish_directory(world);
 }
 
 void world_run(pool_world_t *world, usec_t by)
@@ -229,7 +230,7 @@
 	paused_clock_advance(&world->clock, end - world_now(world));
 }
 
-size_t world_permitted(pool_world_t *world, const char *member)
+size_t world_count_permitted(pool_world_t *world, const char *member)
 {
 	size_t count = 0;
 
@@ -245,7 +246,7 @@
 	return count;
 }
 
-void world_settle(pool_world_t *world)
+void world_wait_until_ready(pool_world_t *world)
 {
 	size_t running = 0;
 
@@ -255,7 +256,7 @@
 		const fake_member_t *leader = fake_leader(world->db);
 
 		world_run(world, 50 * USEC_PER_MSEC);
-		if (leader != NULL && world_permitted(world, leader->id) == running) {
+		if (leader != NULL && world_count_permitted(world, leader->id) == running) {
 			/*
 			 * A new holder of the duty waits for calls of earlier ones, and counts
 			 * only proxies that it has known for 12 s.
@@ -269,7 +270,7 @@
 
 /* --- trouble --- */
 
-void world_start(pool_world_t *world, size_t at)
+void world_start_proxy(pool_world_t *world, size_t at)
 {
 	world_node_t *node = &world->nodes[at];
 	pooler_config_t config = {
@@ -292,9 +293,9 @@
 	node->drained = false;
 	node->pooler = pooler_create(NULL, &config, &node->env, &world->clock.base, &node->timers);
 	if (world->config_bytes != 0)
-		directory_start(node);
+		directory_start_followers(node);
 	else
-		pooler_on_routes(node->pooler, world_routes(world, world->config_version));
+		pooler_on_routes(node->pooler, world_create_routes(world, world->config_version));
 	publish_members(world, node);
 	pooler_start(node->pooler);
 }
@@ -306,15 +307,15 @@
 	links_close_all(node);
 	list_for_each (it, &node->callers)
 		list_entry(it, world_caller_t, node)->caller = NULL;
-	fake_kv_client_gone(&node->kv);
-	directory_stop(node);
+	fake_kv_client_abandon(&node->kv);
+	directory_stop_followers(node);
 	talloc_free(node->pooler);
 	node->pooler = NULL;
 }
 
 void world_power_off(pool_world_t *world, size_t at)
 {
-	links_delay(&world->nodes[at], DEAD_KEPT);
+	links_delay_delivery(&world->nodes[at], DEAD_KEPT);
 	world_kill(world, at);
 }
 
@@ -328,7 +329,7 @@
 	world->nodes[at].frozen = false;
 }
 
-void world_cut_members(pool_world_t *world, size_t at, bool cut)
+void world_set_members_unreachable(pool_world_t *world, size_t at, bool cut)
 {
 	world->nodes[at].cut_from_members = cut;
 }
@@ -377,7 +378,7 @@
 		snprintf(node->name, sizeof(node->name), "p%zu", i);
 		snprintf(node->zone, sizeof(node->zone), "%s", zones[i % 3]);
 		snprintf(node->address, sizeof(node->address), "10.0.1.%zu:1", i);
-		world_start(world, i);
+		world_start_proxy(world, i);
 	}
 	return world;
 }
@@ -392,14 +393,14 @@
 	g_assert_cmpuint(count, <=, WORLD_CUSTOMERS_MAX);
 	memcpy(world->customers, customers, count * sizeof(*customers));
 	world->customer_count = count;
-	world->revoke_bound = WORLD_REVOKE;
+	world->revoke_bound = WORLD_REVOKE_BOUND;
 	world->slack = (limit_slack_t){.part = 0.1, .operations = 20};
 	for (size_t i = 0; i < count; i++)
 		snprintf(world->customers[i].key, WORLD_KEY_MAX, "key-%s", customers[i].name);
 }
 
-pool_world_t *world_create_keyed(size_t nodes, const fake_db_config_t *config,
-				 const world_customer_t *customers, size_t count)
+pool_world_t *world_create_with_customers(size_t nodes, const fake_db_config_t *config,
+					  const world_customer_t *customers, size_t count)
 {
 	pool_world_t *world = make_world(nodes, config);
 
@@ -407,8 +408,8 @@
 	return start_nodes(world);
 }
 
-pool_world_t *world_create_following(size_t nodes, const world_customer_t *customers, size_t count,
-				     size_t bytes)
+pool_world_t *world_create_with_store_config(size_t nodes, const world_customer_t *customers,
+					     size_t count, size_t bytes)
 {
 	pool_world_t *world = make_world(nodes, NULL);
 
--- a/tests/pool_world.h
+++ b/tests/pool_world.h
@@ -13,12 +13,12 @@
 
 #define WORLD_NODES_MAX 160
 /* A fleet whose proxies ask the holder of the duty themselves to be added. */
-#define WORLD_FLEET	64
-#define WORLD_DATABASE	"jobs"
-#define WORLD_SERVICE	"core"
-#define WORLD_REPLY_MAX 512
+#define WORLD_LARGE_FLEET 64
+#define WORLD_DATABASE	  "jobs"
+#define WORLD_SERVICE	  "core"
+#define WORLD_REPLY_MAX	  512
 /* A database that comes with a version; without a key. */
-#define WORLD_ADDED "added"
+#define WORLD_ADDED_DATABASE "added"
 /* Of every route, for an operation. */
 #define WORLD_OBJECTIVE (200 * USEC_PER_MSEC)
 
@@ -97,11 +97,11 @@
 	usec_t max_age;
 	int64_t config_version;
 	int64_t members_version; /* of world_write_members() */
-	int64_t added_by;	 /* the version from which on there is WORLD_ADDED; 0: none */
-	size_t config_bytes;	 /* of a configuration in the store; 0: proxies are handed it */
-	bool new_links;		 /* a message to a proxy that none was sent to before is not sent */
-	bool plain;	    /* of proxies that start: no order by lateness, no help of others */
-	bool sync_replicas; /* as the configuration says */
+	int64_t added_by;    /* the version from which on there is WORLD_ADDED_DATABASE; 0: none */
+	size_t config_bytes; /* of a configuration in the store; 0: proxies are handed it */
+	bool new_links;	     /* a message to a proxy that none was sent to before is not sent */
+	bool plain;	     /* of proxies that start: no order by lateness, no help of others */
+	bool sync_replicas;  /* as the configuration says */
 	/* With any, routes but "open" ask for a key. */
 	world_customer_t customers[WORLD_CUSTOMERS_MAX];
 	size_t customer_count;
@@ -113,22 +113,22 @@
 } pool_world_t;
 
 /* Until when a key that was taken may be served, in worlds with customers. */
-#define WORLD_REVOKE (5 * USEC_PER_SEC)
+#define WORLD_REVOKE_BOUND (5 * USEC_PER_SEC)
 
 /* config NULL: three members, 2 slots, 16 connections, 4 ms of work, 60 ms behind. */
 pool_world_t *world_create(size_t nodes, const fake_db_config_t *config);
 void world_destroy(pool_world_t *world);
 
 /* The same with customers, each "NAME" with the key "key-NAME". */
-pool_world_t *world_create_keyed(size_t nodes, const fake_db_config_t *config,
-				 const world_customer_t *customers, size_t count);
+pool_world_t *world_create_with_customers(size_t nodes, const fake_db_config_t *config,
+					  const world_customer_t *customers, size_t count);
 
 /*
  * The same of proxies that read the configuration from the store and tell each other, instead of
  * being handed it. bytes: of the configuration.
  */
-pool_world_t *world_create_following(size_t nodes, const world_customer_t *customers, size_t count,
-				     size_t bytes);
+pool_world_t *world_create_with_store_config(size_t nodes, const world_customer_t *customers,
+					     size_t count, size_t bytes);
 
 /* The operators write a new version to the store. */
 void world_write_config(pool_world_t *world);
@@ -137,37 +137,37 @@
 void world_write_members(pool_world_t *world, size_t bytes);
 
 /* The version in force at the proxy; 0: none. */
-int64_t world_version_at(const pool_world_t *world, size_t node);
+int64_t world_config_version_at(const pool_world_t *world, size_t node);
 
 /* Let time pass. */
 void world_run(pool_world_t *world, usec_t by);
 
 /* Configuration and members as they are now, to every proxy that reaches the store. */
-void world_publish(pool_world_t *world);
+void world_publish_directory(pool_world_t *world);
 
 /* Until a primary is in use everywhere. */
-void world_settle(pool_world_t *world);
+void world_wait_until_ready(pool_world_t *world);
 
 /* --- callers --- */
 
-world_caller_t *world_open(pool_world_t *world, size_t node);
+world_caller_t *world_open_session(pool_world_t *world, size_t node);
 
 /* The same with one of the databases "strict", "bounded" and "session", by their kind of reads. */
-world_caller_t *world_open_database(pool_world_t *world, size_t node, const char *database);
+world_caller_t *world_open_session_on(pool_world_t *world, size_t node, const char *database);
 
 /* The same by a customer's key. */
-world_caller_t *world_open_key(pool_world_t *world, size_t node, const char *database,
-			       const char *key);
+world_caller_t *world_open_session_with_key(pool_world_t *world, size_t node, const char *database,
+					    const char *key);
 
 /* Send a statement; the id is made up. */
 void world_send(world_caller_t *caller, const char *text);
 
 /* Send it and wait for the reply, a second at most; returns the reply's first line. */
-const char *world_ask(world_caller_t *caller, const char *text);
+const char *world_send_and_wait(world_caller_t *caller, const char *text);
 void world_leave(world_caller_t *caller);
 
 /* The reply's last line begins so. */
-bool world_state_is(const world_caller_t *caller, const char *ready);
+bool world_reply_has_state(const world_caller_t *caller, const char *ready);
 
 /* --- trouble --- */
 
@@ -176,7 +176,7 @@
 
 /* Its VM loses power: the members keep its connections for 3 s. */
 void world_power_off(pool_world_t *world, size_t node);
-void world_start(pool_world_t *world, size_t node);
+void world_start_proxy(pool_world_t *world, size_t node);
 void world_freeze(pool_world_t *world, size_t node);
 void world_thaw(pool_world_t *world, size_t node);
 
@@ -184,15 +184,15 @@
 void world_crash_member(pool_world_t *world, size_t member);
 
 /* Packets between this proxy and all members are lost from now on. */
-void world_cut_members(pool_world_t *world, size_t node, bool cut);
+void world_set_members_unreachable(pool_world_t *world, size_t node, bool cut);
 
 /* --- looking --- */
 
 /* True if some connection to a member is in a transaction. */
-bool world_in_transaction(const pool_world_t *world);
+bool world_has_transaction(const pool_world_t *world);
 
 /* Fails the test if a member has run a statement for another customer than its sender's. */
 void world_check_customers(const pool_world_t *world);
 
 /* How many proxies may use the primary of that id now. */
-size_t world_permitted(pool_world_t *world, const char *member);
+size_t world_count_permitted(pool_world_t *world, const char *member);
--- a/tests/standin_control.c
+++ b/tests/standin_control.c
@@ -94,7 +94,7 @@
 	else if (strcmp(word, "compact") == 0)
 		fake_kv_compact(site->kv);
 	else if (strcmp(word, "copy") == 0)
-		fake_kv_copy(site->kv);
+		fake_kv_make_backup(site->kv);
 	else if (strcmp(word, "restore") == 0)
 		site_restore(site);
 }
--- a/tests/standin_members.c
+++ b/tests/standin_members.c
@@ -39,7 +39,7 @@
 static size_t on_line(stream_t *stream, const char *data, size_t len)
 {
 	link_t *link = list_entry(stream, link_t, stream);
-	size_t line = protocol_line(data, len, 0);
+	size_t line = protocol_line_length(data, len, 0);
 
 	if (line != 0 && link->session != NULL)
 		fake_line(link->session, data, line - 2);
--- a/tests/standin_site.c
+++ b/tests/standin_site.c
@@ -300,9 +300,9 @@
 {
 	char *newest = talloc_strdup(NULL, fake_kv_get(site->kv, KEY_CONFIG));
 
-	fake_kv_restore(site->kv);
+	fake_kv_restore_backup(site->kv);
 	fake_kv_put(site->kv, KEY_CONFIG, newest);
-	fake_kv_delete(site->kv, PREFIX_MEMBERS);
+	fake_kv_delete_prefix(site->kv, PREFIX_MEMBERS);
 	for (size_t i = 0; i < G_N_ELEMENTS(site->listeners); i++)
 		site->listeners[i].listed[0] = '\0';
 	talloc_free(newest);
@@ -341,8 +341,8 @@
 	bool done = site->cloud_state != CLOUD_REFUSES && member != NULL &&
 		    fake_promote(member->db, member);
 
-	control_record_promote(header(scratch, req, HEADER_HOLDER),
-			       header(scratch, req, HEADER_FENCE),
+	control_record_promote(header(scratch, req, HEADER_LEADER),
+			       header(scratch, req, HEADER_FENCING_TOKEN),
 			       member != NULL ? member->db->config.service : "", id, done);
 	talloc_free(scratch);
 	json_decref(body);
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -22,7 +22,7 @@
 
 static routes_t *read_config(const char *text)
 {
-	char *sealed = config_seal(NULL, text, strlen(text));
+	char *sealed = config_hash_keys(NULL, text, strlen(text));
 	routes_t *routes = config_decode(NULL, sealed, strlen(sealed));
 
 	talloc_free(sealed);
@@ -39,8 +39,8 @@
 /* Proxies tell each other the text, and may write it to a log. */
 static void test_no_key_is_left(void)
 {
-	char *sealed = config_seal(NULL, config, strlen(config));
-	char *again = config_seal(NULL, "not {\"apiKeys\":[\"" KEY "\"]}", 30);
+	char *sealed = config_hash_keys(NULL, config, strlen(config));
+	char *again = config_hash_keys(NULL, "not {\"apiKeys\":[\"" KEY "\"]}", 30);
 
 	g_assert_null(strstr(sealed, KEY));
 	g_assert_null(strstr(sealed, "apiKeys"));
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -14,7 +14,7 @@
 {
 	json_t *root = json_loads(text, JSON_DECODE_ANY, NULL);
 	const char *why;
-	bool ok = entry_decode(root, id, entry, &why);
+	bool ok = member_entry_decode(root, id, entry, &why);
 
 	g_assert_true(ok == (why == NULL));
 	json_decref(root);
@@ -27,7 +27,7 @@
 	member_entry_t entry;
 	const char *why;
 
-	g_assert_true(entry_decode(root, "i-1", &entry, &why));
+	g_assert_true(member_entry_decode(root, "i-1", &entry, &why));
 	g_assert_cmpstr(entry.service, ==, "core");
 	g_assert_cmpstr(entry.address, ==, "10.0.0.9:8080");
 	g_assert_cmpint(entry.slots, ==, 2);
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -81,10 +81,10 @@
 	caller_message_t message;
 	member_request_t request = {.kind = REQUEST_FORWARD, .statement = &message.statement};
 	protocol_buffer_t again = {0};
-	size_t line = protocol_line(data, len, 0);
+	size_t line = protocol_line_length(data, len, 0);
 
 	g_assert_cmpuint(line, <=, len);
-	protocol_decode_caller(data, len, &message);
+	protocol_decode_caller_message(data, len, &message);
 	if (message.kind != CALLER_QUERY || message.statement.kind == STATEMENT_MALFORMED)
 		return;
 	protocol_encode_request(&again, &request);
@@ -111,7 +111,7 @@
 	g_assert_cmpuint(whole.done, <=, len);
 	g_assert_cmpint(parts.reply.ok, ==, whole.reply.ok);
 	g_assert_cmpuint(parts.reply.row.len, ==, whole.reply.row.len);
-	if (progress == REPLY_WHOLE) {
+	if (progress == REPLY_COMPLETE) {
 		g_assert_true(whole.reply.raw.at == data);
 		g_assert_cmpuint(whole.reply.raw.len, ==, whole.done);
 	}
@@ -122,15 +122,15 @@
 static void check_fleet(const char *data, size_t len)
 {
 	void *parent = talloc_new(NULL);
-	const peer_message_t *message = fleet_decode(parent, data, len);
+	const peer_message_t *message = peer_message_decode(parent, data, len);
 
 	if (message != NULL) {
-		char *text = fleet_encode(message);
-		const peer_message_t *back = fleet_decode(parent, text, strlen(text));
+		char *text = peer_message_encode(message);
+		const peer_message_t *back = peer_message_decode(parent, text, strlen(text));
 		char *again;
 
 		g_assert_nonnull(back);
-		again = fleet_encode(back);
+		again = peer_message_encode(back);
 		g_assert_cmpstr(again, ==, text);
 		free(again);
 		free(text);
@@ -147,7 +147,7 @@
 /* What the store holds is sealed before it is read. */
 static void check_config(const char *data, size_t len)
 {
-	char *sealed = config_seal(NULL, data, len);
+	char *sealed = config_hash_keys(NULL, data, len);
 	routes_t *routes = config_decode(NULL, sealed, strlen(sealed));
 
 	talloc_free(sealed);
@@ -175,7 +175,7 @@
 	member_entry_t entry;
 	const char *why;
 
-	if (entry_decode(root, "id", &entry, &why)) {
+	if (member_entry_decode(root, "id", &entry, &why)) {
 		g_assert_null(why);
 		g_assert_cmpstr(entry.service, !=, "");
 		g_assert_nonnull(strchr(entry.address, ':'));
--- a/tests/test_pooler.c
+++ b/tests/test_pooler.c
@@ -16,11 +16,11 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 1);
-	assert_begins(world_ask(caller, "WRITE truck-1 busy"), "DONE core-0");
-	g_assert_true(world_state_is(caller, "READY I 1.1"));
-	assert_begins(world_ask(caller, "READ truck-1"), "ROW busy\r\nDONE core-");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 1);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE truck-1 busy"), "DONE core-0");
+	g_assert_true(world_reply_has_state(caller, "READY I 1.1"));
+	assert_has_prefix(world_send_and_wait(caller, "READ truck-1"), "ROW busy\r\nDONE core-");
 	world_destroy(world);
 }
 
@@ -31,19 +31,21 @@
 	world_caller_t *other;
 	char first[40];
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	other = world_open(world, 0);
-	assert_begins(world_ask(caller, "BEGIN"), "DONE -\r\nREADY T -");
-	assert_begins(world_ask(caller, "WRITE job-1 open"), "DONE core-0\r\nREADY T");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	other = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE -\r\nREADY T -");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 open"),
+			  "DONE core-0\r\nREADY T");
 	snprintf(first, sizeof(first), "%s", caller->id);
-	assert_begins(world_ask(other, "READ job-1"), "ROW none");
-	assert_begins(world_ask(caller, "READ job-1"), "ROW open\r\nDONE core-0\r\nREADY T");
-	g_assert_cmpuint(last_run(world, first)->tx, ==, last_run(world, caller->id)->tx);
-	assert_begins(world_ask(caller, "COMMIT"), "DONE core-0\r\nREADY I 1.1");
-	assert_begins(world_ask(other, "BEGIN"), "DONE -");
-	assert_begins(world_ask(other, "READ job-1"), "ROW open");
-	assert_begins(world_ask(other, "ROLLBACK"), "DONE -\r\nREADY I");
+	assert_has_prefix(world_send_and_wait(other, "READ job-1"), "ROW none");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"),
+			  "ROW open\r\nDONE core-0\r\nREADY T");
+	g_assert_cmpuint(find_last_run(world, first)->tx, ==, find_last_run(world, caller->id)->tx);
+	assert_has_prefix(world_send_and_wait(caller, "COMMIT"), "DONE core-0\r\nREADY I 1.1");
+	assert_has_prefix(world_send_and_wait(other, "BEGIN"), "DONE -");
+	assert_has_prefix(world_send_and_wait(other, "READ job-1"), "ROW open");
+	assert_has_prefix(world_send_and_wait(other, "ROLLBACK"), "DONE -\r\nREADY I");
 	world_destroy(world);
 }
 
@@ -53,10 +55,10 @@
 	pool_world_t *world = world_create(1, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "BEGIN");
-	assert_begins(world_ask(caller, "COMMIT"), "DONE core-0\r\nREADY I");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "BEGIN");
+	assert_has_prefix(world_send_and_wait(caller, "COMMIT"), "DONE core-0\r\nREADY I");
 	world_destroy(world);
 }
 
@@ -72,20 +74,20 @@
 	world_caller_t *b;
 
 	world->reads = READS_PRIMARY;
-	world_settle(world);
-	a = world_open(world, 0);
-	b = world_open(world, 0);
-	assert_begins(world_ask(a, "SET lang cy"), "DONE -");
-	assert_begins(world_ask(a, "SET tz utc"), "DONE -");
-	assert_begins(world_ask(b, "SET lang fr"), "DONE -");
-	assert_begins(world_ask(a, "PREPARE s1 WRITE q1"), "DONE -");
-	assert_begins(world_ask(b, "PREPARE s1 READ q2"), "DONE -");
-	assert_begins(world_ask(a, "EXEC s1 case-1 filed"), "DONE core-0");
-	g_assert_cmpstr(last_run(world, a->id)->values, ==, "lang cy;tz utc;");
-	assert_begins(world_ask(b, "EXEC s1 case-1"), "ROW filed");
-	g_assert_cmpstr(last_run(world, b->id)->values, ==, "lang fr;");
-	assert_begins(world_ask(a, "FORGET s1"), "DONE -");
-	assert_begins(world_ask(a, "EXEC s1 case-1 again"), "ERR NOSTMT");
+	world_wait_until_ready(world);
+	a = world_open_session(world, 0);
+	b = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(a, "SET lang cy"), "DONE -");
+	assert_has_prefix(world_send_and_wait(a, "SET tz utc"), "DONE -");
+	assert_has_prefix(world_send_and_wait(b, "SET lang fr"), "DONE -");
+	assert_has_prefix(world_send_and_wait(a, "PREPARE s1 WRITE q1"), "DONE -");
+	assert_has_prefix(world_send_and_wait(b, "PREPARE s1 READ q2"), "DONE -");
+	assert_has_prefix(world_send_and_wait(a, "EXEC s1 case-1 filed"), "DONE core-0");
+	g_assert_cmpstr(find_last_run(world, a->id)->values, ==, "lang cy;tz utc;");
+	assert_has_prefix(world_send_and_wait(b, "EXEC s1 case-1"), "ROW filed");
+	g_assert_cmpstr(find_last_run(world, b->id)->values, ==, "lang fr;");
+	assert_has_prefix(world_send_and_wait(a, "FORGET s1"), "DONE -");
+	assert_has_prefix(world_send_and_wait(a, "EXEC s1 case-1 again"), "ERR NOSTMT");
 	world_destroy(world);
 }
 
@@ -100,12 +102,12 @@
 	usec_t before;
 
 	world->reads = READS_PRIMARY;
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "READ a"), "ROW none");
-	world_ask(caller, "PREPARE s1 WRITE q1");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "READ a"), "ROW none");
+	world_send_and_wait(caller, "PREPARE s1 WRITE q1");
 	before = clock_now(&world->clock.base);
-	assert_begins(world_ask(caller, "EXEC s1 case-1 filed"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "EXEC s1 case-1 filed"), "DONE core-0");
 	/* Two ways of 1 ms, 4 ms of work, and a step of the world. */
 	g_assert_cmpuint(clock_now(&world->clock.base) - before, <=, 7 * MSEC);
 	world_destroy(world);
@@ -118,16 +120,16 @@
 	world_caller_t *caller;
 	bool refused = false;
 
-	world_settle(world);
-	caller = world_open(world, 0);
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
 	for (int i = 0; i < 100; i++) {
 		char text[32];
 
 		snprintf(text, sizeof(text), "SET n%d x", i);
-		refused = !g_str_has_prefix(world_ask(caller, text), "DONE") || refused;
+		refused = !g_str_has_prefix(world_send_and_wait(caller, text), "DONE") || refused;
 	}
 	g_assert_true(refused);
-	assert_begins(world_ask(caller, "READ a"), "ROW none");
+	assert_has_prefix(world_send_and_wait(caller, "READ a"), "ROW none");
 	world_destroy(world);
 }
 
@@ -141,15 +143,15 @@
 	pool_world_t *world = world_create(1, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
 	for (int i = 0; i < 6; i++) {
 		char text[240];
 
 		snprintf(text, sizeof(text), "SET n%d %0200d", i, i);
-		assert_begins(world_ask(caller, text), "DONE");
+		assert_has_prefix(world_send_and_wait(caller, text), "DONE");
 	}
-	assert_begins(world_ask(caller, "READ a"), "ERR BUSY");
+	assert_has_prefix(world_send_and_wait(caller, "READ a"), "ERR BUSY");
 	world_destroy(world);
 }
 
@@ -163,14 +165,15 @@
 	world_caller_t *caller;
 
 	world->reads = READS_PRIMARY;
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "BEGIN");
-	assert_begins(world_ask(caller, "WRITE job-1 open"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "BEGIN");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 open"), "DONE core-0");
 	world_leave(caller);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW none\r\nDONE core-0\r\nREADY I");
-	g_assert_cmpuint(last_run(world, caller->id)->tx, ==, 0);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"),
+			  "ROW none\r\nDONE core-0\r\nREADY I");
+	g_assert_cmpuint(find_last_run(world, caller->id)->tx, ==, 0);
 	world_destroy(world);
 }
 
@@ -179,7 +182,7 @@
 	pool_world_t *world = world_create(1, NULL);
 	code_t code = CODE_NONE;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	g_assert_null(pooler_caller_open(world->nodes[0].pooler, "nowhere", slice_of("", 0), NULL,
 					 &code));
 	g_assert_cmpint(code, ==, CODE_NO_DATABASE);
@@ -198,16 +201,16 @@
 	world_caller_t *caller;
 
 	world->reads = READS_SESSION;
-	world_settle(world);
-	caller = world_open(world, 0);
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
 	for (int i = 0; i < 20; i++) {
 		char text[40];
 		char row[40];
 
 		snprintf(text, sizeof(text), "WRITE job-7 v%d", i);
 		snprintf(row, sizeof(row), "ROW v%d\r\n", i);
-		assert_begins(world_ask(caller, text), "DONE core-0");
-		assert_begins(world_ask(caller, "READ job-7"), row);
+		assert_has_prefix(world_send_and_wait(caller, text), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "READ job-7"), row);
 	}
 	world_destroy(world);
 }
@@ -223,23 +226,23 @@
 	world_caller_t *reader;
 
 	world->reads = READS_BOUNDED;
-	world_settle(world);
-	writer = world_open(world, 0);
-	reader = world_open(world, 1);
-	assert_begins(world_ask(writer, "WRITE job-1 old"), "DONE");
+	world_wait_until_ready(world);
+	writer = world_open_session(world, 0);
+	reader = world_open_session(world, 1);
+	assert_has_prefix(world_send_and_wait(writer, "WRITE job-1 old"), "DONE");
 	world_run(world, SEC);
 	world->db->members[1].deaf = true;
 	world->db->members[2].deaf = true;
-	assert_begins(world_ask(writer, "WRITE job-1 new"), "DONE");
+	assert_has_prefix(world_send_and_wait(writer, "WRITE job-1 new"), "DONE");
 	for (int i = 0; i < 30; i++) {
 		usec_t before = clock_now(&world->clock.base);
-		const char *row = world_ask(reader, "READ job-1");
+		const char *row = world_send_and_wait(reader, "READ job-1");
 
 		if (i * 100 * MSEC > world->max_age)
-			assert_begins(row, "ROW new");
+			assert_has_prefix(row, "ROW new");
 		else
-			assert_begins(row, "ROW ");
-		world_ask(writer, "WRITE job-2 x"); /* brings positions of the primary */
+			assert_has_prefix(row, "ROW ");
+		world_send_and_wait(writer, "WRITE job-2 x"); /* brings positions of the primary */
 		world_run(world, before + 100 * MSEC - clock_now(&world->clock.base));
 	}
 	world_destroy(world);
@@ -256,11 +259,11 @@
 	pool_world_t *world = world_create(1, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE");
 	world->db->members[0].lose_answers = 1;
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "ERR INDOUBT");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "ERR INDOUBT");
 	world_run(world, 2 * SEC);
 	g_assert_cmpuint(fake_count(&world->db->members[0], caller->id), ==, 1);
 	g_assert_cmpuint(run_count(world, caller->id), ==, 1);
@@ -274,11 +277,11 @@
 	world_caller_t *caller;
 
 	world->reads = READS_PRIMARY;
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE");
 	world->db->members[0].lose_answers = 1;
-	assert_begins(world_ask(caller, "READ job-1"), "ROW a");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW a");
 	g_assert_cmpuint(run_count(world, caller->id), ==, 2);
 	world_destroy(world);
 }
@@ -294,15 +297,15 @@
 	world_caller_t *caller;
 	char write[40];
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "BEGIN");
-	assert_begins(world_ask(caller, "WRITE job-1 open"), "DONE");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "BEGIN");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 open"), "DONE");
 	snprintf(write, sizeof(write), "%s", caller->id);
 	world_crash_member(world, 0);
 	world_run(world, 20 * MSEC);
-	assert_begins(world_ask(caller, "READ job-1"), "ERR ABORTED");
-	assert_begins(world_ask(caller, "ROLLBACK"), "DONE -\r\nREADY I");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ERR ABORTED");
+	assert_has_prefix(world_send_and_wait(caller, "ROLLBACK"), "DONE -\r\nREADY I");
 	world_run(world, 5 * SEC);
 	g_assert_cmpuint(fake_count(fake_leader(world->db), write), ==, 0);
 	world_destroy(world);
@@ -319,19 +322,19 @@
 	fake_member_t *member;
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	member = &world->db->members[0];
-	caller = world_open_database(world, 0, "strict");
+	caller = world_open_session_on(world, 0, "strict");
 	member->reset_answers = 1;
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "ERR INDOUBT");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "ERR INDOUBT");
 	world_run(world, SEC);
 	g_assert_cmpuint(run_count(world, caller->id), ==, 1);
 	member->reset_answers = 1;
-	assert_begins(world_ask(caller, "READ job-1"), "ROW b");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW b");
 	g_assert_cmpuint(run_count(world, caller->id), ==, 2);
-	assert_begins(world_ask(caller, "BEGIN"), "DONE -");
+	assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE -");
 	member->reset_answers = 1;
-	assert_begins(world_ask(caller, "READ job-1"), "ERR ABORTED");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ERR ABORTED");
 	world_destroy(world);
 }
 
@@ -345,13 +348,13 @@
 	pool_world_t *world = world_create(1, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open_database(world, 0, "strict");
-	assert_begins(world_ask(caller, "READ job-1"), "ROW");
-	assert_begins(world_ask(caller, "BEGIN"), "DONE -");
+	world_wait_until_ready(world);
+	caller = world_open_session_on(world, 0, "strict");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW");
+	assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE -");
 	world->db->members[0].refuse_begins = 2;
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
-	assert_begins(world_ask(caller, "ROLLBACK"), "DONE");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "ROLLBACK"), "DONE");
 	world_run(world, SEC);
 	g_assert_null(fake_value(&world->db->members[0], "job-1"));
 	world_destroy(world);
@@ -370,10 +373,10 @@
 	member_t *member;
 	member_entry_t entry;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	pooler = world->nodes[0].pooler;
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world->stale_directory = true;
 	member = member_find(pooler, "core-0");
 	entry = (member_entry_t){
@@ -396,7 +399,7 @@
 	entry.leaving = true;
 	pooler_on_member(pooler, &entry);
 	g_assert_false(member->leaving);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -35,9 +35,9 @@
 
 static pool_world_t *start(size_t nodes, const fake_db_config_t *config)
 {
-	pool_world_t *world = world_create_keyed(nodes, config, two, G_N_ELEMENTS(two));
+	pool_world_t *world = world_create_with_customers(nodes, config, two, G_N_ELEMENTS(two));
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	return world;
 }
 
@@ -55,7 +55,7 @@
 
 static void expect_run(world_caller_t *caller, const char *text, const char *customer)
 {
-	const char *reply = world_ask(caller, text);
+	const char *reply = world_send_and_wait(caller, text);
 
 	g_assert_false(g_str_has_prefix(reply, "ERR"));
 	g_assert_cmpstr(who_ran(caller->at->world, caller->id), ==, customer);
@@ -63,7 +63,7 @@
 
 static void expect_refused(world_caller_t *caller, const char *text, const char *error)
 {
-	const char *reply = world_ask(caller, text);
+	const char *reply = world_send_and_wait(caller, text);
 
 	if (!g_str_has_prefix(reply, error))
 		g_error("%s: %s, expected %s", text, reply, error);
@@ -73,7 +73,7 @@
 static void new_version(pool_world_t *world)
 {
 	world->config_version++;
-	world_publish(world);
+	world_publish_directory(world);
 }
 
 /* --- whose statements --- */
@@ -88,18 +88,18 @@
 	pool_world_t *world = start(nodes, config);
 
 	for (size_t i = 0; i < nodes; i++) {
-		world_caller_t *ada = world_open_key(world, i, "session", "key-ada");
-		world_caller_t *ben = world_open_key(world, i, "strict", "key-ben");
-		world_caller_t *any = world_open_key(world, i, "open", "");
+		world_caller_t *ada = world_open_session_with_key(world, i, "session", "key-ada");
+		world_caller_t *ben = world_open_session_with_key(world, i, "strict", "key-ben");
+		world_caller_t *any = world_open_session_with_key(world, i, "open", "");
 
 		expect_run(ada, "READ a", "ada");
 		expect_run(ben, "WRITE a 1", "ben");
-		world_ask(ada, "BEGIN");
+		world_send_and_wait(ada, "BEGIN");
 		expect_run(ada, "WRITE a 2", "ada");
 		expect_run(any, "READ a", "public");
 		expect_run(ben, "READ a", "ben");
 		expect_run(ada, "COMMIT", "ada");
-		world_ask(ben, "PREPARE p READ shape");
+		world_send_and_wait(ben, "PREPARE p READ shape");
 		expect_run(ben, "EXEC p a", "ben");
 	}
 	world_destroy(world);
@@ -135,12 +135,12 @@
 	};
 	pool_world_t *world = start(1, &one);
 	world_caller_t *busy[6];
-	world_caller_t *ben = world_open_key(world, 0, "strict", "key-ben");
+	world_caller_t *ben = world_open_session_with_key(world, 0, "strict", "key-ben");
 	size_t replies = ben->replies;
 	usec_t began;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(busy); i++)
-		busy[i] = world_open_key(world, 0, "strict", "key-ada");
+		busy[i] = world_open_session_with_key(world, 0, "strict", "key-ada");
 	for (int step = 0; step < 500; step++) {
 		for (size_t i = 0; i < G_N_ELEMENTS(busy); i++) {
 			if (!caller_is_busy(busy[i]->caller))
@@ -166,11 +166,13 @@
 {
 	pool_world_t *world = start(2, NULL);
 
-	g_assert_cmpint(world_open_key(world, 0, "strict", "key-eve")->refused, ==, CODE_NO_AUTH);
-	g_assert_cmpint(world_open_key(world, 0, "strict", "")->refused, ==, CODE_NO_AUTH);
-	g_assert_cmpint(world_open_key(world, 0, "nowhere", "key-ada")->refused, ==,
+	g_assert_cmpint(world_open_session_with_key(world, 0, "strict", "key-eve")->refused, ==,
+			CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 0, "strict", "")->refused, ==,
+			CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 0, "nowhere", "key-ada")->refused, ==,
 			CODE_NO_DATABASE);
-	g_assert_nonnull(world_open_key(world, 0, "open", "key-eve")->caller);
+	g_assert_nonnull(world_open_session_with_key(world, 0, "open", "key-eve")->caller);
 	world_destroy(world);
 }
 
@@ -182,17 +184,17 @@
 static void test_key_taken(void)
 {
 	pool_world_t *world = start(2, NULL);
-	world_caller_t *lone = world_open_key(world, 0, "strict", "key-ada");
-	world_caller_t *within = world_open_key(world, 0, "strict", "key-ada");
-	world_caller_t *other = world_open_key(world, 0, "strict", "key-ben");
+	world_caller_t *lone = world_open_session_with_key(world, 0, "strict", "key-ada");
+	world_caller_t *within = world_open_session_with_key(world, 0, "strict", "key-ada");
+	world_caller_t *other = world_open_session_with_key(world, 0, "strict", "key-ben");
 
 	expect_run(lone, "WRITE a 1", "ada");
-	world_ask(within, "BEGIN");
+	world_send_and_wait(within, "BEGIN");
 	expect_run(within, "WRITE a 2", "ada");
 	world->customers[0].key[0] = '\0';
 	new_version(world);
 	world_run(world, 10 * MSEC);
-	g_assert_false(world_in_transaction(world));
+	g_assert_false(world_has_transaction(world));
 	expect_refused(within, "WRITE a 3", "ERR ABORTED");
 	expect_refused(lone, "READ a", "ERR NOAUTH");
 	expect_run(other, "READ a", "ben");
@@ -201,7 +203,8 @@
 	world_run(world, SEC);
 	g_assert_null(lone->caller);
 	g_assert_nonnull(other->caller);
-	g_assert_cmpint(world_open_key(world, 1, "strict", "key-ada")->refused, ==, CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 1, "strict", "key-ada")->refused, ==,
+			CODE_NO_AUTH);
 	world_destroy(world);
 }
 
@@ -211,9 +214,9 @@
 static void test_key_taken_while_busy(void)
 {
 	pool_world_t *world = start(2, NULL);
-	world_caller_t *caller = world_open_key(world, 0, "strict", "key-ada");
+	world_caller_t *caller = world_open_session_with_key(world, 0, "strict", "key-ada");
 
-	world_ask(caller, "BEGIN");
+	world_send_and_wait(caller, "BEGIN");
 	world_send(caller, "WRITE a 1");
 	world_run(world, MSEC);
 	world->customers[0].key[0] = '\0';
@@ -233,11 +236,11 @@
 static void test_key_passed_on(void)
 {
 	pool_world_t *world = start(2, NULL);
-	world_caller_t *lone = world_open_key(world, 0, "strict", "key-ada");
-	world_caller_t *within = world_open_key(world, 0, "strict", "key-ada");
+	world_caller_t *lone = world_open_session_with_key(world, 0, "strict", "key-ada");
+	world_caller_t *within = world_open_session_with_key(world, 0, "strict", "key-ada");
 
 	expect_run(lone, "READ a", "ada");
-	world_ask(within, "BEGIN");
+	world_send_and_wait(within, "BEGIN");
 	expect_run(within, "WRITE a 1", "ada");
 	snprintf(world->customers[0].key, WORLD_KEY_MAX, "key-new");
 	snprintf(world->customers[1].key, WORLD_KEY_MAX, "key-ada");
@@ -263,14 +266,14 @@
 static void test_cut_off(void)
 {
 	pool_world_t *world = start(3, NULL);
-	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
+	world_caller_t *caller = world_open_session_with_key(world, 2, "bounded", "key-ada");
 	usec_t cut_at = now_in(world);
 
 	cut_off(world, 2, true);
 	while (now_in(world) < cut_at + 8 * SEC) {
-		const char *reply = world_ask(caller, "READ a");
+		const char *reply = world_send_and_wait(caller, "READ a");
 
-		if (now_in(world) > cut_at + WORLD_REVOKE)
+		if (now_in(world) > cut_at + WORLD_REVOKE_BOUND)
 			g_assert_true(g_str_has_prefix(reply, "ERR"));
 		else if (now_in(world) < cut_at + SEC)
 			g_assert_false(g_str_has_prefix(reply, "ERR"));
@@ -280,10 +283,11 @@
 	g_assert_false(pooler_is_ready(world->nodes[2].pooler));
 	world_run(world, SEC);
 	g_assert_null(caller->caller);
-	g_assert_cmpint(world_open_key(world, 2, "bounded", "key-ada")->refused, ==, CODE_BUSY);
+	g_assert_cmpint(world_open_session_with_key(world, 2, "bounded", "key-ada")->refused, ==,
+			CODE_BUSY);
 	cut_off(world, 2, false);
 	world_run(world, 3 * SEC);
-	expect_run(world_open_key(world, 2, "bounded", "key-ada"), "READ a", "ada");
+	expect_run(world_open_session_with_key(world, 2, "bounded", "key-ada"), "READ a", "ada");
 	world_destroy(world);
 }
 
@@ -295,7 +299,7 @@
 static void test_frozen(void)
 {
 	pool_world_t *world = start(3, NULL);
-	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
+	world_caller_t *caller = world_open_session_with_key(world, 2, "bounded", "key-ada");
 
 	expect_run(caller, "READ a", "ada");
 	world_freeze(world, 2);
@@ -318,7 +322,7 @@
 static void test_proved_by_peers(void)
 {
 	pool_world_t *world = start(3, NULL);
-	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
+	world_caller_t *caller = world_open_session_with_key(world, 2, "bounded", "key-ada");
 	usec_t end = now_in(world) + 12 * SEC;
 
 	world->nodes[2].kv.cut = true;
@@ -338,15 +342,15 @@
 static void test_nobody_proves(void)
 {
 	pool_world_t *world = start(3, NULL);
-	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
+	world_caller_t *caller = world_open_session_with_key(world, 2, "bounded", "key-ada");
 	usec_t cut_at = now_in(world);
 
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = true;
 	while (now_in(world) < cut_at + 8 * SEC) {
-		bool served = !g_str_has_prefix(world_ask(caller, "READ a"), "ERR");
+		bool served = !g_str_has_prefix(world_send_and_wait(caller, "READ a"), "ERR");
 
-		g_assert_false(served && now_in(world) > cut_at + WORLD_REVOKE);
+		g_assert_false(served && now_in(world) > cut_at + WORLD_REVOKE_BOUND);
 		g_assert_true(served || now_in(world) > cut_at + 4 * SEC);
 		world_run(world, 100 * MSEC);
 	}
@@ -394,7 +398,7 @@
 {
 	for (size_t i = 0; i < world->node_count * each; i++)
 		flood->callers[flood->count++] =
-			world_open_key(world, i % world->node_count, "bounded", key);
+			world_open_session_with_key(world, i % world->node_count, "bounded", key);
 }
 
 /* Each that may send another statement does so, with a chance of one in pause each millisecond. */
@@ -427,9 +431,10 @@
 
 static pool_world_t *start_limited(size_t nodes)
 {
-	pool_world_t *world = world_create_keyed(nodes, NULL, limited, G_N_ELEMENTS(limited));
+	pool_world_t *world =
+		world_create_with_customers(nodes, NULL, limited, G_N_ELEMENTS(limited));
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	return world;
 }
 
@@ -516,7 +521,7 @@
 		world_kill(world, i);
 	run_flood(world, &flood, rand, 50, SEC);
 	for (size_t i = 1; i < 6; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 500 * MSEC);
 	flood = (flood_t){0};
 	open_flood(world, &flood, "key-ada", 3);
@@ -532,13 +537,13 @@
 {
 	pool_world_t *world = start_limited(3);
 	GRand *rand = g_rand_new_with_seed(5);
-	world_caller_t *within = world_open_key(world, 0, "strict", "key-ada");
+	world_caller_t *within = world_open_session_with_key(world, 0, "strict", "key-ada");
 	flood_t flood = {0};
 	size_t served;
 
 	open_flood(world, &flood, "key-ada", 3);
 	run_flood(world, &flood, rand, 50, SEC);
-	while (!g_str_has_prefix(world_ask(within, "BEGIN"), "DONE"))
+	while (!g_str_has_prefix(world_send_and_wait(within, "BEGIN"), "DONE"))
 		world_run(world, 20 * MSEC);
 	world->customers[0].rate = 2;
 	world->customers[0].burst = 2;
--- a/tests/test_pooler_config.c
+++ b/tests/test_pooler_config.c
@@ -14,7 +14,7 @@
 #include "state.h"
 #include "upstream.h"
 
-/* As world_start() sets it. */
+/* As world_start_proxy() sets it. */
 #define CONFIG_BOUND  (3 * SEC)
 #define LEAVING_BOUND (7 * SEC)
 /* With two hubs in each of three zones. */
@@ -25,9 +25,9 @@
 
 static pool_world_t *start(size_t bytes)
 {
-	pool_world_t *world = world_create_following(FLEET, NULL, 0, bytes);
+	pool_world_t *world = world_create_with_store_config(FLEET, NULL, 0, bytes);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	return world;
 }
 
@@ -50,7 +50,7 @@
 		const world_node_t *node = &world->nodes[i];
 
 		if (!node->cut_from_peers && !node->frozen &&
-		    world_version_at(world, i) < world->config_version)
+		    world_config_version_at(world, i) < world->config_version)
 			return false;
 	}
 	return true;
@@ -65,7 +65,7 @@
 		world_run(world, 10 * MSEC);
 	}
 	for (size_t i = 0; i < world->node_count; i++)
-		g_test_message("p%zu: version %d of %d", i, (int)world_version_at(world, i),
+		g_test_message("p%zu: version %d of %d", i, (int)world_config_version_at(world, i),
 			       (int)world->config_version);
 	g_error("the configuration is not in force everywhere");
 }
@@ -122,7 +122,7 @@
 static size_t find_plain(const pool_world_t *world)
 {
 	for (size_t i = 0; i < world->node_count; i++) {
-		if (!is_hub(world, i) && !holds_duty(world, i))
+		if (!is_hub(world, i) && !is_leader(world, i))
 			return i;
 	}
 	g_assert_not_reached();
@@ -141,7 +141,7 @@
 	world_run(world, CONFIG_BOUND / 2);
 	world->kv->down = true;
 	for (size_t i = 0; i < FLEET; i++) {
-		if (is_hub(world, i) || holds_duty(world, i))
+		if (is_hub(world, i) || is_leader(world, i))
 			world_freeze(world, i);
 	}
 	world_thaw(world, plain);
@@ -164,7 +164,7 @@
 		fake_kv_compact(world->kv);
 		world->nodes[plain].kv.refused = false;
 		world_run(world, CONFIG_BOUND);
-		g_assert_cmpint(world_version_at(world, plain), ==, world->config_version);
+		g_assert_cmpint(world_config_version_at(world, plain), ==, world->config_version);
 		world_destroy(world);
 	}
 }
@@ -182,11 +182,11 @@
 		world->nodes[plain].kv.refused = true;
 		/* Until its hub no longer tells the process of before what changes. */
 		world_run(world, 2 * UPSTREAM_LISTENS);
-		world_start(world, plain);
+		world_start_proxy(world, plain);
 		world_write_config(world);
 		expect_in_force(world, CONFIG_BOUND);
 		world_run(world, CONFIG_BOUND);
-		g_assert_cmpuint(world_permitted(world, "core-0"), ==, FLEET);
+		g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, FLEET);
 		world_destroy(world);
 	}
 }
@@ -218,7 +218,7 @@
 	world_run(world, 1 * SEC);
 	world->nodes[plain].kv.cut = true;
 	world->nodes[plain].cut_from_peers = true;
-	world_start(world, plain);
+	world_start_proxy(world, plain);
 	pooler = world->nodes[plain].pooler;
 	exchange_on_message(world->nodes[plain].pooler, &state);
 	g_assert_cmpuint(pooler->sync.directory_at, ==, 0);
@@ -268,18 +268,20 @@
 	pool_world_t *world = start(SMALL);
 	world_node_t *node = &world->nodes[3];
 
-	g_assert_cmpint(world_open_database(world, 3, WORLD_ADDED)->refused, ==, CODE_NO_DATABASE);
+	g_assert_cmpint(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->refused, ==,
+			CODE_NO_DATABASE);
 	node->kv.cut = true;
 	node->cut_from_peers = true;
 	world->added_by = world->config_version + 1;
 	world_write_config(world);
 	world_run(world, CONFIG_BOUND);
-	g_assert_cmpint(world_version_at(world, 3), <, world->config_version);
-	g_assert_cmpint(world_open_database(world, 3, WORLD_ADDED)->refused, ==, CODE_BUSY);
+	g_assert_cmpint(world_config_version_at(world, 3), <, world->config_version);
+	g_assert_cmpint(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->refused, ==,
+			CODE_BUSY);
 	node->kv.cut = false;
 	node->cut_from_peers = false;
 	world_run(world, CONFIG_BOUND);
-	g_assert_nonnull(world_open_database(world, 3, WORLD_ADDED)->caller);
+	g_assert_nonnull(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->caller);
 	world_destroy(world);
 }
 
@@ -288,17 +290,20 @@
 static void test_unknown_key_while_behind(void)
 {
 	static const world_customer_t one[] = {{.name = "ada"}};
-	pool_world_t *world = world_create_following(FLEET, one, G_N_ELEMENTS(one), SMALL);
+	pool_world_t *world = world_create_with_store_config(FLEET, one, G_N_ELEMENTS(one), SMALL);
 	pooler_t *pooler;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	pooler = world->nodes[3].pooler;
-	g_assert_cmpint(world_open_key(world, 3, "strict", "key-ben")->refused, ==, CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 3, "strict", "key-ben")->refused, ==,
+			CODE_NO_AUTH);
 	/* As any message of a proxy that has it tells. */
 	pooler->config_heard = world->config_version + 1;
-	g_assert_cmpint(world_open_key(world, 3, "strict", "key-ben")->refused, ==, CODE_BUSY);
-	g_assert_cmpint(world_open_key(world, 3, "nowhere", "key-ada")->refused, ==, CODE_BUSY);
-	g_assert_nonnull(world_open_key(world, 3, "strict", "key-ada")->caller);
+	g_assert_cmpint(world_open_session_with_key(world, 3, "strict", "key-ben")->refused, ==,
+			CODE_BUSY);
+	g_assert_cmpint(world_open_session_with_key(world, 3, "nowhere", "key-ada")->refused, ==,
+			CODE_BUSY);
+	g_assert_nonnull(world_open_session_with_key(world, 3, "strict", "key-ada")->caller);
 	world_destroy(world);
 }
 
@@ -462,7 +467,7 @@
 	if (node->frozen)
 		world_thaw(play->world, i);
 	if (node->pooler == NULL)
-		world_start(play->world, i);
+		world_start_proxy(play->world, i);
 }
 
 /* What watches missed while they heard nothing is not kept for them. */
@@ -554,7 +559,7 @@
 static void disturb_holder(play_t *play, usec_t now)
 {
 	for (size_t i = 0; i < play->world->node_count; i++) {
-		if (play->world->nodes[i].pooler != NULL && holds_duty(play->world, i))
+		if (play->world->nodes[i].pooler != NULL && is_leader(play->world, i))
 			disturb(play, i, any_disturbance(play), now);
 	}
 }
@@ -638,9 +643,9 @@
 	play_t play = {.followed = followed, .rand = g_rand_new_with_seed(seed)};
 	usec_t end;
 
-	play.world = world_create_following(seed % 4 == 0 ? 6 : FLEET, NULL, 0,
-					    seed % 2 == 0 ? SMALL : LARGE);
-	world_settle(play.world);
+	play.world = world_create_with_store_config(seed % 4 == 0 ? 6 : FLEET, NULL, 0,
+						    seed % 2 == 0 ? SMALL : LARGE);
+	world_wait_until_ready(play.world);
 	end = clock_now(&play.world->clock.base) + 40 * SEC;
 	for (;;) {
 		usec_t now = clock_now(&play.world->clock.base);
@@ -688,7 +693,7 @@
 		.bound = CONFIG_BOUND,
 		.write = world_write_config,
 		.newest = newest_config,
-		.known = world_version_at,
+		.known = world_config_version_at,
 	};
 
 	play_seeds(&config);
--- a/tests/test_pooler_faults.c
+++ b/tests/test_pooler_faults.c
@@ -113,7 +113,7 @@
 	return at > 100 * SEC ? (double)(at - 100 * SEC) / 1e6 : 0;
 }
 
-static const fake_run_t *last_run(const play_t *play, const char *id)
+static const fake_run_t *find_last_run(const play_t *play, const char *id)
 {
 	const fake_db_t *db = play->world->db;
 
@@ -242,7 +242,7 @@
 		return;
 	least = least_index(play, client, leader);
 	if (index < least) {
-		const fake_run_t *run = last_run(play, client->caller->id);
+		const fake_run_t *run = find_last_run(play, client->caller->id);
 		char detail[400];
 
 		snprintf(detail, sizeof(detail),
@@ -362,7 +362,7 @@
 	client->replies = client->caller->replies;
 	if (g_str_has_prefix(reply, "ERR ")) {
 		settle_write(play, client, reply, false);
-		if (world_state_is(client->caller, "READY I")) {
+		if (world_reply_has_state(client->caller, "READY I")) {
 			end_operation(play, client);
 		} else {
 			client->step = 4;
@@ -441,7 +441,8 @@
 	client->node = (size_t)g_rand_int_range(play->rand, 0, (gint32)play->nodes);
 	if (world->nodes[client->node].pooler == NULL || world->nodes[client->node].frozen)
 		return;
-	client->caller = world_open_key(world, client->node, databases[client->route], client->key);
+	client->caller = world_open_session_with_key(world, client->node, databases[client->route],
+						     client->key);
 	if (client->caller->caller == NULL)
 		client->caller = NULL;
 }
@@ -553,7 +554,7 @@
 		node->cut_from_peers = true;
 		break;
 	default:
-		world_cut_members(play->world, at, true);
+		world_set_members_unreachable(play->world, at, true);
 	}
 }
 
@@ -575,7 +576,7 @@
 		store->lose_answers = 3;
 		break;
 	case 3:
-		fake_kv_revoke(store, "fleet/holder");
+		fake_kv_delete_key(store, "fleet/holder");
 		break;
 	default:
 		fake_kv_compact(store);
@@ -601,7 +602,7 @@
 		return;
 	if (now >= play->next_copy && play->restore_at == 0) {
 		play->next_copy = store_time(play, 300 * MSEC, 4 * SEC);
-		fake_kv_copy(store);
+		fake_kv_make_backup(store);
 	}
 	if (restores && now >= play->next_restore && play->restore_at == 0) {
 		play->restore_at = store_time(play, 50 * MSEC, 1500 * MSEC);
@@ -611,7 +612,7 @@
 	if (play->restore_at != 0 && now >= play->restore_at) {
 		play->restore_at = 0;
 		store->down = play->store_back != 0;
-		fake_kv_restore(store);
+		fake_kv_restore_backup(store);
 	}
 }
 
@@ -638,10 +639,10 @@
 		play->node_back[i] = 0;
 		world->nodes[i].kv.cut = false;
 		world->nodes[i].cut_from_peers = false;
-		world_cut_members(world, i, false);
+		world_set_members_unreachable(world, i, false);
 		world_thaw(world, i);
 		if (world->nodes[i].pooler == NULL)
-			world_start(world, i);
+			world_start_proxy(world, i);
 	}
 	if (play->store_back != 0 && (all || now >= play->store_back)) {
 		play->store_back = 0;
@@ -726,15 +727,15 @@
 	play->nodes = seed >= LARGE_FIRST && seed < RESTORED_FIRST ? LARGE_NODES : NODES;
 	play->rand = g_rand_new_with_seed(seed);
 	play->store_rand = seed >= RESTORED_FIRST ? g_rand_new_with_seed(~seed) : NULL;
-	play->world = world_create_keyed(play->nodes, config_of(seed), customers,
-					 G_N_ELEMENTS(customers));
+	play->world = world_create_with_customers(play->nodes, config_of(seed), customers,
+						  G_N_ELEMENTS(customers));
 	play->writes = g_new0(write_record_t, WRITES_MAX);
 	for (size_t i = 0; i < CALLERS; i++) {
 		play->clients[i].route = (route_kind_t)(i % 3);
 		snprintf(play->clients[i].key, WORLD_KEY_MAX, "key-%s",
 			 customers[i / 3 % G_N_ELEMENTS(customers)].name);
 	}
-	world_settle(play->world);
+	world_wait_until_ready(play->world);
 	end = now_of_play(play) + PLAY_TIME;
 	while (now_of_play(play) < end) {
 		for (size_t i = 0; i < CALLERS; i++)
@@ -762,10 +763,10 @@
 		step_client(play, &play->clients[i]);
 	check_end(play);
 	world_check_customers(play->world);
-	if (world_permitted(play->world, fake_leader(play->world->db)->id) != play->nodes)
+	if (world_count_permitted(play->world, fake_leader(play->world->db)->id) != play->nodes)
 		describe_nodes(play);
 	/* It serves again, and did all along. */
-	g_assert_cmpuint(world_permitted(play->world, fake_leader(play->world->db)->id), ==,
+	g_assert_cmpuint(world_count_permitted(play->world, fake_leader(play->world->db)->id), ==,
 			 play->nodes);
 	g_assert_cmpuint(play->served, >, 100);
 	g_test_message("seed %u: %zu operations, %zu writes, %zu promotes", seed, play->served,
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -17,16 +17,16 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
 	world->kv->down = true;
 	for (int i = 0; i < 90; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 94 * MSEC);
 	}
 	world->kv->down = false;
 	world_run(world, 4 * SEC);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
 }
@@ -37,11 +37,11 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 1);
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 1);
 	world->nodes[1].kv.cut = true;
 	for (int i = 0; i < 200; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 90 * MSEC);
 	}
 	world_destroy(world);
@@ -57,17 +57,17 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_kill(world, 1);
 	world->nodes[1].kv.cut = true;
-	world_start(world, 1);
+	world_start_proxy(world, 1);
 	/* A change of the roster, which the holder tells all that are on it. */
 	world->db->members[0].leaving = true;
 	world_run(world, 6 * SEC);
 	world->nodes[1].kv.cut = false;
 	world_run(world, 3 * SEC);
-	caller = world_open(world, 1);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-");
+	caller = world_open_session(world, 1);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
 	world_destroy(world);
 }
 
@@ -77,13 +77,13 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t holders;
 
-	world_settle(world);
-	fake_kv_revoke(world->kv, "fleet/holder");
+	world_wait_until_ready(world);
+	fake_kv_delete_key(world->kv, "fleet/holder");
 	for (int i = 0; i < 100; i++) {
 		holders = 0;
 		world_run(world, 50 * MSEC);
 		for (size_t j = 0; j < 3; j++)
-			holders += holds_duty(world, j);
+			holders += is_leader(world, j);
 	}
 	g_assert_cmpuint(holders, ==, 1);
 	world_destroy(world);
@@ -100,15 +100,15 @@
 	pool_world_t *world = world_create(4, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_kill(world, 3);
 	for (size_t i = 0; i < 3; i++)
 		world->nodes[i].kv.cut = true;
 	world_run(world, 3 * SEC);
-	caller = world_open(world, find_other(world));
-	world_start(world, 3);
+	caller = world_open_session(world, find_non_leader(world));
+	world_start_proxy(world, 3);
 	for (int i = 0; i < 200; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 2 * MSEC);
 	}
 	world_destroy(world);
@@ -125,11 +125,11 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t other;
 
-	world_settle(world);
-	other = find_other(world);
+	world_wait_until_ready(world);
+	other = find_non_leader(world);
 	world->db->members[0].unlisted = true;
 	world_kill(world, other);
-	world_start(world, other);
+	world_start_proxy(world, other);
 	world_run(world, SEC);
 	g_assert_true(permit_is_registered(world->nodes[other].pooler));
 	g_assert_false(pooler_is_ready(world->nodes[other].pooler));
@@ -139,7 +139,7 @@
 	/* It can't wait for ever: another member may be promoted meanwhile. */
 	world->db->members[0].unlisted = true;
 	world_kill(world, other);
-	world_start(world, other);
+	world_start_proxy(world, other);
 	world_run(world, 4 * SEC);
 	g_assert_true(pooler_is_ready(world->nodes[other].pooler));
 	world_destroy(world);
@@ -157,11 +157,11 @@
 	size_t holders = 0;
 	uint64_t fence;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
 	fence = world->nodes[holder].pooler->sync.own_fence;
 	world->nodes[holder].kv.cut = true;
-	fake_kv_revoke(world->kv, "fleet/holder");
+	fake_kv_delete_key(world->kv, "fleet/holder");
 	world_run(world, 1500 * MSEC);
 	world->nodes[holder].kv.cut = false;
 	world_run(world, 3 * SEC);
@@ -180,7 +180,7 @@
 	pool_world_t *world = world_create(3, NULL);
 	const pooler_t *holder;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = world->nodes[find_holder(world)].pooler;
 	g_assert_true(hold_is_ours(holder, holder->sync.hold_until - 1));
 	g_assert_false(hold_is_ours(holder, holder->sync.hold_until));
@@ -198,8 +198,8 @@
 	service_t *service;
 	usec_t now;
 
-	world_settle(world);
-	pooler = world->nodes[find_other(world)].pooler;
+	world_wait_until_ready(world);
+	pooler = world->nodes[find_non_leader(world)].pooler;
 	other = &world->nodes[find_holder(world)];
 	now = clock_now(&world->clock.base);
 	service = service_get(pooler, WORLD_SERVICE);
@@ -220,9 +220,9 @@
 	pooler_t *holder;
 	peer_message_t message = {.kind = PEER_STATE, .age = USEC_NEVER};
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = world->nodes[find_holder(world)].pooler;
-	other = &world->nodes[find_other(world)];
+	other = &world->nodes[find_non_leader(world)];
 	message.from = other->name;
 	message.address = other->address;
 	message.incarnation = other->incarnation;
@@ -246,14 +246,14 @@
 	size_t holder;
 	uint64_t fence;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
 	fence = world->nodes[holder].pooler->sync.own_fence;
 	for (int i = 0; i < 5; i++) {
 		world->kv->lose_keeps = 3;
 		world_run(world, 2 * SEC);
 	}
-	g_assert_true(holds_duty(world, holder));
+	g_assert_true(is_leader(world, holder));
 	g_assert_cmpuint(world->nodes[holder].pooler->sync.own_fence, ==, fence);
 	world_destroy(world);
 }
@@ -268,12 +268,12 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t holders = 0;
 
-	world_settle(world);
-	fake_kv_revoke(world->kv, "fleet/holder");
+	world_wait_until_ready(world);
+	fake_kv_delete_key(world->kv, "fleet/holder");
 	world->kv->lose_answers = 1;
 	world_run(world, 2 * SEC);
 	for (size_t i = 0; i < 3; i++)
-		holders += holds_duty(world, i);
+		holders += is_leader(world, i);
 	g_assert_cmpuint(world->kv->lose_answers, ==, 0);
 	g_assert_cmpuint(holders, ==, 1);
 	world_destroy(world);
@@ -288,17 +288,17 @@
 	pool_world_t *world = world_create(5, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 3);
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 3);
 	world->kv->delay = 400 * MSEC;
 	for (int i = 0; i < 40; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 250 * MSEC);
 	}
 	world_crash_member(world, 0);
-	world_ask(caller, "WRITE job-1 b");
+	world_send_and_wait(caller, "WRITE job-1 b");
 	world_run(world, 8 * SEC);
-	assert_begins(world_ask(caller, "WRITE job-1 c"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 c"), "DONE core-");
 	g_assert_cmpuint(world->promote_count, >=, 1);
 	world_destroy(world);
 }
@@ -316,22 +316,22 @@
 	world_caller_t *open;
 	world_caller_t *late;
 
-	world_settle(world);
-	idle = world_open(world, 0);
+	world_wait_until_ready(world);
+	idle = world_open_session(world, 0);
 	world_run(world, 500 * MSEC);
-	open = world_open(world, 0);
-	world_ask(open, "BEGIN");
-	assert_begins(world_ask(open, "WRITE job-1 a"), "DONE");
+	open = world_open_session(world, 0);
+	world_send_and_wait(open, "BEGIN");
+	assert_has_prefix(world_send_and_wait(open, "WRITE job-1 a"), "DONE");
 	pooler_drain(world->nodes[0].pooler);
 	g_assert_false(pooler_is_ready(world->nodes[0].pooler));
 	g_assert_null(idle->caller);
 	world_run(world, 500 * MSEC);
-	late = world_open(world, 0);
-	assert_begins(world_ask(late, "SET lang cy"), "DONE -");
+	late = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(late, "SET lang cy"), "DONE -");
 	world_run(world, 60 * MSEC);
-	assert_begins(world_ask(late, "READ job-1"), "ROW none");
+	assert_has_prefix(world_send_and_wait(late, "READ job-1"), "ROW none");
 	g_assert_null(late->caller);
-	assert_begins(world_ask(open, "COMMIT"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(open, "COMMIT"), "DONE core-0");
 	g_assert_null(open->caller);
 	g_assert_false(world->nodes[0].drained);
 	world_run(world, 4 * SEC);
@@ -345,16 +345,16 @@
 	pool_world_t *world = world_create(9, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 9; i++)
 		world_kill(world, i);
 	world_run(world, 500 * MSEC);
 	for (size_t i = 0; i < 9; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 500 * MSEC);
 	for (size_t i = 0; i < 9; i++) {
-		caller = world_open(world, i);
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		caller = world_open_session(world, i);
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	}
 	world_destroy(world);
 }
@@ -370,22 +370,24 @@
 	pool_world_t *world = world_create(12, NULL);
 	world_caller_t *callers[12];
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < world->node_count; i++)
-		assert_begins(world_ask(world_open(world, i), "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(
+			world_send_and_wait(world_open_session(world, i), "WRITE job-1 a"),
+			"DONE core-0");
 	for (size_t i = 0; i < world->node_count; i++)
 		world_power_off(world, i);
 	world_run(world, SEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 400 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++) {
-		callers[i] = world_open(world, i);
+		callers[i] = world_open_session(world, i);
 		world_send(callers[i], "WRITE job-1 b");
 	}
 	world_run(world, 700 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		assert_begins(callers[i]->reply, "DONE core-0");
+		assert_has_prefix(callers[i]->reply, "DONE core-0");
 	world_destroy(world);
 }
 
@@ -402,8 +404,8 @@
 	size_t other;
 	int64_t revision;
 
-	world_settle(world);
-	other = find_other(world);
+	world_wait_until_ready(world);
+	other = find_non_leader(world);
 	world->nodes[other].cut_from_peers = true;
 	world_run(world, 5 * SEC);
 	revision = world->nodes[find_holder(world)].pooler->sync.roster->revision;
@@ -428,21 +430,21 @@
 	usec_t crashed_at;
 	size_t other;
 
-	world_settle(world);
-	other = find_other(world);
+	world_wait_until_ready(world);
+	other = find_non_leader(world);
 	world_kill(world, other);
 	world->nodes[other].incarnation += 5000;
-	world_start(world, other);
+	world_start_proxy(world, other);
 	world_run(world, SEC);
 	world_kill(world, other);
 	world->nodes[other].incarnation -= 4000;
-	world_start(world, other);
+	world_start_proxy(world, other);
 	world_run(world, SEC);
-	caller = world_open(world, find_holder(world));
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	caller = world_open_session(world, find_holder(world));
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_crash_member(world, 0);
 	crashed_at = clock_now(&world->clock.base);
-	while (!g_str_has_prefix(world_ask(caller, "WRITE job-1 b"), "DONE"))
+	while (!g_str_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE"))
 		world_run(world, 50 * MSEC);
 	g_assert_cmpuint(clock_now(&world->clock.base) - crashed_at, <, 2500 * MSEC);
 	world_destroy(world);
@@ -468,21 +470,21 @@
 	pool_world_t *world = world_create(12, &few);
 	world_caller_t *callers[12];
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 5 * SEC);
 	for (size_t i = 0; i < world->node_count; i++) {
-		callers[i] = world_open(world, i);
+		callers[i] = world_open_session(world, i);
 		world_send(callers[i], "WRITE job-1 b");
 	}
 	world_run(world, 700 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		assert_begins(callers[i]->reply, "DONE core-0");
+		assert_has_prefix(callers[i]->reply, "DONE core-0");
 	world_destroy(world);
 }
 
 static bool all_permitted(pool_world_t *world)
 {
-	return world_permitted(world, fake_leader(world->db)->id) == world->node_count;
+	return world_count_permitted(world, fake_leader(world->db)->id) == world->node_count;
 }
 
 /*
@@ -492,11 +494,11 @@
  */
 static void test_start_together(void)
 {
-	pool_world_t *world = world_create(WORLD_FLEET, NULL);
+	pool_world_t *world = world_create(WORLD_LARGE_FLEET, NULL);
 	usec_t start;
 	size_t calls;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < world->node_count; i++)
 		world_kill(world, i);
 	world_run(world, 500 * MSEC);
@@ -504,7 +506,7 @@
 	start = clock_now(&world->clock.base);
 	world->new_links = true;
 	for (size_t i = 0; i < world->node_count; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	while (!all_permitted(world))
 		world_run(world, MSEC);
 	g_test_message("%zu calls, %zu ms", world->kv->call_count - calls,
@@ -534,7 +536,7 @@
 				  .age = USEC_NEVER};
 	const pooler_t *pooler;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	pooler = world->nodes[find_holder(world)].pooler;
 	pooler_on_message(world->nodes[find_holder(world)].pooler, &message);
 	world_run(world, 6 * SEC);
@@ -558,16 +560,16 @@
 	size_t holder;
 	size_t holders = 0;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
 	for (size_t i = 0; i < 3; i++)
 		world_kill(world, i);
 	world_run(world, 50 * MSEC);
 	for (size_t i = 0; i < 3; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 600 * MSEC);
 	for (size_t i = 0; i < 3; i++)
-		holders += holds_duty(world, i);
+		holders += is_leader(world, i);
 	g_assert_cmpuint(holders, ==, 1);
 	g_assert_true(permit_is_registered(world->nodes[holder].pooler));
 	world_destroy(world);
--- a/tests/test_pooler_forward.c
+++ b/tests/test_pooler_forward.c
@@ -50,7 +50,7 @@
 {
 	pool_world_t *world = world_create(NODES, &scarce);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	return world;
 }
 
@@ -92,10 +92,10 @@
 		char text[32];
 
 		g_snprintf(item, sizeof(item), "job-%zu", i);
-		callers[i] = world_open_database(world, i, "session");
+		callers[i] = world_open_session_on(world, i, "session");
 		g_snprintf(text, sizeof(text), "SET who caller-%zu", i);
-		assert_begins(world_ask(callers[i], text), "DONE -");
-		assert_begins(world_ask(callers[i], "PREPARE s WRITE q2"), "DONE -");
+		assert_has_prefix(world_send_and_wait(callers[i], text), "DONE -");
+		assert_has_prefix(world_send_and_wait(callers[i], "PREPARE s WRITE q2"), "DONE -");
 		g_snprintf(text, sizeof(text), "EXEC s %s v%zu", item, i);
 		world_send(callers[i], text);
 	}
@@ -104,10 +104,11 @@
 		char values[32];
 		char text[32];
 
-		assert_begins(callers[i]->reply, "DONE core-0");
+		assert_has_prefix(callers[i]->reply, "DONE core-0");
 		g_assert_cmpuint(run_count(world, callers[i]->id), ==, 1);
 		g_snprintf(values, sizeof(values), "who caller-%zu;", i);
-		g_assert_true(g_str_has_suffix(last_run(world, callers[i]->id)->values, values));
+		g_assert_true(
+			g_str_has_suffix(find_last_run(world, callers[i]->id)->values, values));
 		g_snprintf(text, sizeof(text), "READ job-%zu", i);
 		world_send(callers[i], text);
 	}
@@ -116,7 +117,7 @@
 		char row[16];
 
 		g_snprintf(row, sizeof(row), "ROW v%zu", i);
-		assert_begins(callers[i]->reply, row);
+		assert_has_prefix(callers[i]->reply, row);
 	}
 	world_destroy(world);
 }
@@ -129,8 +130,8 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
-	world_caller_t *reader = world_open_database(world, away, "strict");
+	world_caller_t *writer = world_open_session_on(world, away, "strict");
+	world_caller_t *reader = world_open_session_on(world, away, "strict");
 	world_node_t *helper;
 
 	world_send(writer, "WRITE job-1 a");
@@ -141,9 +142,9 @@
 	world_kill(world, (size_t)(helper - world->nodes));
 	world_send(reader, "READ job-1");
 	world_run(world, 1200 * MSEC);
-	assert_begins(writer->reply, "ERR INDOUBT");
+	assert_has_prefix(writer->reply, "ERR INDOUBT");
 	g_assert_cmpuint(run_count(world, writer->id), <=, 1);
-	assert_begins(reader->reply, "ROW");
+	assert_has_prefix(reader->reply, "ROW");
 	world_destroy(world);
 }
 
@@ -155,7 +156,7 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	world_caller_t *writer = world_open_session_on(world, away, "strict");
 
 	world_send(writer, "WRITE job-1 a");
 	world_run(world, 2 * MSEC);
@@ -164,7 +165,7 @@
 	world_run(world, 14 * SEC);
 	world_thaw(world, away);
 	world_run(world, 100 * MSEC);
-	assert_begins(writer->reply, "ERR INDOUBT");
+	assert_has_prefix(writer->reply, "ERR INDOUBT");
 	world_destroy(world);
 }
 
@@ -177,7 +178,7 @@
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
 	pooler_t *pooler = world->nodes[away].pooler;
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	world_caller_t *writer = world_open_session_on(world, away, "strict");
 	roster_t *roster;
 
 	world_send(writer, "WRITE job-1 a");
@@ -188,7 +189,7 @@
 	roster_put_group(roster, WORLD_SERVICE, "core-0", true, 1, 1);
 	adopt_roster(pooler, roster);
 	world_run(world, 400 * MSEC);
-	assert_begins(writer->reply, "ERR INDOUBT permission");
+	assert_has_prefix(writer->reply, "ERR INDOUBT permission");
 	world_destroy(world);
 }
 
@@ -200,7 +201,7 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
-	world_caller_t *reader = world_open_database(world, away, "strict");
+	world_caller_t *reader = world_open_session_on(world, away, "strict");
 	uint64_t number;
 
 	world->nodes[away].pooler->routes->version++;
@@ -226,13 +227,14 @@
 	pool_world_t *world = make_scarce();
 
 	for (size_t i = 0; i < NODES; i++) {
-		world_caller_t *caller = world_open_database(world, i, "strict");
+		world_caller_t *caller = world_open_session_on(world, i, "strict");
 		bool done = false;
 
 		for (size_t attempt = 0; attempt < 5 && !done; attempt++) {
-			assert_begins(world_ask(caller, "BEGIN"), "DONE -");
-			done = g_str_has_prefix(world_ask(caller, "WRITE job-1 a"), "DONE");
-			world_ask(caller, done ? "COMMIT" : "ROLLBACK");
+			assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE -");
+			done = g_str_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"),
+						"DONE");
+			world_send_and_wait(caller, done ? "COMMIT" : "ROLLBACK");
 		}
 		g_assert_true(done);
 	}
@@ -247,11 +249,11 @@
 /* A transaction of a proxy that is not its own home, with one write made. */
 static world_caller_t *begin_away(pool_world_t *world, size_t away)
 {
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	world_caller_t *caller = world_open_session_on(world, away, "strict");
 
-	assert_begins(world_ask(caller, "BEGIN"), "DONE -");
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
-	g_assert_true(world_state_is(caller, "READY T"));
+	assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE -");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
+	g_assert_true(world_reply_has_state(caller, "READY T"));
 	return caller;
 }
 
@@ -270,9 +272,9 @@
 	world_kill(world, index_of(world, helper_of(world, caller)));
 	world_send(caller, "WRITE job-2 a");
 	world_run(world, 900 * MSEC);
-	assert_begins(caller->reply, "ERR ABORTED");
-	assert_begins(world_ask(caller, "COMMIT"), "ERR ABORTED");
-	g_assert_true(world_state_is(caller, "READY I"));
+	assert_has_prefix(caller->reply, "ERR ABORTED");
+	assert_has_prefix(world_send_and_wait(caller, "COMMIT"), "ERR ABORTED");
+	g_assert_true(world_reply_has_state(caller, "READY I"));
 	world_run(world, SEC);
 	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 0);
 	world_destroy(world);
@@ -288,8 +290,8 @@
 	world_run(world, 2 * MSEC);
 	world_kill(world, index_of(world, helper_of(world, caller)));
 	world_run(world, 900 * MSEC);
-	assert_begins(caller->reply, "ERR INDOUBT");
-	g_assert_true(world_state_is(caller, "READY I"));
+	assert_has_prefix(caller->reply, "ERR INDOUBT");
+	g_assert_true(world_reply_has_state(caller, "READY I"));
 	world_destroy(world);
 }
 
@@ -304,9 +306,9 @@
 	size_t home = index_of(world, helper_of(world, caller));
 
 	world_kill(world, home);
-	world_start(world, home);
+	world_start_proxy(world, home);
 	world_run(world, SEC);
-	assert_begins(world_ask(caller, "WRITE job-2 a"), "ERR ABORTED");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-2 a"), "ERR ABORTED");
 	g_assert_cmpuint(run_count(world, caller->id), ==, 0);
 	world_destroy(world);
 }
@@ -317,10 +319,10 @@
 	pool_world_t *world = make_scarce();
 	world_caller_t *caller = begin_away(world, find_away(world));
 
-	g_assert_true(world_in_transaction(world));
+	g_assert_true(world_has_transaction(world));
 	world_leave(caller);
 	world_run(world, 20 * MSEC);
-	g_assert_false(world_in_transaction(world));
+	g_assert_false(world_has_transaction(world));
 	world_destroy(world);
 }
 
@@ -333,7 +335,7 @@
 	begin_away(world, away);
 	world_kill(world, away);
 	world_run(world, 4 * SEC);
-	g_assert_false(world_in_transaction(world));
+	g_assert_false(world_has_transaction(world));
 	world_destroy(world);
 }
 
@@ -349,23 +351,23 @@
 	world_caller_t *caller;
 	size_t home = 0;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	while (strcmp(home_of(world, away), world->nodes[away].name) == 0)
 		away++;
 	while (strcmp(home_of(world, away), world->nodes[home].name) != 0)
 		home++;
-	caller = world_open_database(world, away, "session");
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	caller = world_open_session_on(world, away, "session");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_freeze(world, home);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW a");
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
-	assert_begins(world_ask(caller, "BEGIN"), "DONE -");
-	assert_begins(world_ask(caller, "WRITE job-1 c"), "DONE core-0");
-	assert_begins(world_ask(caller, "COMMIT"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW a");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE -");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 c"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "COMMIT"), "DONE core-0");
 	world_run(world, 3 * SEC);
 	world_thaw(world, home);
 	world_run(world, SEC);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW c");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW c");
 	g_assert_cmpstr(home_of(world, away), ==, world->nodes[home].name);
 	world_destroy(world);
 }
@@ -380,9 +382,9 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *callers[3];
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 3; i++)
-		callers[i] = world_open_database(world, i, "strict");
+		callers[i] = world_open_session_on(world, i, "strict");
 	world->nodes[0].kv.cut = true;
 	world->nodes[0].cut_from_peers = true;
 	world_run(world, 3 * SEC);
@@ -397,7 +399,7 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	world_caller_t *writer = world_open_session_on(world, away, "strict");
 
 	for (size_t i = 0; i < NODES; i++) {
 		if (i != away)
@@ -420,27 +422,27 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
-	world_caller_t *caller = world_open(world, away);
+	world_caller_t *caller = world_open_session(world, away);
 	world_node_t *home;
 	size_t at;
 
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	home = helper_of(world, caller);
 	at = (size_t)(home - world->nodes);
 	pooler_drain(home->pooler);
 	for (int i = 0; i < 30; i++) {
-		world_ask(caller, "READ job-1");
+		world_send_and_wait(caller, "READ job-1");
 		world_run(world, 100 * MSEC);
 	}
 	world_kill(world, at);
 	world_run(world, 200 * MSEC);
 	world_send(caller, "READ job-1");
 	world_run(world, 60 * MSEC);
-	assert_begins(caller->reply, "ROW a");
+	assert_has_prefix(caller->reply, "ROW a");
 	/* Its next process is used again. */
-	world_start(world, at);
+	world_start_proxy(world, at);
 	world_run(world, 800 * MSEC);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW a");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW a");
 	g_assert_true(helper_of(world, caller) == home);
 	world_destroy(world);
 }
@@ -455,18 +457,18 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	world_caller_t *caller = world_open_session_on(world, away, "strict");
 	world_node_t *home;
 
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	home = helper_of(world, caller);
 	pooler_drain(home->pooler);
-	world_ask(caller, "READ job-1");
+	world_send_and_wait(caller, "READ job-1");
 	world_run(world, 400 * MSEC);
 	g_assert_cmpuint(list_length(&home->links), ==, 0);
 	world_send(caller, "READ job-1");
 	world_run(world, 60 * MSEC);
-	assert_begins(caller->reply, "ROW a");
+	assert_has_prefix(caller->reply, "ROW a");
 	world_destroy(world);
 }
 
@@ -480,7 +482,7 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	world_caller_t *caller = world_open_session_on(world, away, "strict");
 
 	fake_leader(world->db)->slow = 600 * MSEC;
 	world->nodes[away].pooler->config.grace = 500 * MSEC;
@@ -490,7 +492,7 @@
 	pooler_drain(world->nodes[away].pooler);
 	world_run(world, SEC);
 	g_assert_cmpuint(fake_count(fake_leader(world->db), caller->id), ==, 1);
-	assert_begins(caller->reply, "ERR INDOUBT");
+	assert_has_prefix(caller->reply, "ERR INDOUBT");
 	world_destroy(world);
 }
 
@@ -507,23 +509,23 @@
 	size_t home = 0;
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	while (strcmp(home_of(world, away), world->nodes[away].name) == 0)
 		away++;
 	while (strcmp(home_of(world, away), world->nodes[home].name) != 0)
 		home++;
-	caller = world_open_database(world, away, "session");
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	caller = world_open_session_on(world, away, "session");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	pooler_drain(world->nodes[home].pooler);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	world_run(world, 2500 * MSEC);
 	world_kill(world, home);
 	world_send(caller, "WRITE job-1 c");
 	world_run(world, 60 * MSEC);
 	g_assert_cmpuint(caller->replies, ==, 3);
-	assert_begins(caller->reply, "DONE core-0");
+	assert_has_prefix(caller->reply, "DONE core-0");
 	/* The process that takes its place is a home again. */
-	world_start(world, home);
+	world_start_proxy(world, home);
 	world_run(world, 2 * SEC);
 	g_assert_cmpstr(home_of(world, away), ==, world->nodes[home].name);
 	world_destroy(world);
@@ -539,10 +541,10 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
-	world_caller_t *caller = world_open(world, away);
+	world_caller_t *caller = world_open_session(world, away);
 	world_node_t *home;
 
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	home = helper_of(world, caller);
 	world->new_links = true;
 	for (size_t i = 0; i < NODES; i++) {
@@ -553,7 +555,7 @@
 	world_send(caller, "WRITE job-1 b");
 	world_run(world, 60 * MSEC);
 	g_assert_cmpuint(caller->replies, ==, 2);
-	assert_begins(caller->reply, "DONE core-0");
+	assert_has_prefix(caller->reply, "DONE core-0");
 	world_destroy(world);
 }
 
@@ -565,15 +567,15 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	world_caller_t *writer = world_open_session_on(world, away, "strict");
 	const world_node_t *home;
 
-	assert_begins(world_ask(writer, "WRITE job-1 a"), "DONE");
+	assert_has_prefix(world_send_and_wait(writer, "WRITE job-1 a"), "DONE");
 	home = helper_of(world, writer);
 	world->db->members[0].slow = 2 * SEC;
 	for (int i = 0; i < 4; i++) {
 		world_caller_t *other =
-			world_open_database(world, (size_t)(home - world->nodes), "strict");
+			world_open_session_on(world, (size_t)(home - world->nodes), "strict");
 
 		world_send(other, "WRITE job-2 b");
 	}
@@ -582,7 +584,7 @@
 	world_run(world, 700 * MSEC);
 	world->nodes[away].peer_delay = 100 * MSEC;
 	world_run(world, 200 * MSEC);
-	assert_begins(writer->reply, "ERR BUSY");
+	assert_has_prefix(writer->reply, "ERR BUSY");
 	g_assert_cmpuint(run_count(world, writer->id), ==, 0);
 	world_destroy(world);
 }
@@ -592,7 +594,7 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_away(world);
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	world_caller_t *caller = world_open_session_on(world, away, "strict");
 	forward_result_t late = {
 		.raw = {.at = "DONE core-0", .len = 11},
 		.is_raw = true,
@@ -608,9 +610,9 @@
 	late.number = caller->caller->forward_number;
 	g_assert_cmpuint(late.number, !=, 0);
 	world_kill(world, away);
-	world_start(world, away);
+	world_start_proxy(world, away);
 	world_run(world, 2 * SEC);
-	caller = world_open_database(world, away, "strict");
+	caller = world_open_session_on(world, away, "strict");
 	world_send(caller, "WRITE job-2 b");
 	world_run(world, 10 * MSEC);
 	home = helper_of(world, caller);
--- a/tests/test_pooler_hangup.c
+++ b/tests/test_pooler_hangup.c
@@ -18,16 +18,16 @@
 	pool_world_t *world = world_create(2, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_run(world, SEC);
 	caller->unread = true;
 	pooler_drain(world->nodes[0].pooler);
 	world_run(world, 400 * MSEC);
 	g_assert_nonnull(caller->caller);
 	caller->unread = false;
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	world_run(world, 200 * MSEC);
 	g_assert_null(caller->caller);
 	world_destroy(world);
@@ -44,17 +44,17 @@
 	pool_world_t *world = world_create(2, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "BEGIN");
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "BEGIN");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	pooler_drain(world->nodes[0].pooler);
 	caller->unread = true;
 	world_run(world, 3500 * MSEC);
 	g_assert_nonnull(caller->caller);
 	caller->unread = false;
 	/* It rested for longer than a transaction may. */
-	assert_begins(world_ask(caller, "READ job-1"), "ERR ABORTED");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ERR ABORTED");
 	world_run(world, 200 * MSEC);
 	g_assert_null(caller->caller);
 	world_destroy(world);
@@ -69,18 +69,18 @@
 	pool_world_t *world = world_create(2, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "BEGIN");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "BEGIN");
 	pooler_drain(world->nodes[0].pooler);
 	world_run(world, 2500 * MSEC);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	caller->unread = true;
 	world_run(world, 1000 * MSEC);
 	g_assert_nonnull(caller->caller);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW a");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW a");
 	world_run(world, 200 * MSEC);
-	assert_begins(world_ask(caller, "COMMIT"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "COMMIT"), "DONE core-0");
 	caller->unread = false;
 	world_run(world, 200 * MSEC);
 	g_assert_null(caller->caller);
@@ -98,11 +98,11 @@
 	pool_world_t *world = world_create(2, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	pooler_drain(world->nodes[0].pooler);
 	world_run(world, 3 * SEC);
 	g_assert_true(world->nodes[0].drained);
-	caller = world_open(world, 0);
+	caller = world_open_session(world, 0);
 	g_assert_null(caller->caller);
 	g_assert_cmpint(caller->refused, ==, CODE_BUSY);
 	world_destroy(world);
@@ -118,9 +118,9 @@
 	pool_world_t *world = world_create(2, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	caller->unsent = true;
 	pooler_drain(world->nodes[0].pooler);
 	world_run(world, 5 * SEC);
@@ -144,9 +144,9 @@
 	world_caller_t *callers[SESSIONS];
 	size_t open = 0;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < SESSIONS; i++)
-		callers[i] = world_open(world, 0);
+		callers[i] = world_open_session(world, 0);
 	world_run(world, 500 * MSEC);
 	pooler_drain(world->nodes[0].pooler);
 	for (size_t i = 0; i < SESSIONS; i++)
@@ -170,8 +170,8 @@
 	pool_world_t *world = world_create(2, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
 	fake_leader(world->db)->slow = 2 * SEC;
 	world->nodes[0].pooler->config.grace = 600 * MSEC;
 	world_send(caller, "WRITE job-1 a");
@@ -180,7 +180,7 @@
 	caller->unsent = true;
 	while (caller->replies == 0)
 		world_run(world, MSEC);
-	assert_begins(caller->reply, "ERR INDOUBT");
+	assert_has_prefix(caller->reply, "ERR INDOUBT");
 	g_assert_nonnull(caller->caller);
 	caller->unsent = false;
 	world_run(world, 100 * MSEC);
@@ -199,15 +199,15 @@
 	pool_world_t *world = world_create(2, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->nodes[0].pooler->config.grace = 4 * SEC;
 	pooler_drain(world->nodes[0].pooler);
 	world_run(world, 2100 * MSEC);
-	caller = world_open(world, 0);
+	caller = world_open_session(world, 0);
 	g_assert_nonnull(caller->caller);
 	world_run(world, 100 * MSEC);
 	g_assert_nonnull(caller->caller);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_join.c
+++ b/tests/test_pooler_join.c
@@ -25,7 +25,7 @@
 {
 	pool_world_t *world = world_create(LARGE, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
 	*holder = find_holder(world);
 	for (size_t i = 0; i < world->node_count; i++)
@@ -49,11 +49,11 @@
 	pool_world_t *world = make_dark(&holder);
 
 	for (size_t i = 0; i < LARGE; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 1500 * MSEC);
 	g_test_message("links to the holder %zu, bytes that it sent %zu",
 		       count_links_to(world, holder), world->nodes[holder].bytes);
-	g_assert_cmpuint(count_registered(world), ==, LARGE);
+	g_assert_cmpuint(count_registered_proxies(world), ==, LARGE);
 	g_assert_cmpuint(count_links_to(world, holder), <=, 2 * HUBS_MOST);
 	g_assert_cmpuint(world->nodes[holder].bytes, <=, 400 * 1000);
 	world_destroy(world);
@@ -67,10 +67,10 @@
 
 	for (size_t i = 0; i < LARGE; i++) {
 		if (i != holder)
-			world_start(world, i);
+			world_start_proxy(world, i);
 	}
 	world_run(world, 4 * SEC);
-	g_assert_cmpuint(count_registered(world), ==, LARGE - 1);
+	g_assert_cmpuint(count_registered_proxies(world), ==, LARGE - 1);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_load.c
+++ b/tests/test_pooler_load.c
@@ -43,7 +43,7 @@
 
 	load->sent = talloc_realloc(load->world, load->sent, sent_t, load->count + 1);
 	sent = &load->sent[load->count++];
-	*sent = (sent_t){.caller = world_open_database(load->world, node, "strict"),
+	*sent = (sent_t){.caller = world_open_session_on(load->world, node, "strict"),
 			 .sent_at = now_in(load)};
 	world_send(sent->caller, text);
 }
@@ -95,7 +95,7 @@
 {
 	load_t load = {.world = world_create(1, &one_slow_member)};
 
-	world_settle(load.world);
+	world_wait_until_ready(load.world);
 	play(&load, "READ job-1", 7500, 4 * SEC);
 	world_run(load.world, SEC);
 	look(&load);
@@ -116,7 +116,7 @@
 {
 	load_t load = {.world = world_create(1, &one_slow_member)};
 
-	world_settle(load.world);
+	world_wait_until_ready(load.world);
 	play(&load, "WRITE job-1 a", 3300, 3 * SEC);
 	world_run(load.world, SEC);
 	look(&load);
@@ -146,13 +146,13 @@
 	pool_world_t *world = load.world;
 	size_t before;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	play(&load, "READ job-1", 10 * MSEC, SEC);
 	for (size_t i = 0; i < world->node_count; i++)
 		world_kill(world, i);
 	world_run(world, SEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 100 * MSEC);
 	before = opened(world);
 	load.count = 0;
@@ -183,10 +183,10 @@
 
 static world_caller_t *begin_and_rest(pool_world_t *world, const char *text)
 {
-	world_caller_t *caller = world_open_database(world, 0, "strict");
+	world_caller_t *caller = world_open_session_on(world, 0, "strict");
 
-	assert_begins(world_ask(caller, "BEGIN"), "DONE");
-	assert_begins(world_ask(caller, text), "DONE");
+	assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE");
+	assert_has_prefix(world_send_and_wait(caller, text), "DONE");
 	return caller;
 }
 
@@ -203,19 +203,19 @@
 	world_caller_t *first;
 	world_caller_t *second;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	first = begin_and_rest(world, "WRITE job-1 a");
 	second = begin_and_rest(world, "WRITE job-2 b");
 	play(&load, "READ job-1", 20 * MSEC, SEC);
 	look(&load);
 	g_test_message("%zu sent, %zu done, %zu in time", load.count, load.done, load.in_time);
 	g_assert_cmpuint(load.in_time * 100, >=, load.count * 95);
-	assert_begins(world_ask(first, "COMMIT"), "ERR ABORTED");
+	assert_has_prefix(world_send_and_wait(first, "COMMIT"), "ERR ABORTED");
 	g_assert_cmpuint(fake_count(&world->db->members[0], first->id), ==, 0);
 	/* One connection is enough for those that waited. */
-	assert_begins(world_ask(second, "COMMIT"), "DONE");
-	assert_begins(world_ask(first, "READ job-1"), "ROW none");
-	assert_begins(world_ask(first, "READ job-2"), "ROW b");
+	assert_has_prefix(world_send_and_wait(second, "COMMIT"), "DONE");
+	assert_has_prefix(world_send_and_wait(first, "READ job-1"), "ROW none");
+	assert_has_prefix(world_send_and_wait(first, "READ job-2"), "ROW b");
 	world_destroy(world);
 }
 
@@ -226,15 +226,15 @@
 	world_caller_t *resting;
 	world_caller_t *other;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	resting = begin_and_rest(world, "WRITE job-1 a");
-	other = world_open_database(world, 0, "strict");
+	other = world_open_session_on(world, 0, "strict");
 	for (int i = 0; i < 100; i++) {
-		assert_begins(world_ask(other, "READ job-1"), "ROW none");
+		assert_has_prefix(world_send_and_wait(other, "READ job-1"), "ROW none");
 		world_run(world, 20 * MSEC);
 	}
-	assert_begins(world_ask(resting, "COMMIT"), "DONE");
-	assert_begins(world_ask(other, "READ job-1"), "ROW a");
+	assert_has_prefix(world_send_and_wait(resting, "COMMIT"), "DONE");
+	assert_has_prefix(world_send_and_wait(other, "READ job-1"), "ROW a");
 	world_destroy(world);
 }
 
@@ -246,20 +246,20 @@
 	world_caller_t *second;
 	world_caller_t *other;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	first = begin_and_rest(world, "WRITE job-1 a");
 	second = begin_and_rest(world, "WRITE job-2 b");
-	other = world_open_database(world, 0, "strict");
+	other = world_open_session_on(world, 0, "strict");
 	world_send(other, "READ job-1");
 	for (int i = 0; i < 10; i++) {
-		assert_begins(world_ask(first, "READ job-1"), "ROW a");
-		assert_begins(world_ask(second, "READ job-2"), "ROW b");
+		assert_has_prefix(world_send_and_wait(first, "READ job-1"), "ROW a");
+		assert_has_prefix(world_send_and_wait(second, "READ job-2"), "ROW b");
 		world_run(world, 50 * MSEC);
 	}
-	assert_begins(world_ask(first, "COMMIT"), "DONE");
-	assert_begins(world_ask(second, "COMMIT"), "DONE");
+	assert_has_prefix(world_send_and_wait(first, "COMMIT"), "DONE");
+	assert_has_prefix(world_send_and_wait(second, "COMMIT"), "DONE");
 	world_run(world, 50 * MSEC);
-	assert_begins(other->reply, "ROW ");
+	assert_has_prefix(other->reply, "ROW ");
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_outlier.c
+++ b/tests/test_pooler_outlier.c
@@ -118,9 +118,9 @@
 static void keep_fresh(pool_world_t *world)
 {
 	for (size_t i = 0; i < world->node_count; i++) {
-		world_caller_t *caller = world_open_database(world, i, "strict");
+		world_caller_t *caller = world_open_session_on(world, i, "strict");
 
-		world_ask(caller, "READ job-1");
+		world_send_and_wait(caller, "READ job-1");
 		world_leave(caller);
 	}
 }
@@ -136,7 +136,7 @@
 	tries_t tries = {0};
 
 	for (size_t i = 0; i < sessions; i++)
-		callers[i] = world_open_database(world, i % world->node_count, database);
+		callers[i] = world_open_session_on(world, i % world->node_count, database);
 	while (tries.sent < count) {
 		keep_fresh(world);
 		for (size_t i = 0; i < sessions && tries.sent < count; i++, tries.sent++)
@@ -178,7 +178,7 @@
 	pool_world_t *world = world_create(3, NULL);
 	tries_t tries;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->db->members[1].fail_percent = 45;
 	tries = ask_often(world, "bounded", "READ job-1", 300);
 	g_test_message("%zu of %zu reads done", tries.done, tries.sent);
@@ -197,7 +197,7 @@
 	const char *bad = world->db->members[1].id;
 	usec_t began;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	ask_often(world, "bounded", "READ job-1", 60);
 	world->db->members[1].fail_percent = 100;
 	began = now_in(world);
@@ -235,7 +235,7 @@
 	pool_world_t *world = world_create(1, NULL);
 	size_t most = 0;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->db->members[1].fail_percent = 50;
 	world->db->members[2].fail_percent = 50;
 	for (int i = 0; i < 30; i++) {
@@ -251,7 +251,7 @@
 {
 	pool_world_t *world = world_create(1, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 3; i++)
 		world->db->members[i].fail_percent = 50;
 	for (int i = 0; i < 30; i++) {
@@ -275,7 +275,7 @@
 	pool_world_t *world = world_create(3, NULL);
 	tries_t tries;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	ask_often(world, "strict", "WRITE job-1 a", 30);
 	world->db->members[0].fail_percent = 100;
 	ask_often(world, "strict", "WRITE job-1 b", 150);
@@ -305,10 +305,10 @@
 	world_caller_t *callers[8];
 	const member_t *primary;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	ask_often(world, "strict", "READ job-1", 8);
 	for (size_t i = 0; i < G_N_ELEMENTS(callers); i++) {
-		callers[i] = world_open_database(world, 0, "strict");
+		callers[i] = world_open_session_on(world, 0, "strict");
 		world_send(callers[i], "READ job-1");
 	}
 	world->db->members[0].reset_answers = 8;
@@ -330,7 +330,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	ask_often(world, "strict", "WRITE job-1 a", 30);
 	world->db->members[0].fail_percent = 50;
 	world->db->members[0].fail_code = "BUSY";
@@ -356,7 +356,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	work_on(world, 4);
 	world->db->members[0].slow = 80 * MSEC;
 	work_on(world, 12);
@@ -368,7 +368,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	work_on(world, 4);
 	for (size_t i = 0; i < 3; i++)
 		world->db->members[i].slow = 80 * MSEC;
@@ -382,7 +382,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	work_on(world, 4);
 	world->db->members[0].slow = 8 * MSEC;
 	work_on(world, 12);
@@ -409,7 +409,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	ask_often(world, "strict", "READ job-1", 12);
 	find_down(world);
 	g_assert_cmpuint(world->promote_count, ==, 0);
@@ -425,7 +425,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	ask_often(world, "strict", "READ job-1", 12);
 	for (int i = 0; i < 3; i++) {
 		find_down(world);
@@ -440,7 +440,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->db->members[0].fail_percent = 10;
 	ask_often(world, "strict", "WRITE job-1 a", 600);
 	g_assert_cmpuint(world->promote_count, ==, 0);
@@ -466,12 +466,12 @@
 	pool_world_t *world = world_create(3, NULL);
 	usec_t end;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	ask_often(world, "strict", "WRITE job-1 a", 12);
 	for (size_t i = 0; i < 3; i++)
 		find_failing(world->nodes[i].pooler, now_in(world));
 	end = now_in(world) + 2 * SEC;
-	while (world_permitted(world, "core-0") == 3 && now_in(world) < end)
+	while (world_count_permitted(world, "core-0") == 3 && now_in(world) < end)
 		world_run(world, MSEC);
 	for (size_t i = 0; i < 2; i++)
 		member_find(world->nodes[i].pooler, "core-0")->outlier.failing_until = 0;
@@ -491,7 +491,7 @@
 		pool_world_t *world = world_create(3, NULL);
 		char id[16];
 
-		world_settle(world);
+		world_wait_until_ready(world);
 		snprintf(id, sizeof(id), "core-%zu", ill);
 		for (size_t i = 0; i < 3; i++) {
 			pooler_t *pooler = world->nodes[i].pooler;
@@ -513,7 +513,7 @@
 		pool_world_t *world = world_create(3, NULL);
 		char id[16];
 
-		world_settle(world);
+		world_wait_until_ready(world);
 		snprintf(id, sizeof(id), "core-%zu", slow);
 		for (size_t i = 0; i < 3; i++) {
 			pooler_t *pooler = world->nodes[i].pooler;
@@ -533,7 +533,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (int i = 0; i < 40; i++) {
 		member_t *primary = member_find(world->nodes[0].pooler, "core-0");
 
@@ -555,7 +555,7 @@
 	pool_world_t *world = world_create(3, NULL);
 	usec_t end;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 3; i++)
 		world->db->members[i].fail_percent = 60;
 	end = now_in(world) + 25 * SEC;
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -30,19 +30,19 @@
 	world_caller_t *caller;
 	usec_t start;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_run(world, 200 * MSEC);
 	start = clock_now(&world->clock.base);
 	world_crash_member(world, 0);
-	while (!g_str_has_prefix(world_ask(caller, "WRITE job-1 b"), "DONE")) {
+	while (!g_str_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE")) {
 		world_run(world, 10 * MSEC);
 		g_assert_cmpuint(clock_now(&world->clock.base) - start, <, 4 * SEC);
 	}
 	g_assert_cmpuint(clock_now(&world->clock.base) - start, <, 2 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW b");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW b");
 	world_destroy(world);
 }
 
@@ -57,10 +57,10 @@
 	world_caller_t *callers[3];
 	const char *leader;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 3; i++) {
-		callers[i] = world_open(world, i);
-		world_ask(callers[i], "WRITE job-1 a");
+		callers[i] = world_open_session(world, i);
+		world_send_and_wait(callers[i], "WRITE job-1 a");
 	}
 	world_crash_member(world, 0);
 	for (size_t i = 0; i < 3; i++)
@@ -68,11 +68,11 @@
 	while (world->db->promoted_at == 0)
 		world_run(world, MSEC);
 	leader = fake_leader(world->db)->id;
-	while (world_permitted(world, leader) != 3)
+	while (world_count_permitted(world, leader) != 3)
 		world_run(world, MSEC);
 	for (int i = 0; i < 1500; i++) {
 		world_run(world, MSEC);
-		g_assert_cmpuint(world_permitted(world, leader), ==, 3);
+		g_assert_cmpuint(world_count_permitted(world, leader), ==, 3);
 	}
 	world_destroy(world);
 }
@@ -87,17 +87,17 @@
 	world_caller_t *caller;
 	char id[40];
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world->db->members[0].leaving = true;
-	world_publish(world);
+	world_publish_directory(world);
 	world_run(world, 3 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
 	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 1);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
-	g_assert_cmpstr(last_run(world, caller->id)->member, !=, "core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
+	g_assert_cmpstr(find_last_run(world, caller->id)->member, !=, "core-0");
 	world_destroy(world);
 }
 
@@ -111,13 +111,13 @@
 	world_caller_t *caller;
 	char id[40];
 
-	world_settle(world);
-	caller = world_open(world, 0);
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
 	world->db->members[1].deaf = true;
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world_run(world, 100 * MSEC);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW a");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW a");
 	world_crash_member(world, 0);
 	world_run(world, 4 * SEC);
 	g_assert_cmpstr(fake_leader(world->db)->id, ==, "core-2");
@@ -139,10 +139,10 @@
 
 	world->sync_replicas = true;
 	world->config_version++;
-	world_settle(world);
-	caller = world_open(world, 0);
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
 	world->db->members[2].deaf = true;
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world_run(world, 200 * MSEC);
 	world_crash_member(world, 1);
@@ -174,25 +174,25 @@
 	size_t holder;
 	size_t other;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
-	other = find_other(world);
+	other = find_non_leader(world);
 	for (size_t i = 0; i < 3; i++) {
 		if (i != holder && i != other)
 			world_power_off(world, i);
 	}
-	caller = world_open(world, other);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
-	world_cut_members(world, holder, true);
-	world_cut_members(world, other, true);
-	for (int i = 0; i < 40 && world_permitted(world, "core-0") != 0; i++)
+	caller = world_open_session(world, other);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
+	world_set_members_unreachable(world, holder, true);
+	world_set_members_unreachable(world, other, true);
+	for (int i = 0; i < 40 && world_count_permitted(world, "core-0") != 0; i++)
 		world_run(world, 50 * MSEC);
-	g_assert_cmpuint(world_permitted(world, "core-0"), ==, 0);
-	world_cut_members(world, holder, false);
-	world_cut_members(world, other, false);
+	g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, 0);
+	world_set_members_unreachable(world, holder, false);
+	world_set_members_unreachable(world, other, false);
 	world_run(world, 600 * MSEC);
-	caller = world_open(world, other);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
+	caller = world_open_session(world, other);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
 }
@@ -208,16 +208,16 @@
 	world_caller_t *caller;
 	size_t stopped = 0;
 
-	world_settle(world);
-	caller = world_open(world, 2);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 2);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world->nodes[2].kv.cut = true;
 	world->nodes[2].cut_from_peers = true;
 	world->db->members[0].leaving = true;
 	/* The others see the primary as leaving and replace it; this one does not hear of it. */
-	world_publish(world);
+	world_publish_directory(world);
 	for (int i = 0; i < 150; i++) {
-		const char *reply = world_ask(caller, "WRITE job-1 b");
+		const char *reply = world_send_and_wait(caller, "WRITE job-1 b");
 
 		if (g_str_has_prefix(reply, "DONE core-0"))
 			g_assert_cmpuint(world->db->promoted_at, ==, 0);
@@ -240,9 +240,9 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 2);
-	world_ask(caller, "WRITE job-1 a");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 2);
+	world_send_and_wait(caller, "WRITE job-1 a");
 	world->db->members[1].deaf = true;
 	world->db->members[2].deaf = true;
 	world_send(caller, "WRITE job-1 b");
@@ -254,7 +254,7 @@
 	g_assert_cmpuint(world->db->promoted_at, !=, 0);
 	world_thaw(world, 2);
 	world_run(world, 100 * MSEC);
-	assert_begins(caller->reply, "ERR INDOUBT");
+	assert_has_prefix(caller->reply, "ERR INDOUBT");
 	world_destroy(world);
 }
 
@@ -270,9 +270,9 @@
 	const char *second;
 	char id[40];
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "WRITE job-1 a");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "WRITE job-1 a");
 	world->db->members[0].leaving = true;
 	world_run(world, 200 * MSEC);
 	world->db->members[0].deaf = true;
@@ -280,18 +280,19 @@
 	second = fake_leader(world->db)->id;
 	g_assert_cmpstr(second, !=, "core-0");
 	world->db->members[0].leaving = false;
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world_run(world, SEC);
 	world_crash_member(world, (size_t)(fake_find(world->db, second) - world->db->members));
-	world_ask(caller, "WRITE job-1 c");
+	world_send_and_wait(caller, "WRITE job-1 c");
 	world_run(world, 5 * SEC);
 	g_assert_true(world->db->members[0].primary);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW b");
-	assert_begins(world_ask(caller, "WRITE job-1 d"), "DONE");
-	g_assert_cmpstr(last_run(world, caller->id)->member, !=, "core-0");
-	g_assert_cmpuint(fake_count(fake_find(world->db, last_run(world, caller->id)->member), id),
-			 ==, 1);
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW b");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 d"), "DONE");
+	g_assert_cmpstr(find_last_run(world, caller->id)->member, !=, "core-0");
+	g_assert_cmpuint(
+		fake_count(fake_find(world->db, find_last_run(world, caller->id)->member), id), ==,
+		1);
 	world_destroy(world);
 }
 
@@ -305,14 +306,14 @@
 	world_caller_t *caller;
 	size_t holder;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
-	caller = world_open(world, (holder + 1) % 5);
-	world_ask(caller, "WRITE job-1 a");
+	caller = world_open_session(world, (holder + 1) % 5);
+	world_send_and_wait(caller, "WRITE job-1 a");
 	world_freeze(world, holder);
 	world_crash_member(world, 0);
 	world_run(world, 5600 * MSEC);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	world_thaw(world, holder);
 	world_run(world, 3 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
@@ -340,7 +341,7 @@
 	char *text;
 	kv_write_t write = {.key = "fleet/roster"};
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
 	world_crash_member(world, 0);
 	while (step_of(world, holder) != CHANGE_COMMITTING)
@@ -374,9 +375,9 @@
 	fake_member_t *target;
 	char id[40];
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "WRITE job-1 a");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "WRITE job-1 a");
 	world->db->members[0].leaving = true;
 	while (world->db->promoted_at == 0)
 		world_run(world, MSEC);
@@ -384,10 +385,11 @@
 	world_crash_member(world, (size_t)(target - world->db->members));
 	world->db->members[0].leaving = false;
 	world->db->members[0].deaf = true; /* cut off from the one that is down anyway */
-	for (int i = 0; i < 100 && !g_str_has_prefix(world_ask(caller, "WRITE job-1 b"), "DONE");
+	for (int i = 0;
+	     i < 100 && !g_str_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE");
 	     i++)
 		world_run(world, 100 * MSEC);
-	assert_begins(caller->reply, "DONE");
+	assert_has_prefix(caller->reply, "DONE");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	fake_start(target);
 	world->db->members[0].deaf = false;
@@ -403,14 +405,14 @@
 	world_caller_t *caller;
 	size_t holder;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
 	world_kill(world, holder);
 	world_crash_member(world, 0);
 	world_run(world, 8 * SEC);
 	g_assert_cmpuint(world->promote_count, >=, 1);
-	caller = world_open(world, (holder + 1) % 3);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
+	caller = world_open_session(world, (holder + 1) % 3);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	for (size_t i = 1; i < world->promote_count; i++)
 		g_assert_cmpuint(world->promotes[i].fence, >=, world->promotes[i - 1].fence);
 	world_destroy(world);
@@ -426,15 +428,15 @@
 	world_caller_t *caller;
 	size_t dead;
 
-	world_settle(world);
-	dead = find_other(world);
+	world_wait_until_ready(world);
+	dead = find_non_leader(world);
 	world_kill(world, dead);
 	world_run(world, SEC);
-	caller = world_open(world, 8);
+	caller = world_open_session(world, 8);
 	world_crash_member(world, 0);
-	world_ask(caller, "WRITE job-1 a");
+	world_send_and_wait(caller, "WRITE job-1 a");
 	world_run(world, 4500 * MSEC);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	world_destroy(world);
 }
 
@@ -451,15 +453,15 @@
 	size_t holder;
 	usec_t lost_at;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
-	caller = world_open(world, (holder + 1) % 3);
+	caller = world_open_session(world, (holder + 1) % 3);
 	world_crash_member(world, 0);
 	while (step_of(world, holder) != CHANGE_RELEASING)
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = i != holder;
-	fake_kv_revoke(world->kv, "fleet/holder");
+	fake_kv_delete_key(world->kv, "fleet/holder");
 	hold_lose(world->nodes[holder].pooler, "test");
 	lost_at = clock_now(&world->clock.base);
 	while (world->promote_count == 0)
@@ -468,7 +470,7 @@
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = false;
 	world_run(world, 2 * SEC);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
 	world_destroy(world);
 }
 
@@ -485,7 +487,7 @@
 	size_t first;
 	size_t second;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	first = find_holder(world);
 	world->db->members[0].leaving = true;
 	while (world->promote_count == 0)
@@ -499,21 +501,21 @@
 	}
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = i != second;
-	fake_kv_revoke(world->kv, "fleet/holder");
+	fake_kv_delete_key(world->kv, "fleet/holder");
 	hold_lose(world->nodes[second].pooler, "test");
-	while (!holds_duty(world, second))
+	while (!is_leader(world, second))
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = false;
 	for (int i = 0; i < 100; i++) {
 		world_run(world, 30 * MSEC);
 		if (world->db->promoted_at != 0)
-			g_assert_cmpuint(world_permitted(world, "core-0"), ==, 0);
+			g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, 0);
 	}
 	world_thaw(world, first);
 	world_run(world, 4 * SEC);
 	g_assert_cmpstr(fake_leader(world->db)->id, !=, "core-0");
-	g_assert_cmpuint(world_permitted(world, fake_leader(world->db)->id), ==, 3);
+	g_assert_cmpuint(world_count_permitted(world, fake_leader(world->db)->id), ==, 3);
 	world_destroy(world);
 }
 
@@ -529,15 +531,15 @@
 	world_caller_t *caller;
 	size_t holder;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
-	caller = world_open(world, find_other(world));
+	caller = world_open_session(world, find_non_leader(world));
 	world_crash_member(world, 0);
 	while (world->promote_count == 0)
 		world_run(world, MSEC);
 	world_kill(world, holder);
 	world_run(world, 8 * SEC);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
 	g_assert_cmpuint(world->promote_count, ==, 1);
 	world_destroy(world);
 }
@@ -546,12 +548,12 @@
 static void let_newcomer_hold(pool_world_t *world, size_t newcomer)
 {
 	world_kill(world, newcomer);
-	world_start(world, newcomer);
+	world_start_proxy(world, newcomer);
 	world_run(world, 300 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = i != newcomer;
-	fake_kv_revoke(world->kv, "fleet/holder");
-	while (!holds_duty(world, newcomer))
+	fake_kv_delete_key(world->kv, "fleet/holder");
+	while (!is_leader(world, newcomer))
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
 		world->nodes[i].kv.cut = false;
@@ -568,16 +570,16 @@
 	pool_world_t *world = world_create(5, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 15 * SEC);
 	world_kill(world, 4);
 	let_newcomer_hold(world, 1);
-	caller = world_open(world, 2);
+	caller = world_open_session(world, 2);
 	world->db->members[0].leaving = true;
-	world_publish(world);
+	world_publish_directory(world);
 	world_run(world, 3500 * MSEC);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-");
-	g_assert_cmpstr(last_run(world, caller->id)->member, !=, "core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
+	g_assert_cmpstr(find_last_run(world, caller->id)->member, !=, "core-0");
 	world_destroy(world);
 }
 
@@ -592,15 +594,15 @@
 	pool_world_t *world = world_create(5, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->db->members[0].unlisted = true;
 	let_newcomer_hold(world, 1);
 	world_run(world, 2 * SEC);
 	world->db->members[0].unlisted = false;
 	world_run(world, 3 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 0);
-	caller = world_open(world, 2);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	caller = world_open_session(world, 2);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_destroy(world);
 }
 
@@ -613,11 +615,11 @@
 {
 	pool_world_t *world = world_create(4, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 15 * SEC);
 	g_assert_cmpuint(permit_listed(world->nodes[1].pooler), ==, 4);
 	world_kill(world, 1);
-	world_start(world, 1);
+	world_start_proxy(world, 1);
 	world_run(world, 2 * SEC);
 	g_assert_cmpuint(permit_listed(world->nodes[1].pooler), ==, 0);
 	world_run(world, 15 * SEC);
@@ -637,16 +639,16 @@
 	world_caller_t *caller;
 	size_t dead;
 
-	world_settle(world);
-	dead = find_other(world);
+	world_wait_until_ready(world);
+	dead = find_non_leader(world);
 	world_kill(world, dead);
 	world_run(world, 9 * SEC);
-	caller = world_open(world, 5);
+	caller = world_open_session(world, 5);
 	world->db->members[0].leaving = true;
-	world_publish(world);
+	world_publish_directory(world);
 	world_run(world, 1500 * MSEC);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-");
-	g_assert_cmpstr(last_run(world, caller->id)->member, !=, "core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
+	g_assert_cmpstr(find_last_run(world, caller->id)->member, !=, "core-0");
 	world_destroy(world);
 }
 
@@ -656,14 +658,14 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "WRITE job-1 a");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "WRITE job-1 a");
 	world->lose_promotes = 1;
 	world_crash_member(world, 0);
 	world_run(world, 4 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	world_destroy(world);
 }
 
@@ -676,11 +678,11 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->stale_directory = true;
 	world_crash_member(world, 0);
 	/* Nobody asks the member, so nobody has noticed yet. */
-	world_ask(world_open(world, 0), "WRITE job-1 a");
+	world_send_and_wait(world_open_session(world, 0), "WRITE job-1 a");
 	world_run(world, 3 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
 	world_run(world, 10 * SEC);
--- a/tests/test_pooler_relay.c
+++ b/tests/test_pooler_relay.c
@@ -29,7 +29,7 @@
 
 		world_run(world, 10 * MSEC);
 		if (leader != NULL && leader != &world->db->members[0] &&
-		    world_permitted(world, leader->id) == world->node_count)
+		    world_count_permitted(world, leader->id) == world->node_count)
 			return clock_now(&world->clock.base) - start;
 	}
 	g_assert_not_reached();
@@ -48,7 +48,7 @@
 	size_t holder;
 	uint64_t fence;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
 	fence = world->nodes[holder].pooler->sync.own_fence;
 	world->db->members[0].leaving = true;
@@ -57,7 +57,7 @@
 	world->nodes[holder].kv.cut = true;
 	g_assert_cmpuint(time_to_change(world), <, 2 * SEC);
 	world_run(world, 10 * SEC);
-	g_assert_true(holds_duty(world, holder));
+	g_assert_true(is_leader(world, holder));
 	g_assert_cmpuint(world->nodes[holder].pooler->sync.own_fence, ==, fence);
 	world_destroy(world);
 }
@@ -70,7 +70,7 @@
 	pool_world_t *world = world_create(5, NULL);
 	size_t holder;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
 	world->nodes[holder].kv.cut = true;
 	for (int i = 0; i < 3; i++) {
@@ -79,7 +79,7 @@
 		world_run(world, 1 * SEC);
 		world_freeze(world, victim);
 		world_run(world, 3 * SEC);
-		g_assert_true(holds_duty(world, holder));
+		g_assert_true(is_leader(world, holder));
 		world_thaw(world, victim);
 	}
 	world_destroy(world);
@@ -122,8 +122,8 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t node;
 
-	world_settle(world);
-	node = find_other(world);
+	world_wait_until_ready(world);
+	node = find_non_leader(world);
 	world->kv->lose_answers = 1;
 	g_assert_cmpint(commit(world, node).status, ==, KV_LOST);
 	world_run(world, 1 * SEC);
@@ -137,8 +137,8 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t node;
 
-	world_settle(world);
-	node = find_other(world);
+	world_wait_until_ready(world);
+	node = find_non_leader(world);
 	world->nodes[node].kv.cut = true;
 	/* The first one is lost, and tells that the store does not answer. */
 	g_assert_cmpint(commit(world, node).status, ==, KV_LOST);
@@ -161,8 +161,8 @@
 	size_t node;
 	kv_t *kv;
 
-	world_settle(world);
-	node = find_other(world);
+	world_wait_until_ready(world);
+	node = find_non_leader(world);
 	kv = pooler_store(world->nodes[node].pooler);
 	world->nodes[node].kv.cut = true;
 	g_assert_cmpint(commit(world, node).status, ==, KV_LOST);
@@ -183,10 +183,10 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->kv->down = true;
 	world_run(world, 2 * SEC);
-	g_assert_cmpint(commit(world, find_other(world)).status, ==, KV_LOST);
+	g_assert_cmpint(commit(world, find_non_leader(world)).status, ==, KV_LOST);
 	world->kv->down = false;
 	world_run(world, 3 * SEC);
 	for (size_t i = 0; i < 3; i++)
@@ -205,14 +205,14 @@
 	pool_world_t *world = world_create(7, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 4; i++) {
 		world->nodes[i].kv.cut = true;
 		world->nodes[i].island = 1;
 	}
-	caller = world_open(world, 0);
+	caller = world_open_session(world, 0);
 	for (int i = 0; i < 90; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 90 * MSEC);
 	}
 	world_destroy(world);
@@ -228,15 +228,15 @@
 	world_caller_t *caller;
 	bool stopped = false;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 4; i++) {
 		world->nodes[i].kv.cut = true;
 		world->nodes[i].island = 1;
 	}
 	world->db->members[0].leaving = true;
-	caller = world_open(world, 0);
+	caller = world_open_session(world, 0);
 	for (int i = 0; i < 400; i++) {
-		const char *reply = world_ask(caller, "WRITE job-1 a");
+		const char *reply = world_send_and_wait(caller, "WRITE job-1 a");
 
 		if (g_str_has_prefix(reply, "DONE"))
 			g_assert_cmpuint(world->db->promoted_at, ==, 0);
@@ -268,8 +268,8 @@
 				  .cut_off = true,
 				  .store = &request};
 	void *parent = talloc_new(NULL);
-	char *text = fleet_encode(&message);
-	const peer_message_t *back = fleet_decode(parent, text, strlen(text));
+	char *text = peer_message_encode(&message);
+	const peer_message_t *back = peer_message_decode(parent, text, strlen(text));
 
 	g_assert_true(back->cut_off);
 	g_assert_cmpuint(back->store->count, ==, 2);
@@ -280,8 +280,8 @@
 	free(text);
 	message = (peer_message_t){
 		.kind = PEER_STORED, .from = "p", .address = "q", .stored = &answer};
-	text = fleet_encode(&message);
-	back = fleet_decode(parent, text, strlen(text));
+	text = peer_message_encode(&message);
+	back = peer_message_decode(parent, text, strlen(text));
 	g_assert_cmpint(back->stored->result.status, ==, KV_CONFLICT);
 	g_assert_cmpint(back->stored->result.as_of, ==, 8);
 	g_assert_cmpmem(back->stored->result.items[0].value, back->stored->result.items[0].len,
--- a/tests/test_pooler_restore.c
+++ b/tests/test_pooler_restore.c
@@ -24,9 +24,9 @@
 {
 	pool_world_t *world = world_create(nodes, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	fake_kv_copy(world->kv);
+	fake_kv_make_backup(world->kv);
 	world_crash_member(world, 0);
 	run_until_promoted(world, 1);
 	return world;
@@ -40,9 +40,9 @@
 	bool served = false;
 
 	while (!served && clock_now(&world->clock.base) < end) {
-		world_caller_t *caller = world_open(world, node);
+		world_caller_t *caller = world_open_session(world, node);
 
-		served = g_str_has_prefix(world_ask(caller, "WRITE job-1 a"), done);
+		served = g_str_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), done);
 		world_leave(caller);
 		world_run(world, 20 * MSEC);
 	}
@@ -63,9 +63,9 @@
 	pool_world_t *world = make_replaced(5);
 	g_autofree char *leader = g_strdup(leader_of(world));
 
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	for (int i = 0; i < 40; i++) {
-		g_assert_true(is_served_by(world, find_other(world), leader, 10 * MSEC));
+		g_assert_true(is_served_by(world, find_non_leader(world), leader, 10 * MSEC));
 		world_run(world, 50 * MSEC);
 	}
 	world_run(world, SETTLED);
@@ -77,7 +77,7 @@
 		g_assert_cmpint(roster->era, ==, 1);
 		g_assert_cmpstr(roster_group(roster, WORLD_SERVICE)->primary, ==, leader);
 	}
-	g_assert_cmpuint(world_permitted(world, leader), ==, world->node_count);
+	g_assert_cmpuint(world_count_permitted(world, leader), ==, world->node_count);
 	world_destroy(world);
 }
 
@@ -89,11 +89,11 @@
 	size_t holder = find_holder(world);
 
 	world_kill(world, holder);
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	g_assert_true(is_served_by(world, (holder + 1) % world->node_count, leader,
 				   PERMIT_TOGETHER + SETTLED));
 	world_run(world, SETTLED);
-	g_assert_cmpuint(world_permitted(world, leader), ==, world->node_count - 1);
+	g_assert_cmpuint(world_count_permitted(world, leader), ==, world->node_count - 1);
 	world_destroy(world);
 }
 
@@ -102,9 +102,9 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	fake_kv_copy(world->kv);
+	fake_kv_make_backup(world->kv);
 	world->db->members[0].deaf = true;
 	world->db->members[0].leaving = true;
 	run_until_promoted(world, 1);
@@ -116,10 +116,10 @@
 static void check_copy_unused(pool_world_t *world, size_t node)
 {
 	for (int i = 0; i < 60; i++) {
-		world_caller_t *caller = world_open(world, node);
+		world_caller_t *caller = world_open_session(world, node);
 
 		if (caller->caller != NULL) {
-			const char *reply = world_ask(caller, "WRITE job-1 a");
+			const char *reply = world_send_and_wait(caller, "WRITE job-1 a");
 
 			g_assert_false(g_str_has_prefix(reply, "DONE core-0"));
 		}
@@ -140,8 +140,8 @@
 	for (size_t i = 0; i < world->node_count; i++)
 		world_kill(world, i);
 	world_run(world, SEC);
-	fake_kv_restore(world->kv);
-	world_start(world, 1);
+	fake_kv_restore_backup(world->kv);
+	world_start_proxy(world, 1);
 	check_copy_unused(world, 1);
 	/* The others, which don't come back, may have used it for this long. */
 	g_assert_true(is_served_by(world, 1, leader, PERMIT_TOGETHER + SETTLED));
@@ -157,10 +157,10 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t behind;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	fake_kv_copy(world->kv);
-	behind = find_other(world);
+	fake_kv_make_backup(world->kv);
+	behind = find_non_leader(world);
 	world->nodes[behind].kv.cut = true;
 	world->nodes[behind].cut_from_peers = true;
 	world->db->members[0].deaf = true;
@@ -171,7 +171,7 @@
 		if (i != behind)
 			world_kill(world, i);
 	}
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	world->nodes[behind].kv.cut = false;
 	world->nodes[behind].cut_from_peers = false;
 	check_copy_unused(world, behind);
@@ -187,7 +187,7 @@
 	pool_world_t *world = make_replaced(5);
 
 	world_run(world, 3 * SEC);
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	world_run(world, SETTLED);
 	world_crash_member(world, leader_of(world)[strlen("core-")] - '0');
 	run_until_promoted(world, 2);
@@ -201,11 +201,11 @@
 	pool_world_t *world = make_replaced(5);
 	g_autofree char *leader = g_strdup(leader_of(world));
 
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	world_run(world, SEC / 2);
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	world_run(world, SETTLED);
-	g_assert_cmpuint(world_permitted(world, leader), ==, world->node_count);
+	g_assert_cmpuint(world_count_permitted(world, leader), ==, world->node_count);
 	g_assert_cmpint(kv_era(world->nodes[0].pooler->sync.roster->revision), ==, 2);
 	world_destroy(world);
 }
@@ -221,7 +221,7 @@
 	usec_t proved;
 	peer_message_t message = {.kind = PEER_PING, .from = "p9", .address = "10.0.0.9:1"};
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	pooler = world->nodes[0].pooler;
 	pooler_on_keys_proved(pooler, now_of(pooler));
 	proved = proof_age(&pooler->config_proof, now_of(pooler));
--- a/tests/test_pooler_scale.c
+++ b/tests/test_pooler_scale.c
@@ -75,7 +75,7 @@
 	clock_t began;
 	double took;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	add_services(pooler, services);
 	for (int i = 0; i < services / SERVICES_EACH; i++) {
 		g_autofree char *name = g_strdup_printf("elsewhere-%d", i);
@@ -134,7 +134,7 @@
 	pool_world_t *world = world_create(1, NULL);
 	pooler_t *pooler = world->nodes[0].pooler;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	add_services(pooler, UNUSED);
 	world_run(world, SEC);
 	g_assert_cmpuint(count_checked(pooler), >=, 20);
@@ -189,8 +189,8 @@
 	pooler_t *pooler;
 	looks_t looks = {0};
 
-	world_settle(world);
-	pooler = world->nodes[find_other(world)].pooler;
+	world_wait_until_ready(world);
+	pooler = world->nodes[find_non_leader(world)].pooler;
 	add_services(pooler, services);
 	add_peers(pooler);
 	world_run(world, 10 * SEC);
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -24,7 +24,7 @@
 {
 	pool_world_t *world = world_create(FLEET, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
 	return world;
 }
@@ -44,7 +44,7 @@
 static size_t find_plain(const pool_world_t *world, size_t beside)
 {
 	for (size_t i = 0; i < FLEET; i++) {
-		if (i != beside && !holds_duty(world, i) &&
+		if (i != beside && !is_leader(world, i) &&
 		    !upstream_is_hub(world->nodes[i].pooler) &&
 		    (beside == FLEET ||
 		     strcmp(world->nodes[i].zone, world->nodes[beside].zone) == 0))
@@ -56,7 +56,7 @@
 static size_t find_hub(const pool_world_t *world)
 {
 	for (size_t i = 0; i < FLEET; i++) {
-		if (!holds_duty(world, i) && upstream_is_hub(world->nodes[i].pooler))
+		if (!is_leader(world, i) && upstream_is_hub(world->nodes[i].pooler))
 			return i;
 	}
 	g_assert_not_reached();
@@ -76,7 +76,7 @@
 	g_assert_cmpuint(hubs, ==, 3);
 	world_run(world, 2 * SEC);
 	g_assert_cmpuint(count_listeners(world, find_holder(world)), <=, hubs + FLEET / 3 + 1);
-	g_assert_cmpuint(world_permitted(world, "core-0"), ==, FLEET);
+	g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, FLEET);
 	world_destroy(world);
 }
 
@@ -88,11 +88,11 @@
 {
 	pool_world_t *world = make_fleet();
 	size_t hub = find_hub(world);
-	world_caller_t *caller = world_open(world, find_plain(world, hub));
+	world_caller_t *caller = world_open_session(world, find_plain(world, hub));
 
 	world_kill(world, hub);
 	for (int i = 0; i < 100; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 46 * MSEC);
 	}
 	world_destroy(world);
@@ -103,13 +103,13 @@
 {
 	pool_world_t *world = make_fleet();
 	size_t hub = find_hub(world);
-	world_caller_t *caller = world_open(world, find_plain(world, hub));
+	world_caller_t *caller = world_open_session(world, find_plain(world, hub));
 
 	world_freeze(world, hub);
 	for (int i = 0; i < 100; i++) {
 		if (i == 60)
 			world_thaw(world, hub);
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 46 * MSEC);
 	}
 	world_destroy(world);
@@ -141,7 +141,7 @@
 	size_t plain;
 	size_t links = 0;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
 	plain = find_plain(world, FLEET);
 	world->kv->down = true;
@@ -165,17 +165,17 @@
 static void test_store_down(void)
 {
 	pool_world_t *world = make_fleet();
-	world_caller_t *caller = world_open(world, find_plain(world, FLEET));
+	world_caller_t *caller = world_open_session(world, find_plain(world, FLEET));
 
 	world->kv->down = true;
 	for (int i = 0; i < 90; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
-		g_assert_cmpuint(world_permitted(world, "core-0"), ==, FLEET);
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
+		g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, FLEET);
 		world_run(world, 94 * MSEC);
 	}
 	world->kv->down = false;
 	world_run(world, 4 * SEC);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
 }
@@ -229,21 +229,21 @@
  */
 static void test_holder_stays_away(void)
 {
-	pool_world_t *world = world_create(WORLD_FLEET, NULL);
+	pool_world_t *world = world_create(WORLD_LARGE_FLEET, NULL);
 	size_t holder;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
 	holder = find_holder(world);
-	for (size_t i = 0; i < WORLD_FLEET; i++)
+	for (size_t i = 0; i < WORLD_LARGE_FLEET; i++)
 		world_power_off(world, i);
 	world_run(world, 100 * MSEC);
-	for (size_t i = 0; i < WORLD_FLEET; i++) {
+	for (size_t i = 0; i < WORLD_LARGE_FLEET; i++) {
 		if (i != holder)
-			world_start(world, i);
+			world_start_proxy(world, i);
 	}
 	world_run(world, 500 * MSEC);
-	g_assert_cmpuint(count_registered(world), ==, WORLD_FLEET - 1);
+	g_assert_cmpuint(count_registered_proxies(world), ==, WORLD_LARGE_FLEET - 1);
 	world_destroy(world);
 }
 
@@ -254,13 +254,13 @@
 static void test_primary_crashes(void)
 {
 	pool_world_t *world = make_fleet();
-	world_caller_t *caller = world_open(world, find_plain(world, FLEET));
+	world_caller_t *caller = world_open_session(world, find_plain(world, FLEET));
 
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_crash_member(world, 0);
 	world_run(world, 2 * SEC);
-	caller = world_open(world, find_plain(world, FLEET));
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
+	caller = world_open_session(world, find_plain(world, FLEET));
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	g_assert_cmpuint(world->promote_count, ==, 1);
 	world_destroy(world);
 }
@@ -277,11 +277,11 @@
 	world->nodes[cut].kv.cut = true;
 	world->nodes[cut].cut_from_peers = true;
 	world->db->members[0].leaving = true;
-	world_publish(world);
+	world_publish_directory(world);
 	for (int i = 0; i < 400 && world->promote_count == 0; i++)
 		world_run(world, 50 * MSEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
-	g_assert_cmpuint(world_permitted(world, "core-0"), ==, 0);
+	g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, 0);
 	world_destroy(world);
 }
 
@@ -327,7 +327,7 @@
 			   .prefix = "op/"};
 	follow_t members = config;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	pooler = world->nodes[0].pooler;
 	fake_kv_put(world->kv, "op/config", "{}");
 	members.prefix = "servers/";
@@ -388,11 +388,11 @@
 	g_assert_cmpuint(world->nodes[find_holder(world)].pooler->tick_due -
 				 world->nodes[find_holder(world)].pooler->last_tick,
 			 ==, 50 * MSEC);
-	caller = world_open(world, plain);
+	caller = world_open_session(world, plain);
 	world_send(caller, "WRITE job-1 a");
 	g_assert_cmpuint(pooler->tick_due, <=, now_of(pooler) + 50 * MSEC);
 	world_run(world, SEC);
-	assert_begins(caller->reply, "DONE core-0");
+	assert_has_prefix(caller->reply, "DONE core-0");
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_verdict.c
+++ b/tests/test_pooler_verdict.c
@@ -15,12 +15,13 @@
 {
 	pool_world_t *world = world_create(4, NULL);
 
-	world_settle(world);
-	world_cut_members(world, find_holder(world), true);
+	world_wait_until_ready(world);
+	world_set_members_unreachable(world, find_holder(world), true);
 	world_run(world, 6 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 0);
-	assert_begins(world_ask(world_open(world, find_other(world)), "WRITE job-1 a"),
-		      "DONE core-0");
+	assert_has_prefix(world_send_and_wait(world_open_session(world, find_non_leader(world)),
+					      "WRITE job-1 a"),
+			  "DONE core-0");
 	world_destroy(world);
 }
 
@@ -29,7 +30,7 @@
 {
 	pool_world_t *world = world_create(4, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
 	world->stale_directory = true;
 	world_crash_member(world, 0);
@@ -57,12 +58,12 @@
 	pool_world_t *world = world_create(2, &config);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world->stale_directory = true;
 	world_crash_member(world, 0);
-	world_ask(caller, "WRITE job-1 b");
+	world_send_and_wait(caller, "WRITE job-1 b");
 	world_run(world, 4 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
 	world_destroy(world);
@@ -74,7 +75,7 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t holder;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	holder = find_holder(world);
 	for (size_t i = 0; i < 3; i++) {
 		if (i != holder)
@@ -84,7 +85,8 @@
 	world_crash_member(world, 0);
 	world_run(world, 20 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
-	assert_begins(world_ask(world_open(world, holder), "WRITE job-1 a"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(world_open_session(world, holder), "WRITE job-1 a"),
+			  "DONE core-");
 	world_destroy(world);
 }
 
@@ -124,7 +126,7 @@
 	size_t holder;
 	size_t calls;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->stale_directory = true;
 	holder = find_holder(world);
 	calls = world->kv->call_count;
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -20,7 +20,7 @@
 {
 	caller_message_t message;
 
-	protocol_decode_caller(line, strlen(line), &message);
+	protocol_decode_caller_message(line, strlen(line), &message);
 	return message;
 }
 
@@ -31,10 +31,10 @@
 	g_assert_cmpint(message.kind, ==, CALLER_START);
 	assert_slice(message.database, "lepu270");
 	g_assert_cmpint(decode("BYE").kind, ==, CALLER_BYE);
-	g_assert_cmpint(decode("START ").kind, ==, CALLER_BROKEN);
-	g_assert_cmpint(decode("start x y").kind, ==, CALLER_BROKEN);
-	g_assert_cmpint(decode("").kind, ==, CALLER_BROKEN);
-	g_assert_cmpint(decode("GET / HTTP/1.1").kind, ==, CALLER_BROKEN);
+	g_assert_cmpint(decode("START ").kind, ==, CALLER_INVALID);
+	g_assert_cmpint(decode("start x y").kind, ==, CALLER_INVALID);
+	g_assert_cmpint(decode("").kind, ==, CALLER_INVALID);
+	g_assert_cmpint(decode("GET / HTTP/1.1").kind, ==, CALLER_INVALID);
 }
 
 typedef struct query_case {
@@ -102,19 +102,19 @@
 	static const char line[] = "QUERY a READ 1\0QUERY b WRITE 1 x";
 	caller_message_t message;
 
-	protocol_decode_caller(line, sizeof(line) - 1, &message);
+	protocol_decode_caller_message(line, sizeof(line) - 1, &message);
 	g_assert_cmpint(message.statement.kind, ==, STATEMENT_MALFORMED);
 }
 
 /* Lines end with CR LF alone; a bare LF is part of the line. */
 static void test_lines(void)
 {
-	g_assert_cmpuint(protocol_line("ab\r\ncd", 6, 0), ==, 4);
-	g_assert_cmpuint(protocol_line("ab\ncd\r\n", 7, 0), ==, 7);
-	g_assert_cmpuint(protocol_line("ab\r", 3, 0), ==, 0);
-	g_assert_cmpuint(protocol_line("ab\r\n", 4, 3), ==, 4);
-	g_assert_cmpuint(protocol_line("\n", 1, 0), ==, 0);
-	g_assert_cmpuint(protocol_line("\r\n", 2, 0), ==, 2);
+	g_assert_cmpuint(protocol_line_length("ab\r\ncd", 6, 0), ==, 4);
+	g_assert_cmpuint(protocol_line_length("ab\ncd\r\n", 7, 0), ==, 7);
+	g_assert_cmpuint(protocol_line_length("ab\r", 3, 0), ==, 0);
+	g_assert_cmpuint(protocol_line_length("ab\r\n", 4, 3), ==, 4);
+	g_assert_cmpuint(protocol_line_length("\n", 1, 0), ==, 0);
+	g_assert_cmpuint(protocol_line_length("\r\n", 2, 0), ==, 2);
 }
 
 static const char whole_reply[] =
@@ -143,7 +143,7 @@
 		g_assert_cmpint(protocol_scan_reply(&scan, first, cut), ==, REPLY_INCOMPLETE);
 		g_free(first);
 		g_assert_cmpint(protocol_scan_reply(&scan, all, sizeof(whole_reply) - 1), ==,
-				REPLY_WHOLE);
+				REPLY_COMPLETE);
 		check_whole(&scan);
 		g_free(all);
 	}
@@ -160,21 +160,21 @@
 	reply_scan_t scan;
 
 	g_assert_cmpint(scan_text("ERR READONLY i-7f\r\nREADY E 3.1\r\nREADY I -\r\n", &scan), ==,
-			REPLY_WHOLE);
+			REPLY_COMPLETE);
 	g_assert_false(scan.reply.ok);
 	g_assert_cmpint(scan.reply.code, ==, CODE_READONLY);
 	g_assert_cmpint(scan.reply.tx, ==, TX_FAILED);
 	g_assert_cmpuint(scan.reply.raw.len, ==, strlen("ERR READONLY i-7f\r\nREADY E 3.1\r\n"));
-	g_assert_cmpint(scan_text("DONE -\r\nREADY I -\r\n", &scan), ==, REPLY_WHOLE);
+	g_assert_cmpint(scan_text("DONE -\r\nREADY I -\r\n", &scan), ==, REPLY_COMPLETE);
 	g_assert_false(scan.reply.is_signed);
 	g_assert_false(scan.reply.has_position);
-	g_assert_cmpint(scan_text("ERR WHATEVER\r\nREADY I -\r\n", &scan), ==, REPLY_WHOLE);
+	g_assert_cmpint(scan_text("ERR WHATEVER\r\nREADY I -\r\n", &scan), ==, REPLY_COMPLETE);
 	g_assert_cmpint(scan.reply.code, ==, CODE_OTHER);
-	g_assert_cmpint(scan_text("READY X 1.1\r\n", &scan), ==, REPLY_BROKEN);
-	g_assert_cmpint(scan_text("DONE a\r\nDONE b\r\n", &scan), ==, REPLY_BROKEN);
-	g_assert_cmpint(scan_text("DONE a\r\nROW b\r\n", &scan), ==, REPLY_BROKEN);
-	g_assert_cmpint(scan_text("HELLO\r\n", &scan), ==, REPLY_BROKEN);
-	g_assert_cmpint(scan_text("READY I 3.-1\r\n", &scan), ==, REPLY_WHOLE);
+	g_assert_cmpint(scan_text("READY X 1.1\r\n", &scan), ==, REPLY_INVALID);
+	g_assert_cmpint(scan_text("DONE a\r\nDONE b\r\n", &scan), ==, REPLY_INVALID);
+	g_assert_cmpint(scan_text("DONE a\r\nROW b\r\n", &scan), ==, REPLY_INVALID);
+	g_assert_cmpint(scan_text("HELLO\r\n", &scan), ==, REPLY_INVALID);
+	g_assert_cmpint(scan_text("READY I 3.-1\r\n", &scan), ==, REPLY_COMPLETE);
 	g_assert_false(scan.reply.has_position);
 }
 
@@ -185,7 +185,7 @@
 	char *text = g_malloc(len);
 
 	memset(text, 'x', len);
-	g_assert_cmpint(protocol_scan_reply(&scan, text, len), ==, REPLY_BROKEN);
+	g_assert_cmpint(protocol_scan_reply(&scan, text, len), ==, REPLY_INVALID);
 	g_free(text);
 }
 
@@ -295,7 +295,7 @@
 		reply_scan_t pieces = {0};
 		reply_progress_t once;
 
-		protocol_decode_caller(data, len, &message);
+		protocol_decode_caller_message(data, len, &message);
 		g_assert_true(inside(message.database, data, len));
 		g_assert_true(inside(message.statement.id, data, len));
 		g_assert_true(inside(message.statement.text, data, len));
