--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 #include "config_decode.h"
-#include "config_seal.h"
+#include "config_hash_keys.h"
 
 #define KEY "rymh2rrytapjsujqurty"
 
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -16,7 +16,7 @@
 #include <talloc.h>
 
 #include "config_decode.h"
-#include "config_seal.h"
+#include "config_hash_keys.h"
 #include "entry.h"
 #include "fleet_codec.h"
 #include "framing.h"
