--- a/tests/pool_check.c
+++ b/tests/pool_check.c
@@ -36,7 +36,7 @@
 	return node;
 }
 
-size_t find_holder(const pool_world_t *world)
+size_t find_leader(const pool_world_t *world)
 {
 	return find_node(world, true);
 }
--- a/tests/pool_check.h
+++ b/tests/pool_check.h
@@ -16,7 +16,7 @@
 bool is_leader(const pool_world_t *world, size_t node);
 
 /* The first proxy that holds the duty, or that does not. */
-size_t find_holder(const pool_world_t *world);
+size_t find_leader(const pool_world_t *world);
 size_t find_non_leader(const pool_world_t *world);
 
 /* Proxies that are on the roster that they know. */
--- a/tests/test_pooler_config.c
+++ b/tests/test_pooler_config.c
@@ -196,7 +196,7 @@
 {
 	pool_world_t *world = start(SMALL);
 	size_t plain = find_plain(world);
-	size_t holder = find_holder(world);
+	size_t holder = find_leader(world);
 	const pooler_t *pooler;
 	const kv_item_t item = {.key = "op/config", .value = "1 ", .len = 2, .revision = 1};
 	const follow_changes_t changes = {.as_of = 1, .items = &item, .count = 1};
@@ -333,7 +333,7 @@
 static void expect_told_if_not_read(pool_world_t *world, int64_t known, packed_t packed,
 				    usec_t later)
 {
-	size_t holder = find_holder(world);
+	size_t holder = find_leader(world);
 	void *parent = talloc_new(NULL);
 	peer_message_t state;
 
@@ -351,7 +351,7 @@
 static void test_told_if_not_read(void)
 {
 	pool_world_t *world = start(LARGE);
-	int64_t known = world->nodes[find_holder(world)].config.told;
+	int64_t known = world->nodes[find_leader(world)].config.told;
 
 	world_write_config(world);
 	world_run(world, 100 * MSEC);
@@ -363,7 +363,7 @@
 static void test_members_told_if_not_read(void)
 {
 	pool_world_t *world = start(SMALL);
-	world_node_t *holder = &world->nodes[find_holder(world)];
+	world_node_t *holder = &world->nodes[find_leader(world)];
 	int64_t known = holder->members.told;
 
 	/* Slow, so that so many do not fit. */
@@ -378,7 +378,7 @@
 static void test_age_of_unread_members(void)
 {
 	pool_world_t *world = start(SMALL);
-	size_t holder = find_holder(world);
+	size_t holder = find_leader(world);
 	void *parent = talloc_new(NULL);
 	peer_message_t state;
 
@@ -397,7 +397,7 @@
 static void test_age_of_a_silent_holder(void)
 {
 	pool_world_t *world = start(SMALL);
-	size_t holder = find_holder(world);
+	size_t holder = find_leader(world);
 	void *parent = talloc_new(NULL);
 	peer_message_t state;
 
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -158,7 +158,7 @@
 	uint64_t fence;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	fence = world->nodes[holder].pooler->sync.own_fence;
 	world->nodes[holder].kv.cut = true;
 	fake_kv_delete_key(world->kv, "fleet/holder");
@@ -181,7 +181,7 @@
 	const pooler_t *holder;
 
 	world_wait_until_ready(world);
-	holder = world->nodes[find_holder(world)].pooler;
+	holder = world->nodes[find_leader(world)].pooler;
 	g_assert_true(hold_is_ours(holder, holder->sync.hold_until - 1));
 	g_assert_false(hold_is_ours(holder, holder->sync.hold_until));
 	world_destroy(world);
@@ -200,7 +200,7 @@
 
 	world_wait_until_ready(world);
 	pooler = world->nodes[find_non_leader(world)].pooler;
-	other = &world->nodes[find_holder(world)];
+	other = &world->nodes[find_leader(world)];
 	now = clock_now(&world->clock.base);
 	service = service_get(pooler, WORLD_SERVICE);
 	service->changing_since = now;
@@ -221,7 +221,7 @@
 	peer_message_t message = {.kind = PEER_STATE, .age = USEC_NEVER};
 
 	world_wait_until_ready(world);
-	holder = world->nodes[find_holder(world)].pooler;
+	holder = world->nodes[find_leader(world)].pooler;
 	other = &world->nodes[find_non_leader(world)];
 	message.from = other->name;
 	message.address = other->address;
@@ -247,7 +247,7 @@
 	uint64_t fence;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	fence = world->nodes[holder].pooler->sync.own_fence;
 	for (int i = 0; i < 5; i++) {
 		world->kv->lose_keeps = 3;
@@ -408,10 +408,10 @@
 	other = find_non_leader(world);
 	world->nodes[other].cut_from_peers = true;
 	world_run(world, 5 * SEC);
-	revision = world->nodes[find_holder(world)].pooler->sync.roster->revision;
+	revision = world->nodes[find_leader(world)].pooler->sync.roster->revision;
 	world_run(world, 10 * SEC);
 	/* Called gone and back once in 4 s, a change of the roster each. */
-	g_assert_cmpint(world->nodes[find_holder(world)].pooler->sync.roster->revision, <=,
+	g_assert_cmpint(world->nodes[find_leader(world)].pooler->sync.roster->revision, <=,
 			revision + 6);
 	g_assert_true(permit_is_registered(world->nodes[other].pooler));
 	world_destroy(world);
@@ -440,7 +440,7 @@
 	world->nodes[other].incarnation -= 4000;
 	world_start_proxy(world, other);
 	world_run(world, SEC);
-	caller = world_open_session(world, find_holder(world));
+	caller = world_open_session(world, find_leader(world));
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_crash_member(world, 0);
 	crashed_at = clock_now(&world->clock.base);
@@ -537,8 +537,8 @@
 	const pooler_t *pooler;
 
 	world_wait_until_ready(world);
-	pooler = world->nodes[find_holder(world)].pooler;
-	pooler_on_message(world->nodes[find_holder(world)].pooler, &message);
+	pooler = world->nodes[find_leader(world)].pooler;
+	pooler_on_message(world->nodes[find_leader(world)].pooler, &message);
 	world_run(world, 6 * SEC);
 	for (int i = 0; i < 40; i++) {
 		const roster_node_t *ghost = roster_node(pooler->sync.roster, "ghost");
@@ -561,7 +561,7 @@
 	size_t holders = 0;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	for (size_t i = 0; i < 3; i++)
 		world_kill(world, i);
 	world_run(world, 50 * MSEC);
--- a/tests/test_pooler_join.c
+++ b/tests/test_pooler_join.c
@@ -27,7 +27,7 @@
 
 	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	*holder = find_holder(world);
+	*holder = find_leader(world);
 	for (size_t i = 0; i < world->node_count; i++)
 		world_power_off(world, i);
 	world_run(world, 500 * MSEC);
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -175,7 +175,7 @@
 	size_t other;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	other = find_non_leader(world);
 	for (size_t i = 0; i < 3; i++) {
 		if (i != holder && i != other)
@@ -307,7 +307,7 @@
 	size_t holder;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	caller = world_open_session(world, (holder + 1) % 5);
 	world_send_and_wait(caller, "WRITE job-1 a");
 	world_freeze(world, holder);
@@ -342,7 +342,7 @@
 	kv_write_t write = {.key = "fleet/roster"};
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	world_crash_member(world, 0);
 	while (step_of(world, holder) != CHANGE_COMMITTING)
 		world_run(world, MSEC);
@@ -406,7 +406,7 @@
 	size_t holder;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	world_kill(world, holder);
 	world_crash_member(world, 0);
 	world_run(world, 8 * SEC);
@@ -454,7 +454,7 @@
 	usec_t lost_at;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	caller = world_open_session(world, (holder + 1) % 3);
 	world_crash_member(world, 0);
 	while (step_of(world, holder) != CHANGE_RELEASING)
@@ -488,7 +488,7 @@
 	size_t second;
 
 	world_wait_until_ready(world);
-	first = find_holder(world);
+	first = find_leader(world);
 	world->db->members[0].leaving = true;
 	while (world->promote_count == 0)
 		world_run(world, MSEC);
@@ -532,7 +532,7 @@
 	size_t holder;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	caller = world_open_session(world, find_non_leader(world));
 	world_crash_member(world, 0);
 	while (world->promote_count == 0)
--- a/tests/test_pooler_relay.c
+++ b/tests/test_pooler_relay.c
@@ -49,7 +49,7 @@
 	uint64_t fence;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	fence = world->nodes[holder].pooler->sync.own_fence;
 	world->db->members[0].leaving = true;
 	while (step_of(world, holder) != CHANGE_RELEASING)
@@ -71,7 +71,7 @@
 	size_t holder;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	world->nodes[holder].kv.cut = true;
 	for (int i = 0; i < 3; i++) {
 		size_t victim = (holder + 1 + (size_t)i) % 5;
--- a/tests/test_pooler_restore.c
+++ b/tests/test_pooler_restore.c
@@ -86,7 +86,7 @@
 {
 	pool_world_t *world = make_replaced(5);
 	g_autofree char *leader = g_strdup(leader_of(world));
-	size_t holder = find_holder(world);
+	size_t holder = find_leader(world);
 
 	world_kill(world, holder);
 	fake_kv_restore_backup(world->kv);
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -75,7 +75,7 @@
 		hubs += upstream_is_hub(world->nodes[i].pooler);
 	g_assert_cmpuint(hubs, ==, 3);
 	world_run(world, 2 * SEC);
-	g_assert_cmpuint(count_listeners(world, find_holder(world)), <=, hubs + FLEET / 3 + 1);
+	g_assert_cmpuint(count_listeners(world, find_leader(world)), <=, hubs + FLEET / 3 + 1);
 	g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, FLEET);
 	world_destroy(world);
 }
@@ -234,7 +234,7 @@
 
 	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	for (size_t i = 0; i < WORLD_LARGE_FLEET; i++)
 		world_power_off(world, i);
 	world_run(world, 100 * MSEC);
@@ -356,7 +356,7 @@
 static void test_pushes_are_spaced(void)
 {
 	pool_world_t *world = make_fleet();
-	world_node_t *holder = &world->nodes[find_holder(world)];
+	world_node_t *holder = &world->nodes[find_leader(world)];
 	size_t before;
 	size_t each;
 
@@ -385,8 +385,8 @@
 
 	world_run(world, 5 * SEC);
 	g_assert_cmpuint(pooler->tick_due - pooler->last_tick, ==, 250 * MSEC);
-	g_assert_cmpuint(world->nodes[find_holder(world)].pooler->tick_due -
-				 world->nodes[find_holder(world)].pooler->last_tick,
+	g_assert_cmpuint(world->nodes[find_leader(world)].pooler->tick_due -
+				 world->nodes[find_leader(world)].pooler->last_tick,
 			 ==, 50 * MSEC);
 	caller = world_open_session(world, plain);
 	world_send(caller, "WRITE job-1 a");
--- a/tests/test_pooler_verdict.c
+++ b/tests/test_pooler_verdict.c
@@ -16,7 +16,7 @@
 	pool_world_t *world = world_create(4, NULL);
 
 	world_wait_until_ready(world);
-	world_set_members_unreachable(world, find_holder(world), true);
+	world_set_members_unreachable(world, find_leader(world), true);
 	world_run(world, 6 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	assert_has_prefix(world_send_and_wait(world_open_session(world, find_non_leader(world)),
@@ -76,7 +76,7 @@
 	size_t holder;
 
 	world_wait_until_ready(world);
-	holder = find_holder(world);
+	holder = find_leader(world);
 	for (size_t i = 0; i < 3; i++) {
 		if (i != holder)
 			world_kill(world, i);
@@ -128,7 +128,7 @@
 
 	world_wait_until_ready(world);
 	world->stale_directory = true;
-	holder = find_holder(world);
+	holder = find_leader(world);
 	calls = world->kv->call_count;
 	for (size_t i = 0; i < 3; i++)
 		add_services(world, i);
