--- a/measure/pooler.c
+++ b/measure/pooler.c
@@ -202,7 +202,7 @@
 static void go_on(run_t *run, operation_t *operation)
 {
 	usec_t now = now_in(run);
-	bool replied = operation->asked && operation->caller->replies != operation->replies;
+	bool replied = operation->asked && operation->caller->reply_count != operation->replies;
 
 	if (operation->caller->caller == NULL || (replied && take_reply(operation, now))) {
 		end(run, operation);
@@ -210,7 +210,7 @@
 	}
 	if (operation->asked || now < operation->next)
 		return;
-	operation->replies = operation->caller->replies;
+	operation->replies = operation->caller->reply_count;
 	operation->sent_at = now;
 	operation->asked = true;
 	world_send(operation->caller, operation->texts[operation->step]);
@@ -297,7 +297,7 @@
 	};
 	size_t before;
 
-	run.world->plain = plain;
+	run.world->baseline = plain;
 	stop_all(run.world, world_kill);
 	stop_all(run.world, world_start_proxy);
 	world_wait_until_ready(run.world);
--- a/tests/fake_kv.c
+++ b/tests/fake_kv.c
@@ -83,7 +83,7 @@
 
 static void trim_history(fake_kv_t *store)
 {
-	while (store->history != 0 && store->event_count > store->history) {
+	while (store->history_max != 0 && store->event_count > store->history_max) {
 		event_t *oldest = list_entry(store->events.next, event_t, node);
 
 		store->compacted = oldest->revision;
@@ -185,10 +185,10 @@
 
 void fake_kv_make_backup(fake_kv_t *store)
 {
-	drop_items(&store->copy);
+	drop_items(&store->backup);
 	list_for_each (it, &store->items)
-		add_copy(store, &store->copy, list_entry(it, item_t, node), 0);
-	store->copy_revision = kv_number(store->revision);
+		add_copy(store, &store->backup, list_entry(it, item_t, node), 0);
+	store->backup_revision = kv_number(store->revision);
 }
 
 void fake_kv_restore_backup(fake_kv_t *store)
@@ -196,7 +196,7 @@
 	int64_t era = kv_era(store->revision) + 1;
 
 	drop_items(&store->items);
-	list_for_each (it, &store->copy) {
+	list_for_each (it, &store->backup) {
 		const item_t *item = list_entry(it, item_t, node);
 
 		if (item->lease == 0)
@@ -208,7 +208,7 @@
 		list_del(&lease->node);
 		talloc_free(lease);
 	}
-	store->revision = kv_in_era(era, store->copy_revision);
+	store->revision = kv_in_era(era, store->backup_revision);
 	fake_kv_compact(store);
 }
 
@@ -320,7 +320,7 @@
 		call->result.status = KV_COMPACTED;
 		return true;
 	}
-	if (store->deaf_watches || call->scanned == store->revision)
+	if (store->watches_stalled || call->scanned == store->revision)
 		return false;
 	call->scanned = store->revision;
 	list_for_each (it, &store->events) {
@@ -424,12 +424,12 @@
 		do_lease(store, call);
 		break;
 	}
-	if (store->lose_answers != 0 && call->kind == CALL_COMMIT) {
-		store->lose_answers--;
+	if (store->lose_commit_answers != 0 && call->kind == CALL_COMMIT) {
+		store->lose_commit_answers--;
 		call->lost = true;
 	}
-	if (store->lose_keeps != 0 && call->kind == CALL_KEEP) {
-		store->lose_keeps--;
+	if (store->lose_lease_keep_answers != 0 && call->kind == CALL_KEEP) {
+		store->lose_lease_keep_answers--;
 		call->lost = true;
 	}
 	return true;
@@ -447,7 +447,7 @@
 {
 	const fake_kv_client_t *client = call->client;
 
-	return client->refused || (client->unwatched && call->kind == CALL_WATCH);
+	return client->refuses_calls || (client->refuses_watches && call->kind == CALL_WATCH);
 }
 
 /* True if a link of its own loses the call, or its answer. */
@@ -455,8 +455,8 @@
 {
 	const fake_kv_client_t *client = call->client;
 
-	return client->cut || (client->cut_prefix != NULL && call->prefix != NULL &&
-			       strcmp(call->prefix, client->cut_prefix) == 0);
+	return client->unreachable || (client->unanswered_prefix != NULL && call->prefix != NULL &&
+				       strcmp(call->prefix, client->unanswered_prefix) == 0);
 }
 
 /* Returns true if the call was answered. */
@@ -535,7 +535,7 @@
 	call->client = client;
 	call->done = done;
 	call->data = data;
-	call->arrives = now_of(store) + store->delay;
+	call->arrives = now_of(store) + store->answer_delay;
 	call->ends = now_of(store) + (kv->patience_ms != 0 ? (usec_t)kv->patience_ms * USEC_PER_MSEC
 							   : CALL_TIMEOUT);
 	list_add_tail(&store->calls, &call->node);
@@ -634,7 +634,7 @@
 
 	store->clock = clock;
 	store->timers = timers;
-	store->delay = DEFAULT_DELAY;
+	store->answer_delay = DEFAULT_DELAY;
 	store->revision = 1;
 	/* Leases are any numbers; the platform's have some 50 bits. */
 	store->next_lease = (uint64_t)1 << 50;
@@ -643,7 +643,7 @@
 	list_init(&store->leases);
 	list_init(&store->events);
 	list_init(&store->calls);
-	list_init(&store->copy);
+	list_init(&store->backup);
 	talloc_set_destructor(store, destructor);
 	return store;
 }
--- a/tests/fake_kv.h
+++ b/tests/fake_kv.h
@@ -19,27 +19,27 @@
 	list_t leases;
 	list_t events;
 	size_t event_count;
-	size_t history; /* events that it keeps at most, 0: all */
-	list_t calls;	/* waiting for their answer */
+	size_t history_max; /* events that it keeps at most, 0: all */
+	list_t calls;	    /* waiting for their answer */
 	run_timer_t timer;
-	usec_t delay; /* of an answer */
+	usec_t answer_delay; /* of an answer */
 	bool down;
-	bool deaf_watches;     /* watches hear nothing */
-	unsigned lose_answers; /* of the next writes, which are done */
-	unsigned lose_keeps;   /* the same of the next renewals of leases */
+	bool watches_stalled;		  /* watches hear nothing */
+	unsigned lose_commit_answers;	  /* of the next writes, which are done */
+	unsigned lose_lease_keep_answers; /* the same of the next renewals of leases */
 	size_t call_count;
-	list_t copy; /* of the items, for fake_kv_restore_backup() */
-	int64_t copy_revision;
+	list_t backup; /* of the items, for fake_kv_restore_backup() */
+	int64_t backup_revision;
 } fake_kv_t;
 
 /* One caller's access to it. */
 typedef struct fake_kv_client {
 	kv_t kv;
 	fake_kv_t *store;
-	bool cut;		/* calls get no answer */
-	bool refused;		/* calls are turned away */
-	bool unwatched;		/* watches are */
-	const char *cut_prefix; /* readings of these keys get no answer; NULL: of none */
+	bool unreachable;	       /* calls get no answer */
+	bool refuses_calls;	       /* calls are turned away */
+	bool refuses_watches;	       /* watches are */
+	const char *unanswered_prefix; /* readings of these keys get no answer; NULL: of none */
 } fake_kv_client_t;
 
 fake_kv_t *fake_kv_create(void *parent, const run_clock_t *clock, timer_set_t *timers);
--- a/tests/pool_callers.c
+++ b/tests/pool_callers.c
@@ -19,7 +19,7 @@
 	(void)env;
 	protocol_encode_reply(&buffer, reply);
 	snprintf(caller->reply, sizeof(caller->reply), "%.*s", (int)buffer.len, buffer.data);
-	caller->replies++;
+	caller->reply_count++;
 	protocol_buffer_free(&buffer);
 }
 
@@ -33,9 +33,9 @@
 {
 	const world_caller_t *caller = data;
 
-	if (caller->unread)
+	if (caller->has_unread_input)
 		return CLOSE_UNREAD;
-	if (caller->unsent)
+	if (caller->has_unsent_output)
 		return CLOSE_UNSENT;
 	callers_abort(env, data);
 	return CLOSE_DONE;
@@ -52,12 +52,12 @@
 	world_node_t *node = &world->nodes[at];
 	world_caller_t *caller = talloc_zero(world, world_caller_t);
 
-	caller->at = node;
+	caller->proxy = node;
 	/* Of a key that names nobody nothing is kept. */
 	sscanf(key, "key-%15s", caller->customer);
 	list_add_tail(&node->callers, &caller->node);
 	caller->caller = pooler_caller_open(node->pooler, database, slice_of(key, strlen(key)),
-					    caller, &caller->refused);
+					    caller, &caller->refusal_code);
 	return caller;
 }
 
@@ -68,12 +68,12 @@
 
 static void note_sender(const world_caller_t *caller)
 {
-	pool_world_t *world = caller->at->world;
+	pool_world_t *world = caller->proxy->world;
 
 	if (world->next_id % SENDERS_STEP == 0)
-		world->senders = talloc_realloc(world, world->senders, const char *,
-						world->next_id + SENDERS_STEP);
-	world->senders[world->next_id] = talloc_strdup(world->senders, caller->customer);
+		world->sender_of_id = talloc_realloc(world, world->sender_of_id, const char *,
+						     world->next_id + SENDERS_STEP);
+	world->sender_of_id[world->next_id] = talloc_strdup(world->sender_of_id, caller->customer);
 }
 
 void world_send(world_caller_t *caller, const char *text)
@@ -84,7 +84,7 @@
 	g_assert_nonnull(caller->caller);
 	g_assert_false(caller_is_busy(caller->caller));
 	note_sender(caller);
-	snprintf(caller->id, sizeof(caller->id), "q%zu", caller->at->world->next_id++);
+	snprintf(caller->id, sizeof(caller->id), "q%zu", caller->proxy->world->next_id++);
 	snprintf(line, sizeof(line), "QUERY %s %s", caller->id, text);
 	protocol_decode_caller_message(line, strlen(line), &message);
 	caller->reply[0] = '\0';
@@ -93,11 +93,11 @@
 
 const char *world_send_and_wait(world_caller_t *caller, const char *text)
 {
-	size_t before = caller->replies;
+	size_t before = caller->reply_count;
 
 	world_send(caller, text);
-	for (int i = 0; i < 2000 && caller->replies == before; i++)
-		world_run(caller->at->world, USEC_PER_MSEC);
+	for (int i = 0; i < 2000 && caller->reply_count == before; i++)
+		world_run(caller->proxy->world, USEC_PER_MSEC);
 	return caller->reply;
 }
 
@@ -125,7 +125,7 @@
 
 		if (run->id[0] != 'q')
 			continue;
-		sender = world->senders[strtoul(run->id + 1, NULL, 10)];
+		sender = world->sender_of_id[strtoul(run->id + 1, NULL, 10)];
 		if (strcmp(run->who, sender) != 0)
 			g_error("%s of %s was run for %s: %s", run->id, sender, run->who,
 				run->text);
--- a/tests/pool_peers.c
+++ b/tests/pool_peers.c
@@ -32,7 +32,7 @@
 	world_node_t *node = find_node(mail->world, mail->to);
 
 	(void)now;
-	if (node->pooler != NULL && !node->cut_from_peers && node->island == mail->island)
+	if (node->pooler != NULL && !node->cut_from_peers && node->partition == mail->island)
 		pooler_on_message(node->pooler, mail->message);
 	talloc_free(mail);
 }
@@ -40,9 +40,9 @@
 /* A link is made with the first message, which is not sent; it takes a way there and back. */
 static bool has_link(world_node_t *from, const world_node_t *to)
 {
-	usec_t *at = &from->link_at[to - from->world->nodes];
+	usec_t *at = &from->link_ready_at[to - from->world->nodes];
 
-	if (!from->world->new_links)
+	if (!from->world->links_need_setup)
 		return true;
 	if (*at == 0)
 		*at = world_now(from->world) + 2 * LINK_DELAY;
@@ -63,13 +63,13 @@
 		return true;
 	mail = talloc_zero(from->world, mail_t);
 	mail->world = from->world;
-	mail->island = from->island;
+	mail->island = from->partition;
 	snprintf(mail->to, sizeof(mail->to), "%s", name);
 	text = peer_message_encode(message);
 	mail->message = peer_message_decode(mail, text, strlen(text));
 	g_assert_nonnull(mail->message);
-	from->messages++;
-	from->bytes += strlen(text);
+	from->messages_sent++;
+	from->bytes_sent += strlen(text);
 	free(text);
 	timers_arm(&to->timers, &mail->timer, world_now(from->world) + LINK_DELAY + to->peer_delay,
 		   on_mail);
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -44,15 +44,15 @@
 	world->promotes =
 		talloc_realloc(world, world->promotes, promote_call_t, world->promote_count + 1);
 	call = &world->promotes[world->promote_count++];
-	call->at = world_now(world);
-	call->fence = fence;
+	call->called_at = world_now(world);
+	call->fencing_token = fence;
 	snprintf(call->member, sizeof(call->member), "%s", member);
-	snprintf(call->holder, sizeof(call->holder), "%s", holder);
+	snprintf(call->leader, sizeof(call->leader), "%s", holder);
 	answer->node = node;
 	answer->status = fake_promote(world->db, fake_find(world->db, member)) ? PROMOTE_OK
 									       : PROMOTE_REFUSED;
-	if (world->lose_promotes != 0) {
-		world->lose_promotes--;
+	if (world->lose_promote_answers != 0) {
+		world->lose_promote_answers--;
 		answer->status = PROMOTE_LOST;
 	}
 	timers_arm(&node->timers, &answer->timer, world_now(world) + 2 * LINK_DELAY, on_answer);
@@ -62,7 +62,7 @@
 {
 	world_node_t *node = (world_node_t *)env;
 
-	node->refreshes++;
+	node->refresh_requests++;
 	directory_refresh(node, &node->config);
 }
 
@@ -70,7 +70,7 @@
 {
 	world_node_t *node = (world_node_t *)env;
 
-	node->refreshes++;
+	node->refresh_requests++;
 	directory_refresh(node, &node->members);
 }
 
@@ -137,7 +137,7 @@
 	add_route(routes, world, "bounded", READS_BOUNDED);
 	add_route(routes, world, "session", READS_SESSION);
 	add_route(routes, world, "open", READS_BOUNDED);
-	if (world->added_by != 0 && version >= world->added_by)
+	if (world->added_in_version != 0 && version >= world->added_in_version)
 		add_route(routes, world, WORLD_ADDED_DATABASE, READS_BOUNDED);
 	add_customers(routes, world);
 	limits->max_connections = (int64_t)world->db->config.max_connections;
@@ -173,7 +173,7 @@
 	for (size_t i = 0; i < world->node_count; i++) {
 		world_node_t *node = &world->nodes[i];
 
-		if (node->pooler == NULL || node->kv.cut || node->frozen)
+		if (node->pooler == NULL || node->kv.unreachable || node->frozen)
 			continue;
 		if (world->config_bytes == 0) {
 			pooler_on_routes(node->pooler,
@@ -202,10 +202,10 @@
 /* The list of members as the store's watchers see it, a little late. */
 static void publish_sometimes(pool_world_t *world)
 {
-	if (world->stale_directory || world->kv->down ||
-	    world_now(world) < world->published + 50 * USEC_PER_MSEC)
+	if (world->directory_is_frozen || world->kv->down ||
+	    world_now(world) < world->published_at + 50 * USEC_PER_MSEC)
 		return;
-	world->published = world_now(world);
+	world->published_at = world_now(world);
 	world_publish_directory(world);
 }
 
@@ -286,8 +286,8 @@
 		.lease_least = 1 * USEC_PER_SEC,
 		.revoke_bound = world->revoke_bound,
 		.slack = world->slack,
-		.in_order = node->world->plain,
-		.alone = node->world->plain,
+		.in_order = node->world->baseline,
+		.alone = node->world->baseline,
 	};
 
 	node->drained = false;
--- a/tests/pool_world.h
+++ b/tests/pool_world.h
@@ -37,31 +37,32 @@
 	bool frozen;
 	bool cut_from_members;
 	bool cut_from_peers;
-	int island;			 /* proxies of another one are out of reach */
-	usec_t link_at[WORLD_NODES_MAX]; /* when its link to that proxy is made; 0: not begun */
-	list_t links;			 /* to members */
-	list_t callers;			 /* world_caller_t */
+	int partition;			       /* proxies of another one are out of reach */
+	usec_t link_ready_at[WORLD_NODES_MAX]; /* when its link to that proxy is made; 0: not begun
+						*/
+	list_t links;			       /* to members */
+	list_t callers;			       /* world_caller_t */
 	bool drained;
-	size_t refreshes; /* of the directory that the pooler asked for */
-	follow_t config;  /* the directory, in a world that follows the store */
+	size_t refresh_requests; /* of the directory that the pooler asked for */
+	follow_t config;	 /* the directory, in a world that follows the store */
 	follow_t members;
 	int64_t members_version; /* of the list of members that it knows; 0: none */
 	usec_t peer_delay;	 /* of messages to it, beyond the usual */
-	size_t messages;	 /* sent to other proxies */
-	size_t bytes;		 /* of these */
+	size_t messages_sent;	 /* sent to other proxies */
+	size_t bytes_sent;	 /* of these */
 } world_node_t;
 
 typedef struct world_caller {
 	list_t node;
-	world_node_t *at;
+	world_node_t *proxy;
 	struct caller *caller; /* NULL: the session ended */
 	char id[40];	       /* of the last statement */
 	char reply[WORLD_REPLY_MAX];
-	size_t replies;
-	code_t refused;	   /* of the session itself */
-	char customer[16]; /* whose key it began with; "": none */
-	bool unread;	   /* it has sent something that the proxy has not looked at */
-	bool unsent;	   /* it does not read its answers */
+	size_t reply_count;
+	code_t refusal_code;	/* of the session itself */
+	char customer[16];	/* whose key it began with; "": none */
+	bool has_unread_input;	/* it has sent something that the proxy has not looked at */
+	bool has_unsent_output; /* it does not read its answers */
 } world_caller_t;
 
 /* What the operators' configuration says of a customer. */
@@ -76,10 +77,10 @@
 #define WORLD_CUSTOMERS_MAX 16
 
 typedef struct promote_call {
-	usec_t at;
+	usec_t called_at;
 	char member[48];
-	char holder[32];
-	uint64_t fence;
+	char leader[32];
+	uint64_t fencing_token;
 } promote_call_t;
 
 typedef struct pool_world {
@@ -89,19 +90,21 @@
 	fake_db_t *db;
 	world_node_t nodes[WORLD_NODES_MAX];
 	size_t node_count;
-	usec_t published;
-	bool stale_directory; /* the list of members is not renewed by itself */
+	usec_t published_at;
+	bool directory_is_frozen; /* the list of members is not renewed by itself */
 	size_t next_id;
-	const char **senders; /* talloc array: the customer that sent the statement of each id */
-	reads_t reads;	      /* of the route */
+	const char *
+		*sender_of_id; /* talloc array: the customer that sent the statement of each id */
+	reads_t reads;	       /* of the route */
 	usec_t max_age;
 	int64_t config_version;
-	int64_t members_version; /* of world_write_members() */
-	int64_t added_by;    /* the version from which on there is WORLD_ADDED_DATABASE; 0: none */
-	size_t config_bytes; /* of a configuration in the store; 0: proxies are handed it */
-	bool new_links;	     /* a message to a proxy that none was sent to before is not sent */
-	bool plain;	     /* of proxies that start: no order by lateness, no help of others */
-	bool sync_replicas;  /* as the configuration says */
+	int64_t members_version;  /* of world_write_members() */
+	int64_t added_in_version; /* the version from which on there is WORLD_ADDED_DATABASE; 0:
+				     none */
+	size_t config_bytes;	  /* of a configuration in the store; 0: proxies are handed it */
+	bool links_need_setup; /* a message to a proxy that none was sent to before is not sent */
+	bool baseline;	       /* of proxies that start: no order by lateness, no help of others */
+	bool sync_replicas;    /* as the configuration says */
 	/* With any, routes but "open" ask for a key. */
 	world_customer_t customers[WORLD_CUSTOMERS_MAX];
 	size_t customer_count;
@@ -109,7 +112,7 @@
 	limit_slack_t slack;
 	promote_call_t *promotes; /* talloc array */
 	size_t promote_count;
-	unsigned lose_promotes; /* of the next calls: done, not answered */
+	unsigned lose_promote_answers; /* of the next calls: done, not answered */
 } pool_world_t;
 
 /* Until when a key that was taken may be served, in worlds with customers. */
--- a/tests/standin_control.c
+++ b/tests/standin_control.c
@@ -84,13 +84,13 @@
 	if (strcmp(word, "down") == 0)
 		site->kv->down = number != 0;
 	else if (strcmp(word, "delay") == 0)
-		site->kv->delay = number * USEC_PER_MSEC;
+		site->kv->answer_delay = number * USEC_PER_MSEC;
 	else if (strcmp(word, "lose") == 0)
-		site->kv->lose_answers = number;
+		site->kv->lose_commit_answers = number;
 	else if (strcmp(word, "lose-keeps") == 0)
-		site->kv->lose_keeps = number;
+		site->kv->lose_lease_keep_answers = number;
 	else if (strcmp(word, "deaf") == 0)
-		site->kv->deaf_watches = number != 0;
+		site->kv->watches_stalled = number != 0;
 	else if (strcmp(word, "compact") == 0)
 		fake_kv_compact(site->kv);
 	else if (strcmp(word, "copy") == 0)
--- a/tests/standin_site.c
+++ b/tests/standin_site.c
@@ -417,7 +417,7 @@
 	int rc;
 
 	site->kv = fake_kv_create(NULL, site->loop.clock, &site->loop.timers);
-	site->kv->history = HISTORY;
+	site->kv->history_max = HISTORY;
 	fake_kv_client_init(&site->client, site->kv);
 	site->link_offset = options->link_offset;
 	create_services(site, options);
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -107,13 +107,13 @@
 		g_assert_cmpint(protocol_scan_reply(&parts, data, len), ==, progress);
 	else
 		g_assert_cmpint(begun, ==, progress);
-	g_assert_cmpuint(parts.done, ==, whole.done);
-	g_assert_cmpuint(whole.done, <=, len);
+	g_assert_cmpuint(parts.parsed_len, ==, whole.parsed_len);
+	g_assert_cmpuint(whole.parsed_len, <=, len);
 	g_assert_cmpint(parts.reply.ok, ==, whole.reply.ok);
 	g_assert_cmpuint(parts.reply.row.len, ==, whole.reply.row.len);
 	if (progress == REPLY_COMPLETE) {
 		g_assert_true(whole.reply.raw.at == data);
-		g_assert_cmpuint(whole.reply.raw.len, ==, whole.done);
+		g_assert_cmpuint(whole.reply.raw.len, ==, whole.parsed_len);
 	}
 	protocol_decode_status(whole.reply.row, &status);
 	g_free(copy);
--- a/tests/test_pooler.c
+++ b/tests/test_pooler.c
@@ -377,7 +377,7 @@
 	pooler = world->nodes[0].pooler;
 	caller = world_open_session(world, 0);
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
-	world->stale_directory = true;
+	world->directory_is_frozen = true;
 	member = member_find(pooler, "core-0");
 	entry = (member_entry_t){
 		.id = "core-0",
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -58,7 +58,7 @@
 	const char *reply = world_send_and_wait(caller, text);
 
 	g_assert_false(g_str_has_prefix(reply, "ERR"));
-	g_assert_cmpstr(who_ran(caller->at->world, caller->id), ==, customer);
+	g_assert_cmpstr(who_ran(caller->proxy->world, caller->id), ==, customer);
 }
 
 static void expect_refused(world_caller_t *caller, const char *text, const char *error)
@@ -67,7 +67,7 @@
 
 	if (!g_str_has_prefix(reply, error))
 		g_error("%s: %s, expected %s", text, reply, error);
-	g_assert_null(who_ran(caller->at->world, caller->id));
+	g_assert_null(who_ran(caller->proxy->world, caller->id));
 }
 
 static void new_version(pool_world_t *world)
@@ -136,7 +136,7 @@
 	pool_world_t *world = start(1, &one);
 	world_caller_t *busy[6];
 	world_caller_t *ben = world_open_session_with_key(world, 0, "strict", "key-ben");
-	size_t replies = ben->replies;
+	size_t replies = ben->reply_count;
 	usec_t began;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(busy); i++)
@@ -151,10 +151,10 @@
 			world_send(ben, "READ a");
 		}
 		world_run(world, MSEC);
-		if (ben->replies != replies)
+		if (ben->reply_count != replies)
 			break;
 	}
-	g_assert_cmpuint(ben->replies, ==, replies + 1);
+	g_assert_cmpuint(ben->reply_count, ==, replies + 1);
 	g_assert_cmpstr(who_ran(world, ben->id), ==, "ben");
 	g_assert_cmpuint(now_in(world) - began, <, 150 * MSEC);
 	world_destroy(world);
@@ -166,12 +166,12 @@
 {
 	pool_world_t *world = start(2, NULL);
 
-	g_assert_cmpint(world_open_session_with_key(world, 0, "strict", "key-eve")->refused, ==,
+	g_assert_cmpint(world_open_session_with_key(world, 0, "strict", "key-eve")->refusal_code,
+			==, CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 0, "strict", "")->refusal_code, ==,
 			CODE_NO_AUTH);
-	g_assert_cmpint(world_open_session_with_key(world, 0, "strict", "")->refused, ==,
-			CODE_NO_AUTH);
-	g_assert_cmpint(world_open_session_with_key(world, 0, "nowhere", "key-ada")->refused, ==,
-			CODE_NO_DATABASE);
+	g_assert_cmpint(world_open_session_with_key(world, 0, "nowhere", "key-ada")->refusal_code,
+			==, CODE_NO_DATABASE);
 	g_assert_nonnull(world_open_session_with_key(world, 0, "open", "key-eve")->caller);
 	world_destroy(world);
 }
@@ -203,8 +203,8 @@
 	world_run(world, SEC);
 	g_assert_null(lone->caller);
 	g_assert_nonnull(other->caller);
-	g_assert_cmpint(world_open_session_with_key(world, 1, "strict", "key-ada")->refused, ==,
-			CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 1, "strict", "key-ada")->refusal_code,
+			==, CODE_NO_AUTH);
 	world_destroy(world);
 }
 
@@ -254,7 +254,7 @@
 
 static void cut_off(pool_world_t *world, size_t node, bool cut)
 {
-	world->nodes[node].kv.cut = cut;
+	world->nodes[node].kv.unreachable = cut;
 	world->nodes[node].cut_from_peers = cut;
 }
 
@@ -283,8 +283,8 @@
 	g_assert_false(pooler_is_ready(world->nodes[2].pooler));
 	world_run(world, SEC);
 	g_assert_null(caller->caller);
-	g_assert_cmpint(world_open_session_with_key(world, 2, "bounded", "key-ada")->refused, ==,
-			CODE_BUSY);
+	g_assert_cmpint(world_open_session_with_key(world, 2, "bounded", "key-ada")->refusal_code,
+			==, CODE_BUSY);
 	cut_off(world, 2, false);
 	world_run(world, 3 * SEC);
 	expect_run(world_open_session_with_key(world, 2, "bounded", "key-ada"), "READ a", "ada");
@@ -325,7 +325,7 @@
 	world_caller_t *caller = world_open_session_with_key(world, 2, "bounded", "key-ada");
 	usec_t end = now_in(world) + 12 * SEC;
 
-	world->nodes[2].kv.cut = true;
+	world->nodes[2].kv.unreachable = true;
 	while (now_in(world) < end) {
 		expect_run(caller, "READ a", "ada");
 		world_run(world, 100 * MSEC);
@@ -346,7 +346,7 @@
 	usec_t cut_at = now_in(world);
 
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = true;
+		world->nodes[i].kv.unreachable = true;
 	while (now_in(world) < cut_at + 8 * SEC) {
 		bool served = !g_str_has_prefix(world_send_and_wait(caller, "READ a"), "ERR");
 
@@ -494,10 +494,10 @@
 	open_flood(world, &flood, "key-ada", 3);
 	run_flood(world, &flood, rand, 50, 2 * SEC);
 	for (size_t i = 0; i < 3; i++)
-		world->nodes[i].island = 1;
+		world->nodes[i].partition = 1;
 	run_flood(world, &flood, rand, 50, 8 * SEC);
 	for (size_t i = 0; i < 3; i++)
-		world->nodes[i].island = 0;
+		world->nodes[i].partition = 0;
 	run_flood(world, &flood, rand, 50, 8 * SEC);
 	g_assert_cmpuint(most_within(world, "ada"), <=, (size_t)MOST_WITHIN);
 	g_assert_cmpuint(flood.served, >=, 10 * LIMIT_RATE);
--- a/tests/test_pooler_config.c
+++ b/tests/test_pooler_config.c
@@ -40,7 +40,7 @@
 static void turn_zone_away(pool_world_t *world, bool away)
 {
 	for (size_t i = 0; i < world->node_count; i += 3)
-		world->nodes[i].kv.refused = away;
+		world->nodes[i].kv.refuses_calls = away;
 }
 
 /* True if all proxies that others can reach have the newest configuration in force. */
@@ -157,12 +157,12 @@
 		size_t plain = find_plain(world);
 
 		world->nodes[plain].cut_from_peers = true;
-		world->nodes[plain].kv.refused = true;
+		world->nodes[plain].kv.refuses_calls = true;
 		world_run(world, refused);
 		world_write_config(world);
 		/* So that the watch does not bring it. */
 		fake_kv_compact(world->kv);
-		world->nodes[plain].kv.refused = false;
+		world->nodes[plain].kv.refuses_calls = false;
 		world_run(world, CONFIG_BOUND);
 		g_assert_cmpint(world_config_version_at(world, plain), ==, world->config_version);
 		world_destroy(world);
@@ -179,7 +179,7 @@
 		size_t plain = find_plain(world);
 
 		world_kill(world, plain);
-		world->nodes[plain].kv.refused = true;
+		world->nodes[plain].kv.refuses_calls = true;
 		/* Until its hub no longer tells the process of before what changes. */
 		world_run(world, 2 * UPSTREAM_LISTENS);
 		world_start_proxy(world, plain);
@@ -216,7 +216,7 @@
 
 	world_kill(world, plain);
 	world_run(world, 1 * SEC);
-	world->nodes[plain].kv.cut = true;
+	world->nodes[plain].kv.unreachable = true;
 	world->nodes[plain].cut_from_peers = true;
 	world_start_proxy(world, plain);
 	pooler = world->nodes[plain].pooler;
@@ -236,8 +236,8 @@
 		pool_world_t *world = start(LARGE);
 
 		for (size_t i = 0; i < FLEET; i++) {
-			world->nodes[i].island = i % 2;
-			world->nodes[i].kv.refused = i % 6 < 2;
+			world->nodes[i].partition = i % 2;
+			world->nodes[i].kv.refuses_calls = i % 6 < 2;
 		}
 		world_run(world, before);
 		world_write_config(world);
@@ -268,17 +268,17 @@
 	pool_world_t *world = start(SMALL);
 	world_node_t *node = &world->nodes[3];
 
-	g_assert_cmpint(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->refused, ==,
+	g_assert_cmpint(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->refusal_code, ==,
 			CODE_NO_DATABASE);
-	node->kv.cut = true;
+	node->kv.unreachable = true;
 	node->cut_from_peers = true;
-	world->added_by = world->config_version + 1;
+	world->added_in_version = world->config_version + 1;
 	world_write_config(world);
 	world_run(world, CONFIG_BOUND);
 	g_assert_cmpint(world_config_version_at(world, 3), <, world->config_version);
-	g_assert_cmpint(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->refused, ==,
+	g_assert_cmpint(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->refusal_code, ==,
 			CODE_BUSY);
-	node->kv.cut = false;
+	node->kv.unreachable = false;
 	node->cut_from_peers = false;
 	world_run(world, CONFIG_BOUND);
 	g_assert_nonnull(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->caller);
@@ -295,14 +295,14 @@
 
 	world_wait_until_ready(world);
 	pooler = world->nodes[3].pooler;
-	g_assert_cmpint(world_open_session_with_key(world, 3, "strict", "key-ben")->refused, ==,
-			CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 3, "strict", "key-ben")->refusal_code,
+			==, CODE_NO_AUTH);
 	/* As any message of a proxy that has it tells. */
 	pooler->config_heard = world->config_version + 1;
-	g_assert_cmpint(world_open_session_with_key(world, 3, "strict", "key-ben")->refused, ==,
-			CODE_BUSY);
-	g_assert_cmpint(world_open_session_with_key(world, 3, "nowhere", "key-ada")->refused, ==,
-			CODE_BUSY);
+	g_assert_cmpint(world_open_session_with_key(world, 3, "strict", "key-ben")->refusal_code,
+			==, CODE_BUSY);
+	g_assert_cmpint(world_open_session_with_key(world, 3, "nowhere", "key-ada")->refusal_code,
+			==, CODE_BUSY);
 	g_assert_nonnull(world_open_session_with_key(world, 3, "strict", "key-ada")->caller);
 	world_destroy(world);
 }
@@ -383,7 +383,7 @@
 	peer_message_t state;
 
 	for (size_t i = 0; i < FLEET; i++)
-		world->nodes[i].kv.cut_prefix = world->nodes[i].members.prefix;
+		world->nodes[i].kv.unanswered_prefix = world->nodes[i].members.prefix;
 	follow_refresh(&world->nodes[holder].members);
 	world_run(world, 600 * MSEC);
 	g_assert_true(world->nodes[holder].pooler->sync.holding);
@@ -404,7 +404,7 @@
 	describe(world, holder, "new", 1, &state, parent);
 	g_assert_cmpuint(state.directory_age, ==, 0);
 	for (size_t i = 0; i < FLEET; i++)
-		world->nodes[i].kv.cut = true;
+		world->nodes[i].kv.unreachable = true;
 	follow_refresh(&world->nodes[holder].config);
 	world_run(world, 600 * MSEC);
 	g_assert_true(world->nodes[holder].pooler->sync.holding);
@@ -479,9 +479,9 @@
 		return;
 	play->store_back = 0;
 	store->down = false;
-	if (store->deaf_watches)
+	if (store->watches_stalled)
 		fake_kv_compact(store);
-	store->deaf_watches = false;
+	store->watches_stalled = false;
 }
 
 static void end_faults(play_t *play, usec_t now)
@@ -492,8 +492,8 @@
 		end_disturbance(play, i, now);
 		if (now < play->served[i])
 			continue;
-		kv->refused = false;
-		kv->cut = false;
+		kv->refuses_calls = false;
+		kv->unreachable = false;
 	}
 	end_store_fault(play, now);
 }
@@ -533,8 +533,8 @@
 		if (g_rand_double(play->rand) > part || now < play->served[i])
 			continue;
 		play->served[i] = until;
-		kv->refused = !silent;
-		kv->cut = silent;
+		kv->refuses_calls = !silent;
+		kv->unreachable = silent;
 	}
 }
 
@@ -547,7 +547,7 @@
 	play->store_back = now + some_time(play, deaf ? 1 * SEC : FAULT_MOST);
 	if (!deaf)
 		play->store_disturbed = play->store_back + play->followed->bound;
-	play->world->kv->deaf_watches = deaf;
+	play->world->kv->watches_stalled = deaf;
 	play->world->kv->down = !deaf;
 }
 
--- a/tests/test_pooler_faults.c
+++ b/tests/test_pooler_faults.c
@@ -144,7 +144,7 @@
 			"%.3f, store cut %d, peers cut %d, frozen %d, holding %d, holder %s fence %lu, registered %d registering %d reading %d\n",
 			i, (long)pooler->sync.roster->revision, group->primary, group->changing,
 			seconds(pooler->sync.confirmed_at), seconds(permit_end(pooler)),
-			play->world->nodes[i].kv.cut, play->world->nodes[i].cut_from_peers,
+			play->world->nodes[i].kv.unreachable, play->world->nodes[i].cut_from_peers,
 			play->world->nodes[i].frozen, pooler->sync.holding,
 			pooler->sync.holder != NULL ? pooler->sync.holder : "none",
 			(unsigned long)pooler->sync.fence, permit_is_registered(pooler),
@@ -153,8 +153,8 @@
 	for (size_t i = 0; i < play->world->promote_count; i++) {
 		const promote_call_t *call = &play->world->promotes[i];
 
-		fprintf(stderr, "promote at %.3f: %s by %s fence %lu\n", seconds(call->at),
-			call->member, call->holder, (unsigned long)call->fence);
+		fprintf(stderr, "promote at %.3f: %s by %s fence %lu\n", seconds(call->called_at),
+			call->member, call->leader, (unsigned long)call->fencing_token);
 	}
 	for (size_t i = 0; i < 3; i++) {
 		const fake_member_t *member = &play->world->db->members[i];
@@ -312,7 +312,7 @@
 	client->write = -1;
 	client->is_read = false;
 	client->step = 0;
-	client->replies = client->caller->replies;
+	client->replies = client->caller->reply_count;
 	client->waiting = true;
 	if (chance(play, 4)) {
 		client->step = 1;
@@ -359,7 +359,7 @@
 /* The next statement of a transaction, or its end. */
 static void go_on_with_transaction(play_t *play, client_t *client, const char *reply)
 {
-	client->replies = client->caller->replies;
+	client->replies = client->caller->reply_count;
 	if (g_str_has_prefix(reply, "ERR ")) {
 		settle_write(play, client, reply, false);
 		if (world_reply_has_state(client->caller, "READY I")) {
@@ -412,7 +412,7 @@
  */
 static void check_planned_end(play_t *play, client_t *client)
 {
-	bool answered = client->caller->replies != client->replies;
+	bool answered = client->caller->reply_count != client->replies;
 
 	if (client->read_at != 0)
 		fail_play(play, "session closed with a statement unread", client->caller->id);
@@ -453,7 +453,7 @@
 	if (!has_planned_work(play) || !chance(play, 6))
 		return false;
 	client->read_at = now_of_play(play) + some_time(play, STEP, 300 * MSEC);
-	client->caller->unread = true;
+	client->caller->has_unread_input = true;
 	return true;
 }
 
@@ -464,7 +464,7 @@
 	if (now_of_play(play) < client->read_at)
 		return;
 	client->read_at = 0;
-	client->caller->unread = false;
+	client->caller->has_unread_input = false;
 	begin_operation(play, client);
 }
 
@@ -477,7 +477,7 @@
 		return;
 	}
 	if (client->waiting) {
-		if (client->caller->replies != client->replies)
+		if (client->caller->reply_count != client->replies)
 			on_reply(play, client);
 	} else if (now_of_play(play) >= client->next && !play->world->nodes[client->node].frozen) {
 		send_next(play, client);
@@ -547,10 +547,10 @@
 		world_freeze(play->world, at);
 		break;
 	case 2:
-		node->kv.cut = true;
+		node->kv.unreachable = true;
 		break;
 	case 3:
-		node->kv.cut = true;
+		node->kv.unreachable = true;
 		node->cut_from_peers = true;
 		break;
 	default:
@@ -570,10 +570,10 @@
 		store->down = true;
 		break;
 	case 1:
-		store->delay = 240 * MSEC;
+		store->answer_delay = 240 * MSEC;
 		break;
 	case 2:
-		store->lose_answers = 3;
+		store->lose_commit_answers = 3;
 		break;
 	case 3:
 		fake_kv_delete_key(store, "fleet/holder");
@@ -637,7 +637,7 @@
 		    (!all && now < play->node_back[i]))
 			continue;
 		play->node_back[i] = 0;
-		world->nodes[i].kv.cut = false;
+		world->nodes[i].kv.unreachable = false;
 		world->nodes[i].cut_from_peers = false;
 		world_set_members_unreachable(world, i, false);
 		world_thaw(world, i);
@@ -647,8 +647,8 @@
 	if (play->store_back != 0 && (all || now >= play->store_back)) {
 		play->store_back = 0;
 		world->kv->down = false;
-		world->kv->delay = 4 * MSEC;
-		world->kv->lose_answers = 0;
+		world->kv->answer_delay = 4 * MSEC;
+		world->kv->lose_commit_answers = 0;
 	}
 }
 
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -39,7 +39,7 @@
 
 	world_wait_until_ready(world);
 	caller = world_open_session(world, 1);
-	world->nodes[1].kv.cut = true;
+	world->nodes[1].kv.unreachable = true;
 	for (int i = 0; i < 200; i++) {
 		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 90 * MSEC);
@@ -59,12 +59,12 @@
 
 	world_wait_until_ready(world);
 	world_kill(world, 1);
-	world->nodes[1].kv.cut = true;
+	world->nodes[1].kv.unreachable = true;
 	world_start_proxy(world, 1);
 	/* A change of the roster, which the holder tells all that are on it. */
 	world->db->members[0].leaving = true;
 	world_run(world, 6 * SEC);
-	world->nodes[1].kv.cut = false;
+	world->nodes[1].kv.unreachable = false;
 	world_run(world, 3 * SEC);
 	caller = world_open_session(world, 1);
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
@@ -103,7 +103,7 @@
 	world_wait_until_ready(world);
 	world_kill(world, 3);
 	for (size_t i = 0; i < 3; i++)
-		world->nodes[i].kv.cut = true;
+		world->nodes[i].kv.unreachable = true;
 	world_run(world, 3 * SEC);
 	caller = world_open_session(world, find_non_leader(world));
 	world_start_proxy(world, 3);
@@ -160,10 +160,10 @@
 	world_wait_until_ready(world);
 	holder = find_leader(world);
 	fence = world->nodes[holder].pooler->sync.own_fence;
-	world->nodes[holder].kv.cut = true;
+	world->nodes[holder].kv.unreachable = true;
 	fake_kv_delete_key(world->kv, "fleet/holder");
 	world_run(world, 1500 * MSEC);
-	world->nodes[holder].kv.cut = false;
+	world->nodes[holder].kv.unreachable = false;
 	world_run(world, 3 * SEC);
 	for (size_t i = 0; i < 3; i++)
 		holders += world->nodes[i].pooler->sync.holding;
@@ -250,7 +250,7 @@
 	holder = find_leader(world);
 	fence = world->nodes[holder].pooler->sync.own_fence;
 	for (int i = 0; i < 5; i++) {
-		world->kv->lose_keeps = 3;
+		world->kv->lose_lease_keep_answers = 3;
 		world_run(world, 2 * SEC);
 	}
 	g_assert_true(is_leader(world, holder));
@@ -270,11 +270,11 @@
 
 	world_wait_until_ready(world);
 	fake_kv_delete_key(world->kv, "fleet/holder");
-	world->kv->lose_answers = 1;
+	world->kv->lose_commit_answers = 1;
 	world_run(world, 2 * SEC);
 	for (size_t i = 0; i < 3; i++)
 		holders += is_leader(world, i);
-	g_assert_cmpuint(world->kv->lose_answers, ==, 0);
+	g_assert_cmpuint(world->kv->lose_commit_answers, ==, 0);
 	g_assert_cmpuint(holders, ==, 1);
 	world_destroy(world);
 }
@@ -290,7 +290,7 @@
 
 	world_wait_until_ready(world);
 	caller = world_open_session(world, 3);
-	world->kv->delay = 400 * MSEC;
+	world->kv->answer_delay = 400 * MSEC;
 	for (int i = 0; i < 40; i++) {
 		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 250 * MSEC);
@@ -504,7 +504,7 @@
 	world_run(world, 500 * MSEC);
 	calls = world->kv->call_count;
 	start = clock_now(&world->clock.base);
-	world->new_links = true;
+	world->links_need_setup = true;
 	for (size_t i = 0; i < world->node_count; i++)
 		world_start_proxy(world, i);
 	while (!all_permitted(world))
--- a/tests/test_pooler_forward.c
+++ b/tests/test_pooler_forward.c
@@ -385,7 +385,7 @@
 	world_wait_until_ready(world);
 	for (size_t i = 0; i < 3; i++)
 		callers[i] = world_open_session_on(world, i, "strict");
-	world->nodes[0].kv.cut = true;
+	world->nodes[0].kv.unreachable = true;
 	world->nodes[0].cut_from_peers = true;
 	world_run(world, 3 * SEC);
 	g_assert_null(callers[0]->caller);
@@ -407,7 +407,7 @@
 	}
 	world_send(writer, "WRITE job-1 a");
 	world_run(world, 900 * MSEC);
-	g_assert_cmpuint(writer->replies, ==, 1);
+	g_assert_cmpuint(writer->reply_count, ==, 1);
 	g_assert_false(g_str_has_prefix(writer->reply, "ERR INDOUBT"));
 	world_destroy(world);
 }
@@ -522,7 +522,7 @@
 	world_kill(world, home);
 	world_send(caller, "WRITE job-1 c");
 	world_run(world, 60 * MSEC);
-	g_assert_cmpuint(caller->replies, ==, 3);
+	g_assert_cmpuint(caller->reply_count, ==, 3);
 	assert_has_prefix(caller->reply, "DONE core-0");
 	/* The process that takes its place is a home again. */
 	world_start_proxy(world, home);
@@ -546,15 +546,15 @@
 
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	home = helper_of(world, caller);
-	world->new_links = true;
+	world->links_need_setup = true;
 	for (size_t i = 0; i < NODES; i++) {
 		for (size_t j = 0; j < NODES; j++)
-			world->nodes[i].link_at[j] = 1;
+			world->nodes[i].link_ready_at[j] = 1;
 	}
-	home->link_at[away] = 0;
+	home->link_ready_at[away] = 0;
 	world_send(caller, "WRITE job-1 b");
 	world_run(world, 60 * MSEC);
-	g_assert_cmpuint(caller->replies, ==, 2);
+	g_assert_cmpuint(caller->reply_count, ==, 2);
 	assert_has_prefix(caller->reply, "DONE core-0");
 	world_destroy(world);
 }
@@ -620,7 +620,7 @@
 	message.address = home->address;
 	message.incarnation = home->incarnation;
 	pooler_on_message(world->nodes[away].pooler, &message);
-	g_assert_cmpuint(caller->replies, ==, 0);
+	g_assert_cmpuint(caller->reply_count, ==, 0);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_hangup.c
+++ b/tests/test_pooler_hangup.c
@@ -22,11 +22,11 @@
 	caller = world_open_session(world, 0);
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_run(world, SEC);
-	caller->unread = true;
+	caller->has_unread_input = true;
 	pooler_drain(world->nodes[0].pooler);
 	world_run(world, 400 * MSEC);
 	g_assert_nonnull(caller->caller);
-	caller->unread = false;
+	caller->has_unread_input = false;
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	world_run(world, 200 * MSEC);
 	g_assert_null(caller->caller);
@@ -49,10 +49,10 @@
 	world_send_and_wait(caller, "BEGIN");
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	pooler_drain(world->nodes[0].pooler);
-	caller->unread = true;
+	caller->has_unread_input = true;
 	world_run(world, 3500 * MSEC);
 	g_assert_nonnull(caller->caller);
-	caller->unread = false;
+	caller->has_unread_input = false;
 	/* It rested for longer than a transaction may. */
 	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ERR ABORTED");
 	world_run(world, 200 * MSEC);
@@ -75,13 +75,13 @@
 	pooler_drain(world->nodes[0].pooler);
 	world_run(world, 2500 * MSEC);
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
-	caller->unread = true;
+	caller->has_unread_input = true;
 	world_run(world, 1000 * MSEC);
 	g_assert_nonnull(caller->caller);
 	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW a");
 	world_run(world, 200 * MSEC);
 	assert_has_prefix(world_send_and_wait(caller, "COMMIT"), "DONE core-0");
-	caller->unread = false;
+	caller->has_unread_input = false;
 	world_run(world, 200 * MSEC);
 	g_assert_null(caller->caller);
 	world_destroy(world);
@@ -104,7 +104,7 @@
 	g_assert_true(world->nodes[0].drained);
 	caller = world_open_session(world, 0);
 	g_assert_null(caller->caller);
-	g_assert_cmpint(caller->refused, ==, CODE_BUSY);
+	g_assert_cmpint(caller->refusal_code, ==, CODE_BUSY);
 	world_destroy(world);
 }
 
@@ -121,7 +121,7 @@
 	world_wait_until_ready(world);
 	caller = world_open_session(world, 0);
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
-	caller->unsent = true;
+	caller->has_unsent_output = true;
 	pooler_drain(world->nodes[0].pooler);
 	world_run(world, 5 * SEC);
 	g_assert_nonnull(caller->caller);
@@ -177,12 +177,12 @@
 	world_send(caller, "WRITE job-1 a");
 	world_run(world, 2 * MSEC);
 	pooler_drain(world->nodes[0].pooler);
-	caller->unsent = true;
-	while (caller->replies == 0)
+	caller->has_unsent_output = true;
+	while (caller->reply_count == 0)
 		world_run(world, MSEC);
 	assert_has_prefix(caller->reply, "ERR INDOUBT");
 	g_assert_nonnull(caller->caller);
-	caller->unsent = false;
+	caller->has_unsent_output = false;
 	world_run(world, 100 * MSEC);
 	g_assert_null(caller->caller);
 	world_destroy(world);
--- a/tests/test_pooler_join.c
+++ b/tests/test_pooler_join.c
@@ -16,7 +16,7 @@
 	size_t count = 0;
 
 	for (size_t i = 0; i < world->node_count; i++)
-		count += world->nodes[i].link_at[node] != 0;
+		count += world->nodes[i].link_ready_at[node] != 0;
 	return count;
 }
 
@@ -31,10 +31,10 @@
 	for (size_t i = 0; i < world->node_count; i++)
 		world_power_off(world, i);
 	world_run(world, 500 * MSEC);
-	world->new_links = true;
+	world->links_need_setup = true;
 	for (size_t i = 0; i < world->node_count; i++) {
-		world->nodes[i].messages = 0;
-		world->nodes[i].bytes = 0;
+		world->nodes[i].messages_sent = 0;
+		world->nodes[i].bytes_sent = 0;
 	}
 	return world;
 }
@@ -52,10 +52,10 @@
 		world_start_proxy(world, i);
 	world_run(world, 1500 * MSEC);
 	g_test_message("links to the holder %zu, bytes that it sent %zu",
-		       count_links_to(world, holder), world->nodes[holder].bytes);
+		       count_links_to(world, holder), world->nodes[holder].bytes_sent);
 	g_assert_cmpuint(count_registered_proxies(world), ==, LARGE);
 	g_assert_cmpuint(count_links_to(world, holder), <=, 2 * HUBS_MOST);
-	g_assert_cmpuint(world->nodes[holder].bytes, <=, 400 * 1000);
+	g_assert_cmpuint(world->nodes[holder].bytes_sent, <=, 400 * 1000);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_load.c
+++ b/tests/test_pooler_load.c
@@ -53,7 +53,7 @@
 	for (size_t i = 0; i < load->count; i++) {
 		sent_t *sent = &load->sent[i];
 
-		if (sent->took != 0 || sent->caller->replies == 0)
+		if (sent->took != 0 || sent->caller->reply_count == 0)
 			continue;
 		sent->took = now_in(load) - sent->sent_at;
 		load->unsure += g_str_has_prefix(sent->caller->reply, "ERR INDOUBT");
--- a/tests/test_pooler_parts.c
+++ b/tests/test_pooler_parts.c
@@ -241,11 +241,11 @@
 {
 	followed_t *self = followed_create();
 
-	self->store->deaf_watches = true;
+	self->store->watches_stalled = true;
 	fake_kv_put(self->store, "servers/b", "1");
 	fake_kv_put(self->store, "servers/a", NULL);
 	fake_kv_compact(self->store);
-	self->store->deaf_watches = false;
+	self->store->watches_stalled = false;
 	pass(self, 4 * SEC);
 	g_assert_cmpstr(seen(self, "servers/b"), ==, "1");
 	g_assert_null(seen(self, "servers/a"));
@@ -274,7 +274,7 @@
 {
 	followed_t *self = followed_create();
 
-	self->store->deaf_watches = true;
+	self->store->watches_stalled = true;
 	fake_kv_put(self->store, "servers/a", "2");
 	pass(self, 500 * MSEC);
 	g_assert_cmpstr(seen(self, "servers/a"), ==, "1");
@@ -320,7 +320,7 @@
 	/* The watch has ended, the reading that follows is on its way. */
 	pass(self, 2 * USEC_PER_MSEC);
 	g_assert_cmpint(self->follow.revision, ==, 0);
-	self->client.refused = true;
+	self->client.refuses_calls = true;
 	follow_set_fed(&self->follow, true);
 	pass(self, 1 * SEC);
 	follow_take(&self->follow, &told);
@@ -358,7 +358,7 @@
 
 	pass(self, 100 * USEC_PER_MSEC);
 	g_assert_cmpuint(follow_unanswered(&self->follow), ==, 0);
-	self->client.refused = true;
+	self->client.refuses_calls = true;
 	follow_refresh(&self->follow);
 	pass(self, 1 * SEC);
 	g_assert_cmpuint(follow_unanswered(&self->follow), >=, 900 * USEC_PER_MSEC);
@@ -373,7 +373,7 @@
 	followed_t *self = followed_create();
 
 	pass(self, 100 * USEC_PER_MSEC);
-	self->client.unwatched = true;
+	self->client.refuses_watches = true;
 	/* The watch that waits is answered once more. */
 	fake_kv_put(self->store, "servers/a", "1");
 	pass(self, 500 * USEC_PER_MSEC);
@@ -548,10 +548,10 @@
 	followed_t *fed = followed_create_fed(false);
 
 	tell(peer, fed);
-	peer->store->deaf_watches = true;
+	peer->store->watches_stalled = true;
 	fake_kv_put(peer->store, "servers/a", NULL);
 	fake_kv_drop_events(peer->store);
-	peer->store->deaf_watches = false;
+	peer->store->watches_stalled = false;
 	fake_kv_put(peer->store, "servers/b", "1");
 	pass(peer, 50 * MSEC);
 	tell(peer, fed);
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -211,7 +211,7 @@
 	world_wait_until_ready(world);
 	caller = world_open_session(world, 2);
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
-	world->nodes[2].kv.cut = true;
+	world->nodes[2].kv.unreachable = true;
 	world->nodes[2].cut_from_peers = true;
 	world->db->members[0].leaving = true;
 	/* The others see the primary as leaving and replace it; this one does not hear of it. */
@@ -349,7 +349,7 @@
 	write.expected = world->nodes[holder].pooler->sync.roster->revision;
 	text = talloc_strdup(NULL, roster_text(world->nodes[holder].pooler->sync.roster));
 	write.value = text;
-	world->nodes[holder].kv.cut = true;
+	world->nodes[holder].kv.unreachable = true;
 	world_kill(world, holder);
 	while (step_of(world, next) != CHANGE_SURVEYING) {
 		next = (next + 1) % world->node_count;
@@ -414,7 +414,8 @@
 	caller = world_open_session(world, (holder + 1) % 3);
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	for (size_t i = 1; i < world->promote_count; i++)
-		g_assert_cmpuint(world->promotes[i].fence, >=, world->promotes[i - 1].fence);
+		g_assert_cmpuint(world->promotes[i].fencing_token, >=,
+				 world->promotes[i - 1].fencing_token);
 	world_destroy(world);
 }
 
@@ -460,7 +461,7 @@
 	while (step_of(world, holder) != CHANGE_RELEASING)
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = i != holder;
+		world->nodes[i].kv.unreachable = i != holder;
 	fake_kv_delete_key(world->kv, "fleet/holder");
 	hold_lose(world->nodes[holder].pooler, "test");
 	lost_at = clock_now(&world->clock.base);
@@ -468,7 +469,7 @@
 		world_run(world, MSEC);
 	g_assert_cmpuint(clock_now(&world->clock.base) - lost_at, <, 1500 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = false;
+		world->nodes[i].kv.unreachable = false;
 	world_run(world, 2 * SEC);
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
 	world_destroy(world);
@@ -500,13 +501,13 @@
 		second = (second + 1) % 3;
 	}
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = i != second;
+		world->nodes[i].kv.unreachable = i != second;
 	fake_kv_delete_key(world->kv, "fleet/holder");
 	hold_lose(world->nodes[second].pooler, "test");
 	while (!is_leader(world, second))
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = false;
+		world->nodes[i].kv.unreachable = false;
 	for (int i = 0; i < 100; i++) {
 		world_run(world, 30 * MSEC);
 		if (world->db->promoted_at != 0)
@@ -551,12 +552,12 @@
 	world_start_proxy(world, newcomer);
 	world_run(world, 300 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = i != newcomer;
+		world->nodes[i].kv.unreachable = i != newcomer;
 	fake_kv_delete_key(world->kv, "fleet/holder");
 	while (!is_leader(world, newcomer))
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = false;
+		world->nodes[i].kv.unreachable = false;
 }
 
 /*
@@ -661,7 +662,7 @@
 	world_wait_until_ready(world);
 	caller = world_open_session(world, 0);
 	world_send_and_wait(caller, "WRITE job-1 a");
-	world->lose_promotes = 1;
+	world->lose_promote_answers = 1;
 	world_crash_member(world, 0);
 	world_run(world, 4 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
@@ -679,7 +680,7 @@
 	pool_world_t *world = world_create(3, NULL);
 
 	world_wait_until_ready(world);
-	world->stale_directory = true;
+	world->directory_is_frozen = true;
 	world_crash_member(world, 0);
 	/* Nobody asks the member, so nobody has noticed yet. */
 	world_send_and_wait(world_open_session(world, 0), "WRITE job-1 a");
--- a/tests/test_pooler_relay.c
+++ b/tests/test_pooler_relay.c
@@ -54,7 +54,7 @@
 	world->db->members[0].leaving = true;
 	while (step_of(world, holder) != CHANGE_RELEASING)
 		world_run(world, MSEC);
-	world->nodes[holder].kv.cut = true;
+	world->nodes[holder].kv.unreachable = true;
 	g_assert_cmpuint(time_to_change(world), <, 2 * SEC);
 	world_run(world, 10 * SEC);
 	g_assert_true(is_leader(world, holder));
@@ -72,7 +72,7 @@
 
 	world_wait_until_ready(world);
 	holder = find_leader(world);
-	world->nodes[holder].kv.cut = true;
+	world->nodes[holder].kv.unreachable = true;
 	for (int i = 0; i < 3; i++) {
 		size_t victim = (holder + 1 + (size_t)i) % 5;
 
@@ -124,7 +124,7 @@
 
 	world_wait_until_ready(world);
 	node = find_non_leader(world);
-	world->kv->lose_answers = 1;
+	world->kv->lose_commit_answers = 1;
 	g_assert_cmpint(commit(world, node).status, ==, KV_LOST);
 	world_run(world, 1 * SEC);
 	g_assert_cmpstr(fake_kv_get(world->kv, "fleet/test"), ==, "a");
@@ -139,7 +139,7 @@
 
 	world_wait_until_ready(world);
 	node = find_non_leader(world);
-	world->nodes[node].kv.cut = true;
+	world->nodes[node].kv.unreachable = true;
 	/* The first one is lost, and tells that the store does not answer. */
 	g_assert_cmpint(commit(world, node).status, ==, KV_LOST);
 	g_assert_true(relay_is_cut_off(world->nodes[node].pooler->relay));
@@ -164,14 +164,14 @@
 	world_wait_until_ready(world);
 	node = find_non_leader(world);
 	kv = pooler_store(world->nodes[node].pooler);
-	world->nodes[node].kv.cut = true;
+	world->nodes[node].kv.unreachable = true;
 	g_assert_cmpint(commit(world, node).status, ==, KV_LOST);
 	for (size_t i = 0; i < 3; i++)
 		world->nodes[i].cut_from_peers = true;
 	/* Its own access is tried again a second after it was lost. */
 	world_run(world, 700 * MSEC);
 	kv->ops->range(kv, "fleet/", "", on_range, &status);
-	world->nodes[node].kv.cut = false;
+	world->nodes[node].kv.unreachable = false;
 	world_run(world, 400 * MSEC);
 	g_assert_false(relay_is_cut_off(world->nodes[node].pooler->relay));
 	g_assert_cmpint(status, ==, KV_OK);
@@ -207,8 +207,8 @@
 
 	world_wait_until_ready(world);
 	for (size_t i = 0; i < 4; i++) {
-		world->nodes[i].kv.cut = true;
-		world->nodes[i].island = 1;
+		world->nodes[i].kv.unreachable = true;
+		world->nodes[i].partition = 1;
 	}
 	caller = world_open_session(world, 0);
 	for (int i = 0; i < 90; i++) {
@@ -230,8 +230,8 @@
 
 	world_wait_until_ready(world);
 	for (size_t i = 0; i < 4; i++) {
-		world->nodes[i].kv.cut = true;
-		world->nodes[i].island = 1;
+		world->nodes[i].kv.unreachable = true;
+		world->nodes[i].partition = 1;
 	}
 	world->db->members[0].leaving = true;
 	caller = world_open_session(world, 0);
--- a/tests/test_pooler_restore.c
+++ b/tests/test_pooler_restore.c
@@ -161,7 +161,7 @@
 	world_run(world, 2 * SEC);
 	fake_kv_make_backup(world->kv);
 	behind = find_non_leader(world);
-	world->nodes[behind].kv.cut = true;
+	world->nodes[behind].kv.unreachable = true;
 	world->nodes[behind].cut_from_peers = true;
 	world->db->members[0].deaf = true;
 	world->db->members[0].leaving = true;
@@ -172,7 +172,7 @@
 			world_kill(world, i);
 	}
 	fake_kv_restore_backup(world->kv);
-	world->nodes[behind].kv.cut = false;
+	world->nodes[behind].kv.unreachable = false;
 	world->nodes[behind].cut_from_peers = false;
 	check_copy_unused(world, behind);
 	world_destroy(world);
@@ -191,7 +191,7 @@
 	world_run(world, SETTLED);
 	world_crash_member(world, leader_of(world)[strlen("core-")] - '0');
 	run_until_promoted(world, 2);
-	g_assert_cmpuint(world->promotes[1].fence, >, world->promotes[0].fence);
+	g_assert_cmpuint(world->promotes[1].fencing_token, >, world->promotes[0].fencing_token);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -124,7 +124,7 @@
 	pooler_t *pooler = world->nodes[plain].pooler;
 
 	g_assert_cmpstr(pooler->sync.upstream, ==, world->nodes[hub].name);
-	world->nodes[plain].kv.cut = true;
+	world->nodes[plain].kv.unreachable = true;
 	sync_set_holder(pooler, world->nodes[hub].name, world->nodes[hub].address,
 			pooler->sync.fence + 1);
 	world_freeze(world, hub);
@@ -149,10 +149,10 @@
 		if (i != plain)
 			world_freeze(world, i);
 	}
-	world->new_links = true;
+	world->links_need_setup = true;
 	world_run(world, WIDE_FLEET * ASK_INTERVAL);
 	for (size_t i = 0; i < WIDE_FLEET; i++)
-		links += world->nodes[plain].link_at[i] != 0;
+		links += world->nodes[plain].link_ready_at[i] != 0;
 	g_assert_cmpuint(links, >=, 10);
 	g_assert_cmpuint(links, <=, 32);
 	world_destroy(world);
@@ -274,7 +274,7 @@
 	pool_world_t *world = make_fleet();
 	size_t cut = find_plain(world, FLEET);
 
-	world->nodes[cut].kv.cut = true;
+	world->nodes[cut].kv.unreachable = true;
 	world->nodes[cut].cut_from_peers = true;
 	world->db->members[0].leaving = true;
 	world_publish_directory(world);
@@ -361,17 +361,17 @@
 	size_t each;
 
 	holder->pooler->sync.proxies = LARGE_FLEET;
-	before = holder->messages;
+	before = holder->messages_sent;
 	push_fleet(holder->pooler);
-	each = holder->messages - before;
+	each = holder->messages_sent - before;
 	g_assert_cmpuint(each, >, 0);
 	push_fleet(holder->pooler);
 	push_fleet(holder->pooler);
-	g_assert_cmpuint(holder->messages - before, ==, each);
+	g_assert_cmpuint(holder->messages_sent - before, ==, each);
 	g_assert_cmpuint(push_spacing(holder->pooler), ==, 100 * MSEC);
 	world_run(world, 160 * MSEC);
 	g_assert_cmpint(holder->pooler->sync.push_wanted, ==, PUSH_NONE);
-	g_assert_cmpuint(holder->messages - before, >=, 2 * each);
+	g_assert_cmpuint(holder->messages_sent - before, >=, 2 * each);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_verdict.c
+++ b/tests/test_pooler_verdict.c
@@ -32,7 +32,7 @@
 
 	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	world->stale_directory = true;
+	world->directory_is_frozen = true;
 	world_crash_member(world, 0);
 	world_run(world, 4 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
@@ -61,7 +61,7 @@
 	world_wait_until_ready(world);
 	caller = world_open_session(world, 0);
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
-	world->stale_directory = true;
+	world->directory_is_frozen = true;
 	world_crash_member(world, 0);
 	world_send_and_wait(caller, "WRITE job-1 b");
 	world_run(world, 4 * SEC);
@@ -81,7 +81,7 @@
 		if (i != holder)
 			world_kill(world, i);
 	}
-	world->stale_directory = true;
+	world->directory_is_frozen = true;
 	world_crash_member(world, 0);
 	world_run(world, 20 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
@@ -127,7 +127,7 @@
 	size_t calls;
 
 	world_wait_until_ready(world);
-	world->stale_directory = true;
+	world->directory_is_frozen = true;
 	holder = find_leader(world);
 	calls = world->kv->call_count;
 	for (size_t i = 0; i < 3; i++)
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -304,7 +304,7 @@
 		once = protocol_scan_reply(&whole, data, len);
 		if (protocol_scan_reply(&pieces, data, cut) == REPLY_INCOMPLETE)
 			g_assert_cmpint(protocol_scan_reply(&pieces, data, len), ==, once);
-		g_assert_cmpuint(whole.done, <=, len);
+		g_assert_cmpuint(whole.parsed_len, <=, len);
 		g_free(data);
 	}
 	g_rand_free(rand);
