--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -1,4 +1,4 @@
-/* The operators' configuration: sealed, and read. */
+/* Decoding of the operators' configuration, after its keys were replaced by digests. */
 #include <string.h>
 
 #include <glib.h>
@@ -7,20 +7,20 @@
 #include "config_decode.h"
 #include "config_hash_keys.h"
 
-#define KEY "rymh2rrytapjsujqurty"
+#define API_KEY "rymh2rrytapjsujqurty"
 
 static const char config[] =
 	"{\"version\":7,\"routes\":["
 	"{\"name\":\"r1\",\"host\":\"jobs\",\"kind\":\"primary\",\"service\":\"core\",\"public\":false},"
 	"{\"name\":\"r2\",\"host\":\"any\",\"kind\":\"bounded\",\"service\":\"core\",\"public\":true}],"
 	"\"tenants\":["
-	"{\"name\":\"ada\",\"apiKeys\":[\"" KEY "\",\"two\"],\"ratePerS\":185,\"burst\":90.5},"
-	"{\"name\":\"ben\",\"apiKeys\":[\"" KEY "\",\"\",7]},"
+	"{\"name\":\"ada\",\"apiKeys\":[\"" API_KEY "\",\"two\"],\"ratePerS\":185,\"burst\":90.5},"
+	"{\"name\":\"ben\",\"apiKeys\":[\"" API_KEY "\",\"\",7]},"
 	"{\"name\":\"two words\",\"apiKeys\":[\"three\"]},"
 	"{\"apiKeys\":[\"four\"]},"
 	"\"nobody\"]}";
 
-static routes_t *read_config(const char *text)
+static routes_t *hash_and_decode(const char *text)
 {
 	char *sealed = config_hash_keys(NULL, text, strlen(text));
 	routes_t *routes = config_decode(NULL, sealed, strlen(sealed));
@@ -29,20 +29,23 @@
 	return routes;
 }
 
-static const customer_t *holder_of(const routes_t *routes, const char *key)
+static const customer_t *find_customer(const routes_t *routes, const char *key)
 {
 	key_digest_t digest = key_digest(key, strlen(key));
 
 	return customers_by_key(routes->customers, &digest);
 }
 
-/* Proxies tell each other the text, and may write it to a log. */
-static void test_no_key_is_left(void)
+/*
+ * Proxies send the text to each other and may log it, so no API key may remain in it, not even in
+ * a text that is not JSON.
+ */
+static void test_keys_are_removed(void)
 {
 	char *sealed = config_hash_keys(NULL, config, strlen(config));
-	char *again = config_hash_keys(NULL, "not {\"apiKeys\":[\"" KEY "\"]}", 30);
+	char *again = config_hash_keys(NULL, "not {\"apiKeys\":[\"" API_KEY "\"]}", 30);
 
-	g_assert_null(strstr(sealed, KEY));
+	g_assert_null(strstr(sealed, API_KEY));
 	g_assert_null(strstr(sealed, "apiKeys"));
 	g_assert_cmpstr(again, ==, "");
 	talloc_free(sealed);
@@ -51,41 +54,42 @@
 
 static void test_customers(void)
 {
-	routes_t *routes = read_config(config);
+	routes_t *routes = hash_and_decode(config);
 	const customer_t *ada = customers_by_name(routes->customers, "ada");
 
 	g_assert_cmpfloat(ada->rate, ==, 185);
 	g_assert_cmpfloat(ada->burst, ==, 90.5);
-	/* The first that has a key keeps it; what is no key gives no access. */
-	g_assert_true(holder_of(routes, KEY) == ada);
-	g_assert_true(holder_of(routes, "two") == ada);
-	g_assert_null(holder_of(routes, ""));
-	g_assert_null(holder_of(routes, "7"));
-	/* A name that a member would read as two fields, and none. */
-	g_assert_null(holder_of(routes, "three"));
-	g_assert_null(holder_of(routes, "four"));
+	/* Of two customers with the same key the first has it. An empty or non-string key is none.
+	 */
+	g_assert_true(find_customer(routes, API_KEY) == ada);
+	g_assert_true(find_customer(routes, "two") == ada);
+	g_assert_null(find_customer(routes, ""));
+	g_assert_null(find_customer(routes, "7"));
+	/* Customers with a blank in the name, or without a name, are ignored. */
+	g_assert_null(find_customer(routes, "three"));
+	g_assert_null(find_customer(routes, "four"));
 	g_assert_cmpuint(customers_count(routes->customers), ==, 2);
 	g_assert_false(routes_find(routes, "jobs")->open);
 	g_assert_true(routes_find(routes, "any")->open);
 	talloc_free(routes);
 }
 
-/* On a platform without customers no route asks for a key. */
+/* Without a list of customers no route needs a key. */
 static void test_without_customers(void)
 {
-	routes_t *routes = read_config("{\"version\":1,\"routes\":[{\"host\":\"jobs\",\"kind\":"
-				       "\"primary\",\"service\":\"core\"}]}");
+	routes_t *routes = hash_and_decode("{\"version\":1,\"routes\":[{\"host\":\"jobs\",\"kind\":"
+					   "\"primary\",\"service\":\"core\"}]}");
 
 	g_assert_true(routes_find(routes, "jobs")->open);
 	talloc_free(routes);
 }
 
-/* With an empty list of them every route that is not public is closed to all. */
+/* With an empty list of customers every route that is not public refuses all callers. */
 static void test_no_customer_left(void)
 {
-	routes_t *routes =
-		read_config("{\"version\":1,\"tenants\":[],\"routes\":[{\"host\":\"jobs\",\"kind\":"
-			    "\"primary\",\"service\":\"core\"}]}");
+	routes_t *routes = hash_and_decode(
+		"{\"version\":1,\"tenants\":[],\"routes\":[{\"host\":\"jobs\",\"kind\":"
+		"\"primary\",\"service\":\"core\"}]}");
 
 	g_assert_false(routes_find(routes, "jobs")->open);
 	talloc_free(routes);
@@ -94,7 +98,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/config/no-key-is-left", test_no_key_is_left);
+	g_test_add_func("/config/no-key-is-left", test_keys_are_removed);
 	g_test_add_func("/config/customers", test_customers);
 	g_test_add_func("/config/without-customers", test_without_customers);
 	g_test_add_func("/config/no-customer-left", test_no_customer_left);
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -1,11 +1,11 @@
-/* Entries of members in the store, and of whoever else writes there. */
+/* Decoding of member entries in the store, valid ones and those that other programs wrote. */
 #include <string.h>
 
 #include <glib.h>
 
 #include "entry.h"
 
-#define WHOLE                                                                                      \
+#define VALID_ENTRY                                                                                \
 	"{\"service\":\"core\",\"addr\":\"10.0.0.9:8080\",\"zone\":\"a\",\"version\":\"v1\","      \
 	"\"slots\":2,\"state\":\"ready\",\"coldLeftMs\":0,\"dbRole\":\"replica\",\"seq\":4,"       \
 	"\"born\":1790000000000}"
@@ -21,9 +21,9 @@
 	return ok;
 }
 
-static void test_whole(void)
+static void test_valid(void)
 {
-	json_t *root = json_loads(WHOLE, 0, NULL);
+	json_t *root = json_loads(VALID_ENTRY, 0, NULL);
 	member_entry_t entry;
 	const char *why;
 
@@ -38,11 +38,11 @@
 }
 
 /*
- * What callers would see: statements sent to an address that is no member's, or a primary that
- * nobody is. Somebody else wrote under the members' keys: bytes, other types, words that are not
- * known. Each is refused whole.
+ * Another program writes under the members' prefix: bytes, fields of other types, unknown words.
+ * Each such entry is rejected as a whole. Otherwise statements would be sent to an address at which
+ * there is no member, or a primary would be listed that does not exist.
  */
-static void test_foreign(void)
+static void test_invalid(void)
 {
 	static const struct {
 		const char *was;
@@ -67,7 +67,7 @@
 	member_entry_t entry;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(changes); i++) {
-		gchar **parts = g_strsplit(WHOLE, changes[i].was, 2);
+		gchar **parts = g_strsplit(VALID_ENTRY, changes[i].was, 2);
 		gchar *text = g_strjoinv(changes[i].is, parts);
 
 		g_assert_nonnull(parts[1]);
@@ -78,13 +78,13 @@
 	g_assert_false(decode("[]", "i-1", &entry));
 	g_assert_false(decode("7", "i-1", &entry));
 	g_assert_false(decode("\xff\xfe", "i-1", &entry));
-	g_assert_false(decode(WHOLE, "", &entry));
+	g_assert_false(decode(VALID_ENTRY, "", &entry));
 }
 
-/* One that does not say when it started is a member like any other. */
-static void test_without_born(void)
+/* An entry without a start time is valid. */
+static void test_without_start_time(void)
 {
-	gchar **parts = g_strsplit(WHOLE, ",\"born\":1790000000000", 2);
+	gchar **parts = g_strsplit(VALID_ENTRY, ",\"born\":1790000000000", 2);
 	gchar *text = g_strjoinv("", parts);
 	member_entry_t entry;
 
@@ -97,8 +97,8 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/entry/whole", test_whole);
-	g_test_add_func("/entry/foreign", test_foreign);
-	g_test_add_func("/entry/without-born", test_without_born);
+	g_test_add_func("/entry/whole", test_valid);
+	g_test_add_func("/entry/foreign", test_invalid);
+	g_test_add_func("/entry/without-born", test_without_start_time);
 	return g_test_run();
 }
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -1,8 +1,8 @@
 /*
- * Changed input for every decoder of what callers, backend servers, the store
- * and other proxies send. Nothing may be read outside the input, and what is
- * decoded encodes again to the same. Kept cases lie in tests/fuzz/DECODER; one
- * that once showed a fault stays there.
+ * Mutation fuzzing of every decoder of input from callers, backend servers, the store and other
+ * proxies. No decoder may read outside its input, and what it decodes must encode to the same text
+ * again. The inputs to mutate are the files of tests/fuzz/DECODER; an input that has revealed a
+ * fault stays there.
  *
  *	test_fuzz [ROUNDS [SEED]]	rounds for each decoder
  */
@@ -24,56 +24,56 @@
 #include "session.h"
 #include "wire.h"
 
-#define KEPT_DIR       "tests/fuzz"
+#define CORPUS_DIR     "tests/fuzz"
 #define ROUNDS_DEFAULT 20000
 #define SEED_DEFAULT   1
-#define CHANGES_MAX    6
+#define MUTATIONS_MAX  6
 #define INPUT_MAX      16384
 
 static unsigned rounds = ROUNDS_DEFAULT;
 static unsigned seed = SEED_DEFAULT;
 
-/* What is being played, for the line that is written when the process ends by a fault. */
+/* The target and round being run, which are printed when a fault ends the process. */
 static struct {
 	const char *target;
 	unsigned round;
-} now_played;
+} current;
 
 /* --- faults --- */
 
-/* A report of undefined behaviour is a failure here, not a line in the log. */
+/* Undefined behaviour ends the process; by default the sanitizer only logs it. */
 const char *__ubsan_default_options(void)
 {
 	return "halt_on_error=1:print_stacktrace=1";
 }
 
-static void tell_round(void)
+static void print_round(void)
 {
-	g_printerr("fuzz: target %s, seed %u, round %u (0: a kept case)\n", now_played.target, seed,
-		   now_played.round);
+	g_printerr("fuzz: target %s, seed %u, round %u (0: an input of the corpus)\n",
+		   current.target, seed, current.round);
 }
 
 static void on_abort(int signo)
 {
 	(void)signo;
-	tell_round();
+	print_round();
 }
 
 #ifdef __SANITIZE_ADDRESS__
 void __sanitizer_set_death_callback(void (*callback)(void));
 #endif
 
-static void catch_faults(void)
+static void install_fault_handlers(void)
 {
 	signal(SIGABRT, on_abort);
 #ifdef __SANITIZE_ADDRESS__
-	__sanitizer_set_death_callback(tell_round);
+	__sanitizer_set_death_callback(print_round);
 #endif
 }
 
 /* --- the decoders --- */
 
-/* data is exactly len bytes long, so that reading behind it is noticed. */
+/* The buffer is exactly len bytes long, so that the sanitizer detects a read beyond it. */
 typedef void (*check_t)(const char *data, size_t len);
 
 static void check_caller(const char *data, size_t len)
@@ -92,7 +92,7 @@
 	protocol_buffer_free(&again);
 }
 
-/* The same whether it comes at once or in two parts that are moved in between. */
+/* A reply decodes equally whether it arrives at once, or in two parts in a buffer that moves. */
 static void check_reply(const char *data, size_t len)
 {
 	reply_scan_t whole = {0};
@@ -100,13 +100,13 @@
 	reply_progress_t progress = protocol_scan_reply(&whole, data, len);
 	size_t first = len / 2;
 	char *copy = g_memdup2(data, first + 1);
-	reply_progress_t begun = protocol_scan_reply(&parts, copy, first);
+	reply_progress_t first_progress = protocol_scan_reply(&parts, copy, first);
 	member_status_t status;
 
-	if (begun == REPLY_INCOMPLETE)
+	if (first_progress == REPLY_INCOMPLETE)
 		g_assert_cmpint(protocol_scan_reply(&parts, data, len), ==, progress);
 	else
-		g_assert_cmpint(begun, ==, progress);
+		g_assert_cmpint(first_progress, ==, progress);
 	g_assert_cmpuint(parts.parsed_len, ==, whole.parsed_len);
 	g_assert_cmpuint(whole.parsed_len, <=, len);
 	g_assert_cmpint(parts.reply.ok, ==, whole.reply.ok);
@@ -138,13 +138,13 @@
 	talloc_free(parent);
 }
 
-/* Times are added to the clock, and the sum must not wrap. */
+/* A decoded time is later added to the clock, and the sum must not wrap around. */
 static void assert_time(usec_t time)
 {
 	g_assert_cmpuint(time, <, USEC_NEVER / 2);
 }
 
-/* What the store holds is sealed before it is read. */
+/* The keys of a configuration from the store are replaced by digests before it is decoded. */
 static void check_config(const char *data, size_t len)
 {
 	char *sealed = config_hash_keys(NULL, data, len);
@@ -214,8 +214,8 @@
 
 static const unsigned char token_key[SESSION_KEY_BYTES];
 
-/* A token that the fleet could have made, around this text. */
-static char *sign(const char *data, size_t len)
+/* Returns a validly signed session token with this content. */
+static char *make_signed_token(const char *data, size_t len)
 {
 	unsigned char *raw = g_malloc(crypto_auth_BYTES + len);
 	size_t size = sodium_base64_ENCODED_LEN(crypto_auth_BYTES + len,
@@ -230,7 +230,7 @@
 	return token;
 }
 
-static void check_session(const char *token)
+static void check_session_token(const char *token)
 {
 	session_t *session = talloc_zero(NULL, session_t);
 	session_t *back = talloc_zero(NULL, session_t);
@@ -248,14 +248,14 @@
 	talloc_free(back);
 }
 
-/* As a caller may send it, and as one with the fleet's key could have made it. */
+/* Tries the input as a token, and as the content of a token that is signed with the fleet's key. */
 static void check_token(const char *data, size_t len)
 {
 	char *text = g_strndup(data, len);
-	char *token = sign(data, len);
+	char *token = make_signed_token(data, len);
 
-	check_session(text);
-	check_session(token);
+	check_session_token(text);
+	check_session_token(token);
 	g_free(token);
 	g_free(text);
 }
@@ -301,10 +301,10 @@
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-static GPtrArray *load_kept(const char *target)
+static GPtrArray *load_corpus(const char *target)
 {
-	char *path = g_build_filename(KEPT_DIR, target, NULL);
-	GPtrArray *kept = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
+	char *path = g_build_filename(CORPUS_DIR, target, NULL);
+	GPtrArray *corpus = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
 	GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
 	GDir *dir = g_dir_open(path, 0, NULL);
 	const char *name;
@@ -312,76 +312,76 @@
 	g_assert_nonnull(dir);
 	while ((name = g_dir_read_name(dir)) != NULL)
 		g_ptr_array_add(names, g_build_filename(path, name, NULL));
-	/* In one order, so that a seed plays the same everywhere. */
+	/* Sorted, so that a seed gives the same rounds on every file system. */
 	g_ptr_array_sort(names, compare_names);
 	for (guint i = 0; i < names->len; i++) {
 		char *data = NULL;
 		gsize len = 0;
 
 		g_assert_true(g_file_get_contents(names->pdata[i], &data, &len, NULL));
-		g_ptr_array_add(kept, g_bytes_new_take(data, len));
+		g_ptr_array_add(corpus, g_bytes_new_take(data, len));
 	}
-	g_assert_cmpuint(kept->len, >, 0);
+	g_assert_cmpuint(corpus->len, >, 0);
 	g_dir_close(dir);
 	g_ptr_array_unref(names);
 	g_free(path);
-	return kept;
+	return corpus;
 }
 
-static guint pick(GRand *rand, guint count)
+static guint random_below(GRand *rand, guint count)
 {
 	return count > 0 ? (guint)g_rand_int_range(rand, 0, (gint32)count) : 0;
 }
 
-static GBytes *pick_kept(GRand *rand, const GPtrArray *kept)
+static GBytes *pick_input(GRand *rand, const GPtrArray *corpus)
 {
-	return kept->pdata[pick(rand, kept->len)];
+	return corpus->pdata[random_below(rand, corpus->len)];
 }
 
-static void splice(GRand *rand, GString *text, GBytes *other)
+static void splice_input(GRand *rand, GString *text, GBytes *other)
 {
 	gsize len;
 	const char *data = g_bytes_get_data(other, &len);
-	guint from = pick(rand, (guint)len);
+	guint from = random_below(rand, (guint)len);
 
-	g_string_truncate(text, pick(rand, (guint)text->len));
+	g_string_truncate(text, random_below(rand, (guint)text->len));
 	g_string_append_len(text, data + from, (gssize)(len - from));
 }
 
-static void repeat_part(GRand *rand, GString *text, guint at)
+static void repeat_range(GRand *rand, GString *text, guint at)
 {
-	guint len = pick(rand, (guint)(text->len - at));
+	guint len = random_below(rand, (guint)(text->len - at));
 	char *part = g_strndup(text->str + at, len);
 
-	for (guint i = pick(rand, 8); i > 0 && text->len < INPUT_MAX; i--)
+	for (guint i = random_below(rand, 8); i > 0 && text->len < INPUT_MAX; i--)
 		g_string_insert_len(text, at, part, (gssize)strlen(part));
 	g_free(part);
 }
 
-static void change(GRand *rand, GString *text, const GPtrArray *kept)
+static void mutate(GRand *rand, GString *text, const GPtrArray *corpus)
 {
-	guint at = pick(rand, (guint)text->len);
+	guint at = random_below(rand, (guint)text->len);
 
-	switch (pick(rand, 7)) {
+	switch (random_below(rand, 7)) {
 	case 0:
 		if (text->len > 0)
-			text->str[at] = (char)(text->str[at] ^ (1 << pick(rand, 8)));
+			text->str[at] = (char)(text->str[at] ^ (1 << random_below(rand, 8)));
 		break;
 	case 1:
 		if (text->len > 0)
-			text->str[at] = (char)pick(rand, 256);
+			text->str[at] = (char)random_below(rand, 256);
 		break;
 	case 2:
-		g_string_erase(text, at, (gssize)pick(rand, (guint)(text->len - at)));
+		g_string_erase(text, at, (gssize)random_below(rand, (guint)(text->len - at)));
 		break;
 	case 3:
-		g_string_insert(text, at, words[pick(rand, G_N_ELEMENTS(words))]);
+		g_string_insert(text, at, words[random_below(rand, G_N_ELEMENTS(words))]);
 		break;
 	case 4:
-		repeat_part(rand, text, at);
+		repeat_range(rand, text, at);
 		break;
 	case 5:
-		splice(rand, text, pick_kept(rand, kept));
+		splice_input(rand, text, pick_input(rand, corpus));
 		break;
 	default:
 		g_string_truncate(text, at);
@@ -401,9 +401,9 @@
 	{"token", check_token},	  {"framing", check_framing},
 };
 
-static void check_exact(const target_t *target, const char *data, size_t len)
+static void check_exact_buffer(const target_t *target, const char *data, size_t len)
 {
-	/* One byte where there is none, since decoders are never given a null pointer. */
+	/* At least one byte, since decoders are never called with a null pointer. */
 	char *exact = g_malloc(len > 0 ? len : 1);
 
 	memcpy(exact, data, len);
@@ -411,39 +411,39 @@
 	g_free(exact);
 }
 
-/* A round depends on nothing but the seed and its number. */
-static void play_round(const target_t *target, const GPtrArray *kept, unsigned round)
+/* The input of a round depends only on the seed and the round's number. */
+static void run_round(const target_t *target, const GPtrArray *corpus, unsigned round)
 {
 	GRand *rand = g_rand_new_with_seed_array((const guint32[]){seed, round}, 2);
 	gsize len;
-	const char *data = g_bytes_get_data(pick_kept(rand, kept), &len);
+	const char *data = g_bytes_get_data(pick_input(rand, corpus), &len);
 	GString *text = g_string_new_len(data, (gssize)len);
 
-	for (guint i = 1 + pick(rand, CHANGES_MAX); i > 0; i--)
-		change(rand, text, kept);
-	check_exact(target, text->str, text->len);
+	for (guint i = 1 + random_below(rand, MUTATIONS_MAX); i > 0; i--)
+		mutate(rand, text, corpus);
+	check_exact_buffer(target, text->str, text->len);
 	g_string_free(text, TRUE);
 	g_rand_free(rand);
 }
 
-static void play(gconstpointer data)
+static void run_target(gconstpointer data)
 {
 	const target_t *target = data;
-	GPtrArray *kept = load_kept(target->name);
+	GPtrArray *corpus = load_corpus(target->name);
 
-	now_played.target = target->name;
-	now_played.round = 0;
-	for (guint i = 0; i < kept->len; i++) {
+	current.target = target->name;
+	current.round = 0;
+	for (guint i = 0; i < corpus->len; i++) {
 		gsize len;
-		const char *text = g_bytes_get_data(kept->pdata[i], &len);
+		const char *text = g_bytes_get_data(corpus->pdata[i], &len);
 
-		check_exact(target, text, len);
+		check_exact_buffer(target, text, len);
 	}
 	for (unsigned round = 1; round <= rounds; round++) {
-		now_played.round = round;
-		play_round(target, kept, round);
+		current.round = round;
+		run_round(target, corpus, round);
 	}
-	g_ptr_array_unref(kept);
+	g_ptr_array_unref(corpus);
 }
 
 int main(int argc, char **argv)
@@ -454,11 +454,11 @@
 		rounds = (unsigned)strtoul(argv[1], NULL, 10);
 	if (argc > 2)
 		seed = (unsigned)strtoul(argv[2], NULL, 10);
-	catch_faults();
+	install_fault_handlers();
 	for (size_t i = 0; i < G_N_ELEMENTS(targets); i++) {
 		char *path = g_strdup_printf("/fuzz/%s", targets[i].name);
 
-		g_test_add_data_func(path, &targets[i], play);
+		g_test_add_data_func(path, &targets[i], run_target);
 		g_free(path);
 	}
 	return g_test_run();
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -1,6 +1,6 @@
 /*
- * The codec of callers' and members' lines: every split of the bytes, two
- * messages in one packet, sizes, control characters, and random input.
+ * The line protocol of callers and members: replies split at every byte, two messages in one
+ * buffer, sizes, control characters, and random input.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -96,7 +96,10 @@
 	}
 }
 
-/* A NUL would end the line for a reader in C, and what follows would be smuggled past it. */
+/*
+ * A program that reads C strings would take a NUL for the end of the line, and not check the
+ * statement after it.
+ */
 static void test_nul(void)
 {
 	static const char line[] = "QUERY a READ 1\0QUERY b WRITE 1 x";
@@ -117,10 +120,10 @@
 	g_assert_cmpuint(protocol_line_length("\r\n", 2, 0), ==, 2);
 }
 
-static const char whole_reply[] =
+static const char complete_reply[] =
 	"ROW qhzk wmt\r\nROW second\r\nDONE 7.1f3.c\r\nREADY T 3.1209\r\n";
 
-static void check_whole(const reply_scan_t *scan)
+static void check_complete_reply(const reply_scan_t *scan)
 {
 	g_assert_true(scan->reply.ok);
 	g_assert_true(scan->reply.is_signed);
@@ -128,28 +131,28 @@
 	g_assert_true(scan->reply.has_position);
 	g_assert_cmpuint(scan->reply.position.term, ==, 3);
 	g_assert_cmpuint(scan->reply.position.lsn, ==, 1209);
-	g_assert_cmpuint(scan->reply.raw.len, ==, sizeof(whole_reply) - 1);
+	g_assert_cmpuint(scan->reply.raw.len, ==, sizeof(complete_reply) - 1);
 	assert_slice(scan->reply.row, "second");
 }
 
-/* The reply comes in two pieces, cut at every place, in a buffer that moves. */
-static void test_reply_in_pieces(void)
+/* The reply arrives in two parts, split at every byte, and the buffer moves in between. */
+static void test_reply_in_parts(void)
 {
-	for (size_t cut = 0; cut < sizeof(whole_reply) - 1; cut++) {
+	for (size_t cut = 0; cut < sizeof(complete_reply) - 1; cut++) {
 		reply_scan_t scan = {0};
-		char *first = g_strndup(whole_reply, cut);
-		char *all = g_strdup(whole_reply);
+		char *first = g_strndup(complete_reply, cut);
+		char *all = g_strdup(complete_reply);
 
 		g_assert_cmpint(protocol_scan_reply(&scan, first, cut), ==, REPLY_INCOMPLETE);
 		g_free(first);
-		g_assert_cmpint(protocol_scan_reply(&scan, all, sizeof(whole_reply) - 1), ==,
+		g_assert_cmpint(protocol_scan_reply(&scan, all, sizeof(complete_reply) - 1), ==,
 				REPLY_COMPLETE);
-		check_whole(&scan);
+		check_complete_reply(&scan);
 		g_free(all);
 	}
 }
 
-static reply_progress_t scan_text(const char *text, reply_scan_t *scan)
+static reply_progress_t scan_reply_text(const char *text, reply_scan_t *scan)
 {
 	*scan = (reply_scan_t){0};
 	return protocol_scan_reply(scan, text, strlen(text));
@@ -159,22 +162,23 @@
 {
 	reply_scan_t scan;
 
-	g_assert_cmpint(scan_text("ERR READONLY i-7f\r\nREADY E 3.1\r\nREADY I -\r\n", &scan), ==,
-			REPLY_COMPLETE);
+	g_assert_cmpint(scan_reply_text("ERR READONLY i-7f\r\nREADY E 3.1\r\nREADY I -\r\n", &scan),
+			==, REPLY_COMPLETE);
 	g_assert_false(scan.reply.ok);
 	g_assert_cmpint(scan.reply.code, ==, CODE_READONLY);
 	g_assert_cmpint(scan.reply.tx, ==, TX_FAILED);
 	g_assert_cmpuint(scan.reply.raw.len, ==, strlen("ERR READONLY i-7f\r\nREADY E 3.1\r\n"));
-	g_assert_cmpint(scan_text("DONE -\r\nREADY I -\r\n", &scan), ==, REPLY_COMPLETE);
+	g_assert_cmpint(scan_reply_text("DONE -\r\nREADY I -\r\n", &scan), ==, REPLY_COMPLETE);
 	g_assert_false(scan.reply.is_signed);
 	g_assert_false(scan.reply.has_position);
-	g_assert_cmpint(scan_text("ERR WHATEVER\r\nREADY I -\r\n", &scan), ==, REPLY_COMPLETE);
+	g_assert_cmpint(scan_reply_text("ERR WHATEVER\r\nREADY I -\r\n", &scan), ==,
+			REPLY_COMPLETE);
 	g_assert_cmpint(scan.reply.code, ==, CODE_OTHER);
-	g_assert_cmpint(scan_text("READY X 1.1\r\n", &scan), ==, REPLY_INVALID);
-	g_assert_cmpint(scan_text("DONE a\r\nDONE b\r\n", &scan), ==, REPLY_INVALID);
-	g_assert_cmpint(scan_text("DONE a\r\nROW b\r\n", &scan), ==, REPLY_INVALID);
-	g_assert_cmpint(scan_text("HELLO\r\n", &scan), ==, REPLY_INVALID);
-	g_assert_cmpint(scan_text("READY I 3.-1\r\n", &scan), ==, REPLY_COMPLETE);
+	g_assert_cmpint(scan_reply_text("READY X 1.1\r\n", &scan), ==, REPLY_INVALID);
+	g_assert_cmpint(scan_reply_text("DONE a\r\nDONE b\r\n", &scan), ==, REPLY_INVALID);
+	g_assert_cmpint(scan_reply_text("DONE a\r\nROW b\r\n", &scan), ==, REPLY_INVALID);
+	g_assert_cmpint(scan_reply_text("HELLO\r\n", &scan), ==, REPLY_INVALID);
+	g_assert_cmpint(scan_reply_text("READY I 3.-1\r\n", &scan), ==, REPLY_COMPLETE);
 	g_assert_false(scan.reply.has_position);
 }
 
@@ -248,8 +252,8 @@
 	protocol_buffer_free(&buffer);
 }
 
-/* Random bytes, mostly of the wire's own words, so that the decoder gets deep. */
-static size_t make_noise(GRand *rand, char *out, size_t size)
+/* Random input, mostly of words of the protocol, so that it reaches most of the decoder. */
+static size_t make_random_input(GRand *rand, char *out, size_t size)
 {
 	static const char *const words[] = {
 		"QUERY ", "START ", "READY ", "ROW ", "DONE ", "ERR ",	"BEGIN",  "READ ",
@@ -257,9 +261,9 @@
 		"\r",	  " ",	    "-",      "a ",   "BYE",   "BUSY ", "AFTER ",
 	};
 	size_t len = 0;
-	int pieces = g_rand_int_range(rand, 0, 12);
+	int parts = g_rand_int_range(rand, 0, 12);
 
-	for (int i = 0; i < pieces; i++) {
+	for (int i = 0; i < parts; i++) {
 		const char *word = words[g_rand_int_range(rand, 0, G_N_ELEMENTS(words))];
 
 		if (len + strlen(word) + 1 > size)
@@ -272,38 +276,38 @@
 	return len;
 }
 
-static bool inside(slice_t slice, const char *data, size_t len)
+static bool is_inside(slice_t slice, const char *data, size_t len)
 {
 	return slice.len == 0 || (slice.at >= data && slice.at + slice.len <= data + len);
 }
 
 /*
- * Whatever comes in: no decoder reads outside its input (the sanitizers watch),
- * every slice lies inside it, and a reply scanned in two pieces reads as in one.
+ * For any input no decoder reads outside of it (which the sanitizers detect), every slice lies
+ * is_inside it, and a reply decoded in two parts gives the same result as in one.
  */
 static void test_fuzz(void)
 {
 	GRand *rand = g_rand_new_with_seed(20260101);
 
 	for (int round = 0; round < FUZZ_ROUNDS; round++) {
-		char noise[256];
-		size_t len = make_noise(rand, noise, sizeof(noise));
-		char *data = g_memdup2(noise, len != 0 ? len : 1);
+		char input[256];
+		size_t len = make_random_input(rand, input, sizeof(input));
+		char *data = g_memdup2(input, len != 0 ? len : 1);
 		size_t cut = len != 0 ? (size_t)g_rand_int_range(rand, 0, (int)len) : 0;
 		caller_message_t message;
 		reply_scan_t whole = {0};
-		reply_scan_t pieces = {0};
-		reply_progress_t once;
+		reply_scan_t parts = {0};
+		reply_progress_t whole_progress;
 
 		protocol_decode_caller_message(data, len, &message);
-		g_assert_true(inside(message.database, data, len));
-		g_assert_true(inside(message.statement.id, data, len));
-		g_assert_true(inside(message.statement.text, data, len));
-		g_assert_true(inside(message.statement.name, data, len));
-		g_assert_true(inside(message.statement.value, data, len));
-		once = protocol_scan_reply(&whole, data, len);
-		if (protocol_scan_reply(&pieces, data, cut) == REPLY_INCOMPLETE)
-			g_assert_cmpint(protocol_scan_reply(&pieces, data, len), ==, once);
+		g_assert_true(is_inside(message.database, data, len));
+		g_assert_true(is_inside(message.statement.id, data, len));
+		g_assert_true(is_inside(message.statement.text, data, len));
+		g_assert_true(is_inside(message.statement.name, data, len));
+		g_assert_true(is_inside(message.statement.value, data, len));
+		whole_progress = protocol_scan_reply(&whole, data, len);
+		if (protocol_scan_reply(&parts, data, cut) == REPLY_INCOMPLETE)
+			g_assert_cmpint(protocol_scan_reply(&parts, data, len), ==, whole_progress);
 		g_assert_cmpuint(whole.parsed_len, <=, len);
 		g_free(data);
 	}
@@ -317,7 +321,7 @@
 	g_test_add_func("/protocol/queries", test_queries);
 	g_test_add_func("/protocol/nul", test_nul);
 	g_test_add_func("/protocol/lines", test_lines);
-	g_test_add_func("/protocol/reply-in-pieces", test_reply_in_pieces);
+	g_test_add_func("/protocol/reply-in-pieces", test_reply_in_parts);
 	g_test_add_func("/protocol/replies", test_replies);
 	g_test_add_func("/protocol/endless-reply", test_endless_reply);
 	g_test_add_func("/protocol/status", test_status);
