--- a/tests/fake_kv.c
+++ b/tests/fake_kv.c
@@ -4,7 +4,7 @@
 
 #include <talloc.h>
 
-/* Calls without an answer end after this, as with the real client. */
+/* Time-out of a call; the real client has one too. */
 #define CALL_TIMEOUT  (1500 * USEC_PER_MSEC)
 #define DEFAULT_DELAY (4 * USEC_PER_MSEC)
 #define PAGE_ITEMS    500
@@ -42,28 +42,28 @@
 	char *prefix;
 	char *after_key;
 	int64_t after;
-	int64_t scanned; /* a watch has looked at events up to here */
+	int64_t scanned; /* revision up to which a watch has checked the events */
 	int64_t ttl_ms;
 	uint64_t lease;
 	kv_write_t *writes;
 	size_t write_count;
 	kv_done_t done;
 	void *data;
-	usec_t arrives; /* at the store */
-	usec_t ends;	/* without an answer */
+	usec_t arrives; /* time at which it reaches the store */
+	usec_t ends;	/* time-out; a watch ends then without changes */
 	bool arrived;
-	bool lost;
+	bool lost; /* done, but its answer is lost */
 	kv_result_t result;
 } call_t;
 
-static usec_t now_of(const fake_kv_t *store)
+static usec_t store_now(const fake_kv_t *store)
 {
 	return clock_now(store->clock);
 }
 
 /* --- items --- */
 
-static item_t *find(const fake_kv_t *store, const char *key)
+static item_t *find_item(const fake_kv_t *store, const char *key)
 {
 	list_for_each (it, &store->items) {
 		item_t *item = list_entry(it, item_t, node);
@@ -104,7 +104,7 @@
 	trim_history(store);
 }
 
-static void insert(fake_kv_t *store, item_t *item)
+static void insert_item(fake_kv_t *store, item_t *item)
 {
 	list_t *pos = &store->items;
 
@@ -117,9 +117,9 @@
 	list_add_before(pos, &item->node);
 }
 
-static void put(fake_kv_t *store, const char *key, const char *value, uint64_t lease)
+static void put_item(fake_kv_t *store, const char *key, const char *value, uint64_t lease)
 {
-	item_t *item = find(store, key);
+	item_t *item = find_item(store, key);
 
 	if (value == NULL) {
 		if (item == NULL)
@@ -133,7 +133,7 @@
 		item = talloc_zero(store, item_t);
 		item->key = talloc_strdup(item, key);
 		item->created = store->revision;
-		insert(store, item);
+		insert_item(store, item);
 	}
 	talloc_free(item->value);
 	item->value = talloc_strdup(item, value);
@@ -145,13 +145,13 @@
 void fake_kv_put(fake_kv_t *store, const char *key, const char *value)
 {
 	store->revision++;
-	put(store, key, value, 0);
-	timers_arm(store->timers, &store->timer, now_of(store), store->timer.cb);
+	put_item(store, key, value, 0);
+	timers_arm(store->timers, &store->timer, store_now(store), store->timer.cb);
 }
 
 const char *fake_kv_get(const fake_kv_t *store, const char *key)
 {
-	const item_t *item = find(store, key);
+	const item_t *item = find_item(store, key);
 
 	return item != NULL ? item->value : NULL;
 }
@@ -161,7 +161,7 @@
 	fake_kv_put(store, key, NULL);
 }
 
-static void drop_items(list_t *items)
+static void free_items(list_t *items)
 {
 	list_for_each_safe (it, items) {
 		item_t *item = list_entry(it, item_t, node);
@@ -171,7 +171,7 @@
 	}
 }
 
-static void add_copy(fake_kv_t *store, list_t *to, const item_t *from, int64_t era)
+static void copy_item(fake_kv_t *store, list_t *to, const item_t *from, int64_t era)
 {
 	item_t *item = talloc_zero(store, item_t);
 
@@ -185,9 +185,9 @@
 
 void fake_kv_make_backup(fake_kv_t *store)
 {
-	drop_items(&store->backup);
+	free_items(&store->backup);
 	list_for_each (it, &store->items)
-		add_copy(store, &store->backup, list_entry(it, item_t, node), 0);
+		copy_item(store, &store->backup, list_entry(it, item_t, node), 0);
 	store->backup_revision = kv_number(store->revision);
 }
 
@@ -195,12 +195,12 @@
 {
 	int64_t era = kv_era(store->revision) + 1;
 
-	drop_items(&store->items);
+	free_items(&store->items);
 	list_for_each (it, &store->backup) {
 		const item_t *item = list_entry(it, item_t, node);
 
 		if (item->lease == 0)
-			add_copy(store, &store->items, item, era);
+			copy_item(store, &store->items, item, era);
 	}
 	list_for_each_safe (it, &store->leases) {
 		lease_t *lease = list_entry(it, lease_t, node);
@@ -255,7 +255,7 @@
 
 		if (item->lease == lease->id) {
 			store->revision++;
-			put(store, item->key, NULL, 0);
+			put_item(store, item->key, NULL, 0);
 		}
 	}
 	list_del(&lease->node);
@@ -267,7 +267,7 @@
 	list_for_each_safe (it, &store->leases) {
 		lease_t *lease = list_entry(it, lease_t, node);
 
-		if (now_of(store) >= lease->ends)
+		if (store_now(store) >= lease->ends)
 			end_lease(store, lease);
 	}
 }
@@ -279,8 +279,8 @@
 	return strncmp(key, prefix, strlen(prefix)) == 0;
 }
 
-/* The item as an answer tells it, with copies that are children of parent. */
-static kv_item_t to_result(void *parent, const item_t *item)
+/* Converts an item for an answer; its strings are copied as children of parent. */
+static kv_item_t item_to_result(void *parent, const item_t *item)
 {
 	return (kv_item_t){
 		.key = talloc_strdup(parent, item->key),
@@ -305,13 +305,13 @@
 			call->result.truncated = true;
 			break;
 		}
-		items[call->result.count++] = to_result(items, item);
+		items[call->result.count++] = item_to_result(items, item);
 	}
 	call->result.items = items;
 	call->result.as_of = store->revision;
 }
 
-/* Returns true if the watch has something to say. */
+/* Returns true if the watch ends, with changes or since its history was compacted. */
 static bool do_watch(fake_kv_t *store, call_t *call)
 {
 	kv_item_t *items = NULL;
@@ -342,16 +342,16 @@
 	return call->result.count != 0;
 }
 
-/* What the store holds instead, as its answer to a failed condition tells. */
-static void tell_current(fake_kv_t *store, call_t *call)
+/* Adds the current items to the answer to a commit whose condition failed. */
+static void add_current_items(fake_kv_t *store, call_t *call)
 {
 	kv_item_t *items = talloc_zero_array(call, kv_item_t, call->write_count);
 
 	for (size_t i = 0; i < call->write_count; i++) {
-		const item_t *item = find(store, call->writes[i].key);
+		const item_t *item = find_item(store, call->writes[i].key);
 
 		if (item != NULL)
-			items[call->result.count++] = to_result(items, item);
+			items[call->result.count++] = item_to_result(items, item);
 	}
 	call->result.items = items;
 }
@@ -359,11 +359,11 @@
 static void do_commit(fake_kv_t *store, call_t *call)
 {
 	for (size_t i = 0; i < call->write_count; i++) {
-		const item_t *item = find(store, call->writes[i].key);
+		const item_t *item = find_item(store, call->writes[i].key);
 
 		if ((item != NULL ? item->revision : 0) != call->writes[i].expected) {
 			call->result.status = KV_CONFLICT;
-			tell_current(store, call);
+			add_current_items(store, call);
 			return;
 		}
 		if (call->writes[i].lease != 0 &&
@@ -375,31 +375,31 @@
 	store->revision++;
 	for (size_t i = 0; i < call->write_count; i++) {
 		if (!call->writes[i].only_check)
-			put(store, call->writes[i].key, call->writes[i].value,
-			    call->writes[i].lease);
+			put_item(store, call->writes[i].key, call->writes[i].value,
+				 call->writes[i].lease);
 	}
 	call->result.as_of = store->revision;
 }
 
-static void do_create(fake_kv_t *store, call_t *call)
+static void do_lease_create(fake_kv_t *store, call_t *call)
 {
 	lease_t *lease = talloc_zero(store, lease_t);
 
 	lease->id = ++store->next_lease;
 	lease->ttl = (usec_t)call->ttl_ms * USEC_PER_MSEC;
-	lease->ends = now_of(store) + lease->ttl;
+	lease->ends = store_now(store) + lease->ttl;
 	list_add_tail(&store->leases, &lease->node);
 	call->result.lease = lease->id;
 }
 
-static void do_lease(fake_kv_t *store, call_t *call)
+static void do_lease_call(fake_kv_t *store, call_t *call)
 {
 	lease_t *lease = find_lease(store, call->lease);
 
 	if (lease == NULL)
 		call->result.status = KV_NOT_FOUND;
 	else if (call->kind == CALL_KEEP)
-		lease->ends = now_of(store) + lease->ttl;
+		lease->ends = store_now(store) + lease->ttl;
 	else
 		end_lease(store, lease);
 }
@@ -417,11 +417,11 @@
 		do_commit(store, call);
 		break;
 	case CALL_CREATE:
-		do_create(store, call);
+		do_lease_create(store, call);
 		break;
 	case CALL_KEEP:
 	case CALL_END:
-		do_lease(store, call);
+		do_lease_call(store, call);
 		break;
 	}
 	if (store->lose_commit_answers != 0 && call->kind == CALL_COMMIT) {
@@ -435,7 +435,7 @@
 	return true;
 }
 
-static void finish(call_t *call)
+static void finish_call(call_t *call)
 {
 	list_del(&call->node);
 	call->result.era = kv_era(call->client->store->revision);
@@ -443,15 +443,15 @@
 	talloc_free(call);
 }
 
-static bool is_turned_away(const call_t *call)
+static bool is_refused(const call_t *call)
 {
 	const fake_kv_client_t *client = call->client;
 
-	return client->refuses_calls || (client->refuses_watches && call->kind == CALL_WATCH);
+	return client->calls_refused || (client->watches_refused && call->kind == CALL_WATCH);
 }
 
-/* True if a link of its own loses the call, or its answer. */
-static bool is_cut(const call_t *call)
+/* True if the client's connection loses the call or its answer. */
+static bool is_unreachable(const call_t *call)
 {
 	const fake_kv_client_t *client = call->client;
 
@@ -460,14 +460,14 @@
 }
 
 /* Returns true if the call was answered. */
-static bool step(fake_kv_t *store, call_t *call)
+static bool advance_call(fake_kv_t *store, call_t *call)
 {
-	usec_t now = now_of(store);
-	bool reachable = !store->down && !is_cut(call);
+	usec_t now = store_now(store);
+	bool reachable = !store->down && !is_unreachable(call);
 
-	if (reachable && is_turned_away(call) && now >= call->arrives) {
+	if (reachable && is_refused(call) && now >= call->arrives) {
 		call->result.status = KV_REFUSED;
-		finish(call);
+		finish_call(call);
 		return true;
 	}
 	if (now >= call->ends) {
@@ -475,18 +475,18 @@
 			call->result.as_of = store->revision;
 		else
 			call->result.status = KV_LOST;
-		finish(call);
+		finish_call(call);
 		return true;
 	}
 	if (!reachable || call->lost || now < call->arrives)
 		return false;
 	if (!execute(store, call) || call->lost)
 		return false;
-	finish(call);
+	finish_call(call);
 	return true;
 }
 
-static void rearm(fake_kv_t *store);
+static void rearm_timer(fake_kv_t *store);
 
 static void on_timer(run_timer_t *timer, usec_t now)
 {
@@ -499,21 +499,22 @@
 	while (again) {
 		again = false;
 		list_for_each (it, &store->calls) {
-			/* Answering one may begin others. */
-			if (step(store, list_entry(it, call_t, node))) {
+			/* The callback of a call may start further calls, which changes the list.
+			 */
+			if (advance_call(store, list_entry(it, call_t, node))) {
 				again = true;
 				break;
 			}
 		}
 	}
-	rearm(store);
+	rearm_timer(store);
 }
 
-/* Time passes in small steps while anything waits; enough for tests. */
-static void rearm(fake_kv_t *store)
+/* While calls are in flight, the store checks them every millisecond. */
+static void rearm_timer(fake_kv_t *store)
 {
 	usec_t next = USEC_NEVER;
-	usec_t now = now_of(store);
+	usec_t now = store_now(store);
 
 	list_for_each (it, &store->calls) {
 		const call_t *call = list_entry(it, call_t, node);
@@ -535,12 +536,13 @@
 	call->client = client;
 	call->done = done;
 	call->data = data;
-	call->arrives = now_of(store) + store->answer_delay;
-	call->ends = now_of(store) + (kv->patience_ms != 0 ? (usec_t)kv->patience_ms * USEC_PER_MSEC
-							   : CALL_TIMEOUT);
+	call->arrives = store_now(store) + store->answer_delay;
+	call->ends =
+		store_now(store) +
+		(kv->patience_ms != 0 ? (usec_t)kv->patience_ms * USEC_PER_MSEC : CALL_TIMEOUT);
 	list_add_tail(&store->calls, &call->node);
 	store->call_count++;
-	rearm(store);
+	rearm_timer(store);
 	return call;
 }
 
@@ -622,7 +624,7 @@
 	}
 }
 
-static int destructor(fake_kv_t *store)
+static int destroy_store(fake_kv_t *store)
 {
 	timers_cancel(store->timers, &store->timer);
 	return 0;
@@ -636,7 +638,7 @@
 	store->timers = timers;
 	store->answer_delay = DEFAULT_DELAY;
 	store->revision = 1;
-	/* Leases are any numbers; the platform's have some 50 bits. */
+	/* Lease ids of the platform's store have some 50 bits. */
 	store->next_lease = (uint64_t)1 << 50;
 	store->timer.cb = on_timer;
 	list_init(&store->items);
@@ -644,6 +646,6 @@
 	list_init(&store->events);
 	list_init(&store->calls);
 	list_init(&store->backup);
-	talloc_set_destructor(store, destructor);
+	talloc_set_destructor(store, destroy_store);
 	return store;
 }
--- a/tests/pool_callers.c
+++ b/tests/pool_callers.c
@@ -8,7 +8,7 @@
 #include "pool_parts.h"
 #include "protocol.h"
 
-/* Ids for which there is room at a time. */
+/* Number of ids by which the array of senders grows. */
 #define SENDERS_STEP 4096
 
 void callers_reply(env_t *env, void *data, const caller_reply_t *reply)
@@ -53,7 +53,7 @@
 	world_caller_t *caller = talloc_zero(world, world_caller_t);
 
 	caller->proxy = node;
-	/* Of a key that names nobody nothing is kept. */
+	/* For a key of another form the customer stays empty. */
 	sscanf(key, "key-%15s", caller->customer);
 	list_add_tail(&node->callers, &caller->node);
 	caller->caller = pooler_caller_open(node->pooler, database, slice_of(key, strlen(key)),
@@ -66,7 +66,7 @@
 	return world_open_session_with_key(world, at, database, "");
 }
 
-static void note_sender(const world_caller_t *caller)
+static void record_sender(const world_caller_t *caller)
 {
 	pool_world_t *world = caller->proxy->world;
 
@@ -83,7 +83,7 @@
 
 	g_assert_nonnull(caller->caller);
 	g_assert_false(caller_is_busy(caller->caller));
-	note_sender(caller);
+	record_sender(caller);
 	snprintf(caller->id, sizeof(caller->id), "q%zu", caller->proxy->world->next_id++);
 	snprintf(line, sizeof(line), "QUERY %s %s", caller->id, text);
 	protocol_decode_caller_message(line, strlen(line), &message);
--- a/tests/pool_check.c
+++ b/tests/pool_check.c
@@ -7,10 +7,10 @@
 #include "hold.h"
 #include "permit.h"
 
-void assert_has_prefix(const char *text, const char *with)
+void assert_has_prefix(const char *text, const char *prefix)
 {
-	if (!g_str_has_prefix(text, with))
-		g_error("expected \"%s...\", got \"%s\"", with, text);
+	if (!g_str_has_prefix(text, prefix))
+		g_error("expected \"%s...\", got \"%s\"", prefix, text);
 }
 
 const fake_run_t *find_last_run(const pool_world_t *world, const char *id)
@@ -27,11 +27,11 @@
 	return hold_is_ours(world->nodes[node].pooler, clock_now(&world->clock.base));
 }
 
-static size_t find_node(const pool_world_t *world, bool holds)
+static size_t find_node(const pool_world_t *world, bool leader)
 {
 	size_t node = 0;
 
-	while (is_leader(world, node) != holds)
+	while (is_leader(world, node) != leader)
 		node++;
 	return node;
 }
--- a/tests/pool_check.h
+++ b/tests/pool_check.h
@@ -1,4 +1,4 @@
-/* What the tests of poolers in paused time look at. */
+/* Checks that the tests of poolers on a manual clock share. */
 #pragma once
 
 #include "pool_world.h"
@@ -6,21 +6,21 @@
 #define MSEC USEC_PER_MSEC
 #define SEC  USEC_PER_SEC
 
-/* Fails the test with both texts. */
-void assert_has_prefix(const char *text, const char *with);
+/* Fails the test, and prints both texts, if text does not begin with prefix. */
+void assert_has_prefix(const char *text, const char *prefix);
 
-/* Where the statement of that id ran last, or NULL. */
+/* Returns the last run of the statement with that id at any member, or NULL. */
 const fake_run_t *find_last_run(const pool_world_t *world, const char *id);
 
-/* True if the proxy holds the duty to promote. */
+/* True if the proxy holds the leader lease. */
 bool is_leader(const pool_world_t *world, size_t node);
 
-/* The first proxy that holds the duty, or that does not. */
+/* Returns the first proxy that is the leader, or that is not. */
 size_t find_leader(const pool_world_t *world);
 size_t find_non_leader(const pool_world_t *world);
 
-/* Proxies that are on the roster that they know. */
+/* Returns the number of proxies that are on the roster that they hold themselves. */
 size_t count_registered_proxies(const pool_world_t *world);
 
-/* How often the statement of that id ran, at all members. */
+/* Returns how often the statement with that id ran, at all members together. */
 size_t run_count(const pool_world_t *world, const char *id);
--- a/tests/pool_directory.c
+++ b/tests/pool_directory.c
@@ -11,9 +11,12 @@
 #define CONFIG_PREFIX  "op/"
 #define MEMBERS_PREFIX "servers/"
 
-/* A configuration in the store is its version, and letters up to its size. */
+/*
+ * The documents in the store stand for a configuration and a list of members: each consists of its
+ * version and random letters up to the wanted size.
+ */
 
-static void on_config(follow_t *follow, const kv_item_t *item)
+static void on_config_changed(follow_t *follow, const kv_item_t *item)
 {
 	world_node_t *node = list_entry(follow, world_node_t, config);
 
@@ -21,29 +24,30 @@
 			 world_create_routes(node->world, strtoll(item->value, NULL, 10)));
 }
 
-static void on_config_read(follow_t *follow, usec_t asked_at)
+static void on_config_read_complete(follow_t *follow, usec_t asked_at)
 {
 	pooler_on_keys_proved(list_entry(follow, world_node_t, config)->pooler, asked_at);
 }
 
-static void on_member(follow_t *follow, const kv_item_t *item)
+static void on_members_changed(follow_t *follow, const kv_item_t *item)
 {
 	world_node_t *node = list_entry(follow, world_node_t, members);
 
 	node->members_version = strtoll(item->value, NULL, 10);
 }
 
-static void on_gone(follow_t *follow, const char *key)
+static void on_key_removed(follow_t *follow, const char *key)
 {
 	(void)follow;
 	(void)key;
 }
 
 static const follow_ops_t config_ops = {
-	.changed = on_config, .gone = on_gone, .read = on_config_read};
-static const follow_ops_t member_ops = {.changed = on_member, .gone = on_gone};
+	.changed = on_config_changed, .gone = on_key_removed, .read = on_config_read_complete};
+static const follow_ops_t member_ops = {.changed = on_members_changed, .gone = on_key_removed};
 
-static void start(world_node_t *node, follow_t *follow, const char *prefix, const follow_ops_t *ops)
+static void start_following(world_node_t *node, follow_t *follow, const char *prefix,
+			    const follow_ops_t *ops)
 {
 	*follow = (follow_t){
 		.ops = ops,
@@ -61,8 +65,8 @@
 void directory_start_followers(world_node_t *node)
 {
 	node->members_version = 0;
-	start(node, &node->config, CONFIG_PREFIX, &config_ops);
-	start(node, &node->members, MEMBERS_PREFIX, &member_ops);
+	start_following(node, &node->config, CONFIG_PREFIX, &config_ops);
+	start_following(node, &node->members, MEMBERS_PREFIX, &member_ops);
 	pooler_set_directory(node->pooler, &node->config, &node->members);
 }
 
@@ -80,14 +84,15 @@
 		follow_refresh(follow);
 }
 
-static void put_version(const pool_world_t *world, const char *key, int64_t version, size_t bytes)
+static void write_document(const pool_world_t *world, const char *key, int64_t version,
+			   size_t bytes)
 {
 	char *text = talloc_asprintf(NULL, "%lld ", (long long)version);
 	size_t len = strlen(text);
 	GRand *rand = g_rand_new_with_seed((guint32)version);
 
 	text = talloc_realloc_size(NULL, text, len + bytes + 1);
-	/* Random letters, which can't be compressed much. */
+	/* Random letters, so that compression hardly shortens the text. */
 	for (size_t i = 0; i < bytes; i++)
 		text[len + i] = (char)g_rand_int_range(rand, 'a', 'z' + 1);
 	g_rand_free(rand);
@@ -98,12 +103,12 @@
 
 void world_write_config(pool_world_t *world)
 {
-	put_version(world, CONFIG_KEY, ++world->config_version, world->config_bytes);
+	write_document(world, CONFIG_KEY, ++world->config_version, world->config_bytes);
 }
 
 void world_write_members(pool_world_t *world, size_t bytes)
 {
-	put_version(world, MEMBERS_PREFIX "versioned", ++world->members_version, bytes);
+	write_document(world, MEMBERS_PREFIX "versioned", ++world->members_version, bytes);
 }
 
 int64_t world_config_version_at(const pool_world_t *world, size_t node)
--- a/tests/pool_links.c
+++ b/tests/pool_links.c
@@ -10,15 +10,15 @@
 	list_t node;
 	world_node_t *from;
 	fake_member_t *member;
-	struct conn *conn; /* NULL: closed by the pooler */
+	struct conn *conn; /* the pooler's side; NULL: it has closed the connection */
 	fake_session_t *session;
 	bool started;
 	bool ended;
-	list_t posts;	  /* under way in either direction */
-	usec_t last_post; /* a connection delivers in order */
+	list_t posts;	  /* of post_t, in flight in either direction */
+	usec_t last_post; /* delivery time of the latest; a connection delivers in order */
 } world_link_t;
 
-/* Something on its way. */
+/* A line, or the end of the connection, in flight. */
 typedef struct post {
 	run_timer_t timer;
 	list_t node;
@@ -28,7 +28,7 @@
 	size_t len;
 } post_t;
 
-static void release_link(world_link_t *link)
+static void free_unused_link(world_link_t *link)
 {
 	if (link->conn != NULL || link->session != NULL || !list_empty(&link->posts))
 		return;
@@ -36,8 +36,8 @@
 	talloc_free(link);
 }
 
-static post_t *post(world_link_t *link, timer_set_t *timers, const char *text, size_t len,
-		    timer_cb_t cb)
+static post_t *schedule_post(world_link_t *link, timer_set_t *timers, const char *text, size_t len,
+			     timer_cb_t cb)
 {
 	pool_world_t *world = link->from->world;
 	post_t *item = talloc_zero(world, post_t);
@@ -49,14 +49,14 @@
 	list_add_tail(&link->posts, &item->node);
 	if (link->last_post < world_now(world) + LINK_DELAY)
 		link->last_post = world_now(world) + LINK_DELAY;
-	/* Timers of one time may fire in any order. */
+	/* Distinct times, since timers that are due at the same time may fire in any order. */
 	timers_arm(timers, &item->timer, link->last_post++, cb);
 	return item;
 }
 
 static void on_arrived_at_member(run_timer_t *timer, usec_t now);
 
-static void to_pooler(world_link_t *link, const char *text, size_t len)
+static void deliver_to_pooler(world_link_t *link, const char *text, size_t len)
 {
 	reply_scan_t scan = {0};
 	reply_progress_t progress = protocol_scan_reply(&scan, text, len);
@@ -66,7 +66,7 @@
 	if (!link->started && scan.has_result && !scan.reply.ok) {
 		link->conn = NULL;
 		conn_on_down(conn, scan.reply.code, "refused");
-		post(link, &link->from->world->timers, NULL, 0, on_arrived_at_member);
+		schedule_post(link, &link->from->world->timers, NULL, 0, on_arrived_at_member);
 		return;
 	}
 	g_assert_cmpint(progress, ==, REPLY_COMPLETE);
@@ -83,13 +83,13 @@
 
 static bool is_lost(const world_link_t *link)
 {
-	/* A member that is only listed: nobody is at its address. */
+	/* A listed member that does not exist: nothing answers at its address. */
 	if (link->member == NULL)
 		return true;
 	return link->from->cut_from_members;
 }
 
-/* At the proxy. */
+/* A post arrives at the proxy. */
 static void on_arrived_at_node(run_timer_t *timer, usec_t now)
 {
 	post_t *item = list_entry(timer, post_t, timer);
@@ -100,14 +100,14 @@
 	list_del(&item->node);
 	if (conn != NULL && !is_lost(link)) {
 		if (item->text != NULL) {
-			to_pooler(link, item->text, item->len);
+			deliver_to_pooler(link, item->text, item->len);
 		} else {
 			link->conn = NULL;
 			conn_on_down(conn, CODE_NONE, "closed");
 		}
 	}
 	talloc_free(item);
-	release_link(link);
+	free_unused_link(link);
 }
 
 static void on_member_reply(void *data, const char *text, size_t len)
@@ -116,10 +116,10 @@
 
 	if (text == NULL)
 		link->session = NULL;
-	post(link, &link->from->timers, text, len, on_arrived_at_node);
+	schedule_post(link, &link->from->timers, text, len, on_arrived_at_node);
 }
 
-/* At the member. */
+/* A post arrives at the member. */
 static void on_arrived_at_member(run_timer_t *timer, usec_t now)
 {
 	post_t *item = list_entry(timer, post_t, timer);
@@ -131,7 +131,7 @@
 		link->session = fake_open(link->member, on_member_reply, link);
 		if (link->session == NULL) {
 			link->ended = true;
-			post(link, &link->from->timers, NULL, 0, on_arrived_at_node);
+			schedule_post(link, &link->from->timers, NULL, 0, on_arrived_at_node);
 		}
 	}
 	if (link->session != NULL && !is_lost(link)) {
@@ -144,7 +144,7 @@
 		}
 	}
 	talloc_free(item);
-	release_link(link);
+	free_unused_link(link);
 }
 
 static void send_lines(world_link_t *link, const char *text, size_t len)
@@ -154,7 +154,8 @@
 	while (done < len) {
 		size_t line = protocol_line_length(text + done, len - done, 0);
 
-		post(link, &link->from->world->timers, text + done, line - 2, on_arrived_at_member);
+		schedule_post(link, &link->from->world->timers, text + done, line - 2,
+			      on_arrived_at_member);
 		done += line;
 	}
 }
@@ -195,7 +196,7 @@
 
 	(void)env;
 	link->conn = NULL;
-	post(link, &link->from->world->timers, NULL, 0, on_arrived_at_member);
+	schedule_post(link, &link->from->world->timers, NULL, 0, on_arrived_at_member);
 }
 
 void links_close_all(world_node_t *node)
@@ -247,7 +248,7 @@
 			fake_close(link->session);
 			link->session = NULL;
 			link->ended = true;
-			post(link, &link->from->timers, NULL, 0, on_arrived_at_node);
+			schedule_post(link, &link->from->timers, NULL, 0, on_arrived_at_node);
 		}
 	}
 }
--- a/tests/pool_parts.h
+++ b/tests/pool_parts.h
@@ -1,9 +1,9 @@
-/* What the parts of the poolers' world share: its links, for the pooler's environment. */
+/* Functions that the parts of the poolers' test world share, among them those of env_ops_t. */
 #pragma once
 
 #include "pool_world.h"
 
-/* One way over any link of this world. */
+/* Delay of a message in one direction, over any link of this world. */
 #define LINK_DELAY (1 * USEC_PER_MSEC)
 
 static inline usec_t world_now(const pool_world_t *world)
@@ -11,10 +11,10 @@
 	return clock_now(&world->clock.base);
 }
 
-/* What the configuration says in that version; the caller frees it. */
+/* Returns the configuration of that version, which the caller frees. */
 routes_t *world_create_routes(const pool_world_t *world, int64_t version);
 
-/* --- the directory, in a world that follows the store --- */
+/* --- the directory, where proxies read it from the store --- */
 
 void directory_start_followers(world_node_t *node);
 void directory_stop_followers(world_node_t *node);
@@ -27,10 +27,13 @@
 void links_send(env_t *env, void *data, const member_request_t *requests, size_t count);
 void links_close(env_t *env, void *data);
 
-/* The process is gone, and its connections with it. */
+/* Closes all connections of a proxy whose process has ended. */
 void links_close_all(world_node_t *node);
 
-/* Nothing more arrives on the links of the node, in either direction, for so long. */
+/*
+ * What is sent over the links of the node from now on, in either direction, arrives no earlier than
+ * after this time.
+ */
 void links_delay_delivery(world_node_t *node, usec_t by);
 
 /* --- to callers: env_ops_t --- */
--- a/tests/pool_peers.c
+++ b/tests/pool_peers.c
@@ -8,14 +8,14 @@
 #include "fleet_codec.h"
 #include "pool_parts.h"
 
-typedef struct mail {
+typedef struct delivery {
 	run_timer_t timer;
 	list_t node;
 	pool_world_t *world;
 	char to[32];
-	int island; /* of the sender */
+	int island; /* the sender's when the message was sent */
 	const peer_message_t *message;
-} mail_t;
+} delivery_t;
 
 static world_node_t *find_node(pool_world_t *world, const char *name)
 {
@@ -26,19 +26,22 @@
 	return NULL;
 }
 
-static void on_mail(run_timer_t *timer, usec_t now)
+static void on_delivery(run_timer_t *timer, usec_t now)
 {
-	mail_t *mail = list_entry(timer, mail_t, timer);
-	world_node_t *node = find_node(mail->world, mail->to);
+	delivery_t *delivery = list_entry(timer, delivery_t, timer);
+	world_node_t *node = find_node(delivery->world, delivery->to);
 
 	(void)now;
-	if (node->pooler != NULL && !node->cut_from_peers && node->partition == mail->island)
-		pooler_on_message(node->pooler, mail->message);
-	talloc_free(mail);
+	if (node->pooler != NULL && !node->cut_from_peers && node->partition == delivery->island)
+		pooler_on_message(node->pooler, delivery->message);
+	talloc_free(delivery);
 }
 
-/* A link is made with the first message, which is not sent; it takes a way there and back. */
-static bool has_link(world_node_t *from, const world_node_t *to)
+/*
+ * With links_need_setup the first message to a proxy only opens the link and is not sent. Opening
+ * takes one round trip.
+ */
+static bool is_link_ready(world_node_t *from, const world_node_t *to)
 {
 	usec_t *at = &from->link_ready_at[to - from->world->nodes];
 
@@ -53,25 +56,25 @@
 {
 	world_node_t *from = (world_node_t *)env;
 	world_node_t *to = find_node(from->world, name);
-	mail_t *mail;
+	delivery_t *delivery;
 	char *text;
 
 	(void)address;
-	if (to == NULL || !has_link(from, to))
+	if (to == NULL || !is_link_ready(from, to))
 		return false;
 	if (from->cut_from_peers || to->cut_from_peers)
 		return true;
-	mail = talloc_zero(from->world, mail_t);
-	mail->world = from->world;
-	mail->island = from->partition;
-	snprintf(mail->to, sizeof(mail->to), "%s", name);
+	delivery = talloc_zero(from->world, delivery_t);
+	delivery->world = from->world;
+	delivery->island = from->partition;
+	snprintf(delivery->to, sizeof(delivery->to), "%s", name);
 	text = peer_message_encode(message);
-	mail->message = peer_message_decode(mail, text, strlen(text));
-	g_assert_nonnull(mail->message);
+	delivery->message = peer_message_decode(delivery, text, strlen(text));
+	g_assert_nonnull(delivery->message);
 	from->messages_sent++;
 	from->bytes_sent += strlen(text);
 	free(text);
-	timers_arm(&to->timers, &mail->timer, world_now(from->world) + LINK_DELAY + to->peer_delay,
-		   on_mail);
+	timers_arm(&to->timers, &delivery->timer,
+		   world_now(from->world) + LINK_DELAY + to->peer_delay, on_delivery);
 	return true;
 }
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -11,8 +11,8 @@
 #include "permit.h"
 #include "pool_parts.h"
 
-/* How long members keep the connections of VMs without power. */
-#define DEAD_KEPT (3 * USEC_PER_SEC)
+/* Time after which members close the connections of a VM that has lost power. */
+#define DEAD_CONN_TIMEOUT (3 * USEC_PER_SEC)
 
 /* --- the platform --- */
 
@@ -22,7 +22,7 @@
 	promote_status_t status;
 } promote_answer_t;
 
-static void on_answer(run_timer_t *timer, usec_t now)
+static void on_promote_answer(run_timer_t *timer, usec_t now)
 {
 	promote_answer_t *answer = list_entry(timer, promote_answer_t, timer);
 
@@ -55,7 +55,8 @@
 		world->lose_promote_answers--;
 		answer->status = PROMOTE_LOST;
 	}
-	timers_arm(&node->timers, &answer->timer, world_now(world) + 2 * LINK_DELAY, on_answer);
+	timers_arm(&node->timers, &answer->timer, world_now(world) + 2 * LINK_DELAY,
+		   on_promote_answer);
 }
 
 static void refresh_config(env_t *env)
@@ -186,7 +187,7 @@
 
 /* --- time --- */
 
-static usec_t next_time(const pool_world_t *world)
+static usec_t next_due_time(const pool_world_t *world)
 {
 	usec_t next = timers_next(&world->timers);
 
@@ -199,8 +200,8 @@
 	return next;
 }
 
-/* The list of members as the store's watchers see it, a little late. */
-static void publish_sometimes(pool_world_t *world)
+/* Sends the list of members to the proxies every 50 ms, which stands for the delay of a watch. */
+static void publish_periodically(pool_world_t *world)
 {
 	if (world->directory_is_frozen || world->kv->down ||
 	    world_now(world) < world->published_at + 50 * USEC_PER_MSEC)
@@ -214,14 +215,14 @@
 	usec_t end = world_now(world) + by;
 
 	for (;;) {
-		usec_t next = next_time(world);
+		usec_t next = next_due_time(world);
 
 		if (next > end)
 			break;
 		if (next > world_now(world))
 			paused_clock_advance(&world->clock, next - world_now(world));
 		timers_expire(&world->timers, world_now(world));
-		publish_sometimes(world);
+		publish_periodically(world);
 		for (size_t i = 0; i < world->node_count; i++) {
 			if (!world->nodes[i].frozen)
 				timers_expire(&world->nodes[i].timers, world_now(world));
@@ -248,18 +249,18 @@
 
 void world_wait_until_ready(pool_world_t *world)
 {
-	size_t running = 0;
+	size_t running_count = 0;
 
 	for (size_t i = 0; i < world->node_count; i++)
-		running += world->nodes[i].pooler != NULL;
+		running_count += world->nodes[i].pooler != NULL;
 	for (int i = 0; i < 200; i++) {
 		const fake_member_t *leader = fake_leader(world->db);
 
 		world_run(world, 50 * USEC_PER_MSEC);
-		if (leader != NULL && world_count_permitted(world, leader->id) == running) {
+		if (leader != NULL && world_count_permitted(world, leader->id) == running_count) {
 			/*
-			 * A new holder of the duty waits for calls of earlier ones, and counts
-			 * only proxies that it has known for 12 s.
+			 * A new leader waits for calls of former leaders to end, and only counts
+			 * proxies that have been on its roster for 12 s.
 			 */
 			world_run(world, 13 * USEC_PER_SEC);
 			return;
@@ -268,7 +269,7 @@
 	g_assert_not_reached();
 }
 
-/* --- trouble --- */
+/* --- faults --- */
 
 void world_start_proxy(pool_world_t *world, size_t at)
 {
@@ -315,7 +316,7 @@
 
 void world_power_off(pool_world_t *world, size_t at)
 {
-	links_delay_delivery(&world->nodes[at], DEAD_KEPT);
+	links_delay_delivery(&world->nodes[at], DEAD_CONN_TIMEOUT);
 	world_kill(world, at);
 }
 
@@ -336,9 +337,9 @@
 
 /* --- start and end --- */
 
-static pool_world_t *make_world(size_t nodes, const fake_db_config_t *config)
+static pool_world_t *allocate_world(size_t nodes, const fake_db_config_t *config)
 {
-	static const fake_db_config_t usual = {
+	static const fake_db_config_t default_config = {
 		.service = WORLD_SERVICE,
 		.members = 3,
 		.slots = 2,
@@ -353,15 +354,15 @@
 	paused_clock_init(&world->clock, 100 * USEC_PER_SEC);
 	timers_init(&world->timers);
 	world->kv = fake_kv_create(world, &world->clock.base, &world->timers);
-	world->db = fake_db_create(world, config != NULL ? config : &usual, &world->clock.base,
-				   &world->timers);
+	world->db = fake_db_create(world, config != NULL ? config : &default_config,
+				   &world->clock.base, &world->timers);
 	world->node_count = nodes;
 	world->config_version = 1;
 	world->max_age = 1500 * USEC_PER_MSEC;
 	return world;
 }
 
-static pool_world_t *start_nodes(pool_world_t *world)
+static pool_world_t *start_all_proxies(pool_world_t *world)
 {
 	static const char *const zones[] = {"a", "b", "c"};
 
@@ -385,10 +386,10 @@
 
 pool_world_t *world_create(size_t nodes, const fake_db_config_t *config)
 {
-	return start_nodes(make_world(nodes, config));
+	return start_all_proxies(allocate_world(nodes, config));
 }
 
-static void add_customers_to(pool_world_t *world, const world_customer_t *customers, size_t count)
+static void set_customers(pool_world_t *world, const world_customer_t *customers, size_t count)
 {
 	g_assert_cmpuint(count, <=, WORLD_CUSTOMERS_MAX);
 	memcpy(world->customers, customers, count * sizeof(*customers));
@@ -402,23 +403,23 @@
 pool_world_t *world_create_with_customers(size_t nodes, const fake_db_config_t *config,
 					  const world_customer_t *customers, size_t count)
 {
-	pool_world_t *world = make_world(nodes, config);
+	pool_world_t *world = allocate_world(nodes, config);
 
-	add_customers_to(world, customers, count);
-	return start_nodes(world);
+	set_customers(world, customers, count);
+	return start_all_proxies(world);
 }
 
 pool_world_t *world_create_with_store_config(size_t nodes, const world_customer_t *customers,
 					     size_t count, size_t bytes)
 {
-	pool_world_t *world = make_world(nodes, NULL);
+	pool_world_t *world = allocate_world(nodes, NULL);
 
 	if (count != 0)
-		add_customers_to(world, customers, count);
+		set_customers(world, customers, count);
 	world->config_bytes = bytes;
 	world->config_version = 0;
 	world_write_config(world);
-	return start_nodes(world);
+	return start_all_proxies(world);
 }
 
 void world_destroy(pool_world_t *world)
@@ -430,7 +431,7 @@
 	for (size_t i = 0; i < world->node_count; i++)
 		timers_destroy(&world->nodes[i].timers);
 	timers_destroy(&world->timers);
-	/* What is still under way points into what is freed here. */
+	/* The destructors would use timers and clocks that are freed before them. */
 	talloc_set_destructor(world->kv, NULL);
 	talloc_set_destructor(world->db, NULL);
 	talloc_free(world);
--- a/tests/pool_world.h
+++ b/tests/pool_world.h
@@ -1,7 +1,7 @@
 /*
- * A small world around poolers in paused time: proxies, one database service,
- * the store, callers, and the links between them, any of which can be cut.
- * What goes over a link is the real wire's text.
+ * A simulated world around poolers, whose time only advances in world_run(): proxies, one database
+ * service, the store, callers, and the links between them, each of which can be cut. Messages are
+ * encoded as on the real wire.
  */
 #pragma once
 
@@ -12,20 +12,20 @@
 #include "pooler.h"
 
 #define WORLD_NODES_MAX 160
-/* A fleet whose proxies ask the holder of the duty themselves to be added. */
+/* Size of a fleet that is large enough to have hubs. */
 #define WORLD_LARGE_FLEET 64
 #define WORLD_DATABASE	  "jobs"
 #define WORLD_SERVICE	  "core"
 #define WORLD_REPLY_MAX	  512
-/* A database that comes with a version; without a key. */
+/* A database that added_in_version of the configuration adds; its route needs no key. */
 #define WORLD_ADDED_DATABASE "added"
-/* Of every route, for an operation. */
+/* Response time objective of every route. */
 #define WORLD_OBJECTIVE (200 * USEC_PER_MSEC)
 
 struct pool_world;
 
 typedef struct world_node {
-	env_t env; /* first member: the pooler hands it back */
+	env_t env; /* first member, since callbacks cast their env_t to world_node_t */
 	struct pool_world *world;
 	char name[32];
 	char zone[16];
@@ -37,39 +37,38 @@
 	bool frozen;
 	bool cut_from_members;
 	bool cut_from_peers;
-	int partition;			       /* proxies of another one are out of reach */
-	usec_t link_ready_at[WORLD_NODES_MAX]; /* when its link to that proxy is made; 0: not begun
-						*/
-	list_t links;			       /* to members */
+	int partition; /* proxies of different partitions can't reach each other */
+	usec_t link_ready_at[WORLD_NODES_MAX]; /* opening of its link to that proxy; 0: none */
+	list_t links;			       /* connections to members */
 	list_t callers;			       /* world_caller_t */
 	bool drained;
-	size_t refresh_requests; /* of the directory that the pooler asked for */
-	follow_t config;	 /* the directory, in a world that follows the store */
+	size_t refresh_requests; /* of the directory, by the pooler */
+	follow_t config;	 /* where proxies read the directory from the store */
 	follow_t members;
-	int64_t members_version; /* of the list of members that it knows; 0: none */
-	usec_t peer_delay;	 /* of messages to it, beyond the usual */
-	size_t messages_sent;	 /* sent to other proxies */
-	size_t bytes_sent;	 /* of these */
+	int64_t members_version; /* of the list of members that it has received; 0: none */
+	usec_t peer_delay;	 /* added to LINK_DELAY for messages to this proxy */
+	size_t messages_sent;	 /* to other proxies */
+	size_t bytes_sent;	 /* length of these messages */
 } world_node_t;
 
 typedef struct world_caller {
 	list_t node;
 	world_node_t *proxy;
-	struct caller *caller; /* NULL: the session ended */
-	char id[40];	       /* of the last statement */
+	struct caller *caller; /* NULL: the session was refused or has ended */
+	char id[40];	       /* id of the last statement */
 	char reply[WORLD_REPLY_MAX];
 	size_t reply_count;
-	code_t refusal_code;	/* of the session itself */
-	char customer[16];	/* whose key it began with; "": none */
-	bool has_unread_input;	/* it has sent something that the proxy has not looked at */
+	code_t refusal_code;	/* why the session was refused */
+	char customer[16];	/* customer whose key opened the session; "": none */
+	bool has_unread_input;	/* it has sent input that the proxy has not read */
 	bool has_unsent_output; /* it does not read its answers */
 } world_caller_t;
 
-/* What the operators' configuration says of a customer. */
+/* A customer in the operators' configuration. */
 #define WORLD_KEY_MAX 24
 typedef struct world_customer {
 	char name[16];
-	char key[WORLD_KEY_MAX]; /* "": it has none */
+	char key[WORLD_KEY_MAX]; /* "": no key */
 	double rate;
 	double burst;
 } world_customer_t;
@@ -85,117 +84,127 @@
 
 typedef struct pool_world {
 	paused_clock_t clock;
-	timer_set_t timers; /* of everything but the proxies */
+	timer_set_t timers; /* of all parts but the proxies, which have their own */
 	fake_kv_t *kv;
 	fake_db_t *db;
 	world_node_t nodes[WORLD_NODES_MAX];
 	size_t node_count;
 	usec_t published_at;
-	bool directory_is_frozen; /* the list of members is not renewed by itself */
+	bool directory_is_frozen; /* the list of members is not sent to the proxies regularly */
 	size_t next_id;
-	const char *
-		*sender_of_id; /* talloc array: the customer that sent the statement of each id */
-	reads_t reads;	       /* of the route */
+	const char **sender_of_id; /* talloc array: sender of the statement with each id */
+	reads_t reads;		   /* of WORLD_DATABASE's route */
 	usec_t max_age;
 	int64_t config_version;
-	int64_t members_version;  /* of world_write_members() */
-	int64_t added_in_version; /* the version from which on there is WORLD_ADDED_DATABASE; 0:
-				     none */
-	size_t config_bytes;	  /* of a configuration in the store; 0: proxies are handed it */
-	bool links_need_setup; /* a message to a proxy that none was sent to before is not sent */
-	bool baseline;	       /* of proxies that start: no order by lateness, no help of others */
-	bool sync_replicas;    /* as the configuration says */
-	/* With any, routes but "open" ask for a key. */
+	int64_t members_version;  /* that world_write_members() wrote last */
+	int64_t added_in_version; /* first version with WORLD_ADDED_DATABASE; 0: none */
+	size_t config_bytes;	  /* in the store; 0: the test passes it to the proxies */
+	bool links_need_setup;	  /* the first message to a proxy is not sent, but opens the link */
+	bool baseline;	    /* proxies that start serve in order of arrival and without homes */
+	bool sync_replicas; /* what the configuration sets for the service */
+	/* If there are any, all routes but "open" and WORLD_ADDED_DATABASE need a key. */
 	world_customer_t customers[WORLD_CUSTOMERS_MAX];
 	size_t customer_count;
-	usec_t revoke_bound; /* of proxies that start */
+	usec_t revoke_bound; /* applies to proxies that start later */
 	limit_slack_t slack;
 	promote_call_t *promotes; /* talloc array */
 	size_t promote_count;
-	unsigned lose_promote_answers; /* of the next calls: done, not answered */
+	unsigned lose_promote_answers; /* next calls to promote that get no answer */
 } pool_world_t;
 
-/* Until when a key that was taken may be served, in worlds with customers. */
+/* Time within which a revoked key must be refused, in worlds with customers. */
 #define WORLD_REVOKE_BOUND (5 * USEC_PER_SEC)
 
-/* config NULL: three members, 2 slots, 16 connections, 4 ms of work, 60 ms behind. */
+/*
+ * Starts a world with this number of proxies. config NULL: three members, 2 slots, 16 connections,
+ * statements of 4 ms, replicas that lag by 60 ms.
+ */
 pool_world_t *world_create(size_t nodes, const fake_db_config_t *config);
 void world_destroy(pool_world_t *world);
 
-/* The same with customers, each "NAME" with the key "key-NAME". */
+/* As world_create(), with customers; the key of customer NAME is "key-NAME". */
 pool_world_t *world_create_with_customers(size_t nodes, const fake_db_config_t *config,
 					  const world_customer_t *customers, size_t count);
 
 /*
- * The same of proxies that read the configuration from the store and tell each other, instead of
- * being handed it. bytes: of the configuration.
+ * As world_create(), or with count != 0 as world_create_with_customers(), but the proxies read the
+ * configuration from the store and send it to each other. bytes: size of the configuration.
  */
 pool_world_t *world_create_with_store_config(size_t nodes, const world_customer_t *customers,
 					     size_t count, size_t bytes);
 
-/* The operators write a new version to the store. */
+/* Writes a new version of the configuration to the store, as operators do. */
 void world_write_config(pool_world_t *world);
 
-/* A new version of the list of members, of so many bytes. */
+/* Writes a new version of the list of members, of this size, to the store. */
 void world_write_members(pool_world_t *world, size_t bytes);
 
-/* The version in force at the proxy; 0: none. */
+/* Returns the version of the configuration in force at the proxy; 0: none. */
 int64_t world_config_version_at(const pool_world_t *world, size_t node);
 
-/* Let time pass. */
+/* Advances the time and runs all timers that become due. */
 void world_run(pool_world_t *world, usec_t by);
 
-/* Configuration and members as they are now, to every proxy that reaches the store. */
+/* Sends the current configuration and list of members to every proxy that reaches the store. */
 void world_publish_directory(pool_world_t *world);
 
-/* Until a primary is in use everywhere. */
+/*
+ * Runs until every proxy has a permission for the primary, and then 13 s more. Fails the test if
+ * that takes over 10 s.
+ */
 void world_wait_until_ready(pool_world_t *world);
 
 /* --- callers --- */
 
+/* Opens a session with WORLD_DATABASE, without a key. */
 world_caller_t *world_open_session(pool_world_t *world, size_t node);
 
-/* The same with one of the databases "strict", "bounded" and "session", by their kind of reads. */
+/*
+ * Opens a session with another database: "strict", "bounded" and "session" are named after their
+ * kind of reads.
+ */
 world_caller_t *world_open_session_on(pool_world_t *world, size_t node, const char *database);
 
-/* The same by a customer's key. */
+/* Opens a session with a customer's key. */
 world_caller_t *world_open_session_with_key(pool_world_t *world, size_t node, const char *database,
 					    const char *key);
 
-/* Send a statement; the id is made up. */
+/* Sends a statement with a new id. */
 void world_send(world_caller_t *caller, const char *text);
 
-/* Send it and wait for the reply, a second at most; returns the reply's first line. */
+/* Sends a statement, waits up to 2 s for the reply and returns it; "" if there is none. */
 const char *world_send_and_wait(world_caller_t *caller, const char *text);
 void world_leave(world_caller_t *caller);
 
-/* The reply's last line begins so. */
+/* True if the last line of the reply begins with ready. */
 bool world_reply_has_state(const world_caller_t *caller, const char *ready);
 
-/* --- trouble --- */
+/* --- faults --- */
 
-/* The process ends at once; its connections with it. */
+/* Ends the proxy's process at once, and closes its connections. */
 void world_kill(pool_world_t *world, size_t node);
 
-/* Its VM loses power: the members keep its connections for 3 s. */
+/* Cuts the power of the proxy's VM: the members notice after 3 s that its connections are gone. */
 void world_power_off(pool_world_t *world, size_t node);
 void world_start_proxy(pool_world_t *world, size_t node);
+
+/* Stops the proxy's process, as if it got no processor time, or continues it. */
 void world_freeze(pool_world_t *world, size_t node);
 void world_thaw(pool_world_t *world, size_t node);
 
-/* The member's process is gone; connections to it break. */
+/* Ends the member's process; connections to it break. */
 void world_crash_member(pool_world_t *world, size_t member);
 
-/* Packets between this proxy and all members are lost from now on. */
+/* Sets whether packets between this proxy and all members are lost. */
 void world_set_members_unreachable(pool_world_t *world, size_t node, bool cut);
 
-/* --- looking --- */
+/* --- checks --- */
 
-/* True if some connection to a member is in a transaction. */
+/* True if a connection of any proxy to a member is in a transaction. */
 bool world_has_transaction(const pool_world_t *world);
 
-/* Fails the test if a member has run a statement for another customer than its sender's. */
+/* Fails the test if a member has run a statement for a customer other than its sender. */
 void world_check_customers(const pool_world_t *world);
 
-/* How many proxies may use the primary of that id now. */
+/* Returns the number of proxies that have a permission for the primary with that id. */
 size_t world_count_permitted(pool_world_t *world, const char *member);
--- a/tests/test_pooler_config.c
+++ b/tests/test_pooler_config.c
@@ -40,7 +40,7 @@
 static void turn_zone_away(pool_world_t *world, bool away)
 {
 	for (size_t i = 0; i < world->node_count; i += 3)
-		world->nodes[i].kv.refuses_calls = away;
+		world->nodes[i].kv.calls_refused = away;
 }
 
 /* True if all proxies that others can reach have the newest configuration in force. */
@@ -157,12 +157,12 @@
 		size_t plain = find_plain(world);
 
 		world->nodes[plain].cut_from_peers = true;
-		world->nodes[plain].kv.refuses_calls = true;
+		world->nodes[plain].kv.calls_refused = true;
 		world_run(world, refused);
 		world_write_config(world);
 		/* So that the watch does not bring it. */
 		fake_kv_compact(world->kv);
-		world->nodes[plain].kv.refuses_calls = false;
+		world->nodes[plain].kv.calls_refused = false;
 		world_run(world, CONFIG_BOUND);
 		g_assert_cmpint(world_config_version_at(world, plain), ==, world->config_version);
 		world_destroy(world);
@@ -179,7 +179,7 @@
 		size_t plain = find_plain(world);
 
 		world_kill(world, plain);
-		world->nodes[plain].kv.refuses_calls = true;
+		world->nodes[plain].kv.calls_refused = true;
 		/* Until its hub no longer tells the process of before what changes. */
 		world_run(world, 2 * UPSTREAM_LISTENS);
 		world_start_proxy(world, plain);
@@ -237,7 +237,7 @@
 
 		for (size_t i = 0; i < FLEET; i++) {
 			world->nodes[i].partition = i % 2;
-			world->nodes[i].kv.refuses_calls = i % 6 < 2;
+			world->nodes[i].kv.calls_refused = i % 6 < 2;
 		}
 		world_run(world, before);
 		world_write_config(world);
@@ -492,7 +492,7 @@
 		end_disturbance(play, i, now);
 		if (now < play->served[i])
 			continue;
-		kv->refuses_calls = false;
+		kv->calls_refused = false;
 		kv->unreachable = false;
 	}
 	end_store_fault(play, now);
@@ -533,7 +533,7 @@
 		if (g_rand_double(play->rand) > part || now < play->served[i])
 			continue;
 		play->served[i] = until;
-		kv->refuses_calls = !silent;
+		kv->calls_refused = !silent;
 		kv->unreachable = silent;
 	}
 }
--- a/tests/test_pooler_parts.c
+++ b/tests/test_pooler_parts.c
@@ -320,7 +320,7 @@
 	/* The watch has ended, the reading that follows is on its way. */
 	pass(self, 2 * USEC_PER_MSEC);
 	g_assert_cmpint(self->follow.revision, ==, 0);
-	self->client.refuses_calls = true;
+	self->client.calls_refused = true;
 	follow_set_fed(&self->follow, true);
 	pass(self, 1 * SEC);
 	follow_take(&self->follow, &told);
@@ -358,7 +358,7 @@
 
 	pass(self, 100 * USEC_PER_MSEC);
 	g_assert_cmpuint(follow_unanswered(&self->follow), ==, 0);
-	self->client.refuses_calls = true;
+	self->client.calls_refused = true;
 	follow_refresh(&self->follow);
 	pass(self, 1 * SEC);
 	g_assert_cmpuint(follow_unanswered(&self->follow), >=, 900 * USEC_PER_MSEC);
@@ -373,7 +373,7 @@
 	followed_t *self = followed_create();
 
 	pass(self, 100 * USEC_PER_MSEC);
-	self->client.refuses_watches = true;
+	self->client.watches_refused = true;
 	/* The watch that waits is answered once more. */
 	fake_kv_put(self->store, "servers/a", "1");
 	pass(self, 500 * USEC_PER_MSEC);
