--- a/tests/fake_kv.c
+++ b/tests/fake_kv.c
@@ -405,7 +405,7 @@
 }
 
 /* Returns true if the call has its result. */
-static bool execute(fake_kv_t *store, call_t *call)
+static bool execute_call(fake_kv_t *store, call_t *call)
 {
 	switch (call->kind) {
 	case CALL_RANGE:
@@ -480,7 +480,7 @@
 	}
 	if (!reachable || call->lost || now < call->arrives)
 		return false;
-	if (!execute(store, call) || call->lost)
+	if (!execute_call(store, call) || call->lost)
 		return false;
 	finish_call(call);
 	return true;
--- a/tests/pool_links.c
+++ b/tests/pool_links.c
@@ -54,7 +54,7 @@
 	return item;
 }
 
-static void on_arrived_at_member(run_timer_t *timer, usec_t now);
+static void on_delivery_to_member(run_timer_t *timer, usec_t now);
 
 static void deliver_to_pooler(world_link_t *link, const char *text, size_t len)
 {
@@ -66,7 +66,7 @@
 	if (!link->started && scan.has_result && !scan.reply.ok) {
 		link->conn = NULL;
 		conn_on_down(conn, scan.reply.code, "refused");
-		schedule_post(link, &link->from->world->timers, NULL, 0, on_arrived_at_member);
+		schedule_post(link, &link->from->world->timers, NULL, 0, on_delivery_to_member);
 		return;
 	}
 	g_assert_cmpint(progress, ==, REPLY_COMPLETE);
@@ -89,8 +89,8 @@
 	return link->from->cut_from_members;
 }
 
-/* A post arrives at the proxy. */
-static void on_arrived_at_node(run_timer_t *timer, usec_t now)
+/* Delivers a line, or the end of the connection, to the proxy. */
+static void on_delivery_to_proxy(run_timer_t *timer, usec_t now)
 {
 	post_t *item = list_entry(timer, post_t, timer);
 	world_link_t *link = item->link;
@@ -116,11 +116,12 @@
 
 	if (text == NULL)
 		link->session = NULL;
-	schedule_post(link, &link->from->timers, text, len, on_arrived_at_node);
+	schedule_post(link, &link->from->timers, text, len, on_delivery_to_proxy);
 }
 
-/* A post arrives at the member. */
-static void on_arrived_at_member(run_timer_t *timer, usec_t now)
+/* Delivers a line, or the end of the connection, to the member; the first line opens its session.
+ */
+static void on_delivery_to_member(run_timer_t *timer, usec_t now)
 {
 	post_t *item = list_entry(timer, post_t, timer);
 	world_link_t *link = item->link;
@@ -131,7 +132,7 @@
 		link->session = fake_open(link->member, on_member_reply, link);
 		if (link->session == NULL) {
 			link->ended = true;
-			schedule_post(link, &link->from->timers, NULL, 0, on_arrived_at_node);
+			schedule_post(link, &link->from->timers, NULL, 0, on_delivery_to_proxy);
 		}
 	}
 	if (link->session != NULL && !is_lost(link)) {
@@ -155,7 +156,7 @@
 		size_t line = protocol_line_length(text + done, len - done, 0);
 
 		schedule_post(link, &link->from->world->timers, text + done, line - 2,
-			      on_arrived_at_member);
+			      on_delivery_to_member);
 		done += line;
 	}
 }
@@ -196,7 +197,7 @@
 
 	(void)env;
 	link->conn = NULL;
-	schedule_post(link, &link->from->world->timers, NULL, 0, on_arrived_at_member);
+	schedule_post(link, &link->from->world->timers, NULL, 0, on_delivery_to_member);
 }
 
 void links_close_all(world_node_t *node)
@@ -248,7 +249,7 @@
 			fake_close(link->session);
 			link->session = NULL;
 			link->ended = true;
-			schedule_post(link, &link->from->timers, NULL, 0, on_arrived_at_node);
+			schedule_post(link, &link->from->timers, NULL, 0, on_delivery_to_proxy);
 		}
 	}
 }
--- a/tests/pool_peers.c
+++ b/tests/pool_peers.c
@@ -13,7 +13,7 @@
 	list_t node;
 	pool_world_t *world;
 	char to[32];
-	int island; /* the sender's when the message was sent */
+	int partition; /* of the sender when it sent the message */
 	const peer_message_t *message;
 } delivery_t;
 
@@ -32,7 +32,7 @@
 	world_node_t *node = find_node(delivery->world, delivery->to);
 
 	(void)now;
-	if (node->pooler != NULL && !node->cut_from_peers && node->partition == delivery->island)
+	if (node->pooler != NULL && !node->cut_from_peers && node->partition == delivery->partition)
 		pooler_on_message(node->pooler, delivery->message);
 	talloc_free(delivery);
 }
@@ -66,7 +66,7 @@
 		return true;
 	delivery = talloc_zero(from->world, delivery_t);
 	delivery->world = from->world;
-	delivery->island = from->partition;
+	delivery->partition = from->partition;
 	snprintf(delivery->to, sizeof(delivery->to), "%s", name);
 	text = peer_message_encode(message);
 	delivery->message = peer_message_decode(delivery, text, strlen(text));
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -80,7 +80,7 @@
 	(void)env;
 }
 
-static void drained(env_t *env)
+static void record_drained(env_t *env)
 {
 	((world_node_t *)env)->drained = true;
 }
@@ -97,7 +97,7 @@
 	.refresh_config = refresh_config,
 	.refresh_members = refresh_members,
 	.stop_accepting = stop_accepting,
-	.drained = drained,
+	.drained = record_drained,
 };
 
 static void add_route(routes_t *routes, const pool_world_t *world, const char *database,
