--- a/tests/pool_check.c
+++ b/tests/pool_check.c
@@ -46,7 +46,7 @@
 	return find_node(world, false);
 }
 
-size_t run_count(const pool_world_t *world, const char *id)
+size_t count_runs(const pool_world_t *world, const char *id)
 {
 	size_t count = 0;
 
--- a/tests/pool_check.h
+++ b/tests/pool_check.h
@@ -23,4 +23,4 @@
 size_t count_registered_proxies(const pool_world_t *world);
 
 /* Returns how often the statement with that id ran, at all members together. */
-size_t run_count(const pool_world_t *world, const char *id);
+size_t count_runs(const pool_world_t *world, const char *id);
--- a/tests/test_pooler.c
+++ b/tests/test_pooler.c
@@ -266,7 +266,7 @@
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "ERR INDOUBT");
 	world_run(world, 2 * SEC);
 	g_assert_cmpuint(fake_count(&world->db->members[0], caller->id), ==, 1);
-	g_assert_cmpuint(run_count(world, caller->id), ==, 1);
+	g_assert_cmpuint(count_runs(world, caller->id), ==, 1);
 	world_destroy(world);
 }
 
@@ -282,7 +282,7 @@
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE");
 	world->db->members[0].lose_answers = 1;
 	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW a");
-	g_assert_cmpuint(run_count(world, caller->id), ==, 2);
+	g_assert_cmpuint(count_runs(world, caller->id), ==, 2);
 	world_destroy(world);
 }
 
@@ -328,10 +328,10 @@
 	member->reset_answers = 1;
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "ERR INDOUBT");
 	world_run(world, SEC);
-	g_assert_cmpuint(run_count(world, caller->id), ==, 1);
+	g_assert_cmpuint(count_runs(world, caller->id), ==, 1);
 	member->reset_answers = 1;
 	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW b");
-	g_assert_cmpuint(run_count(world, caller->id), ==, 2);
+	g_assert_cmpuint(count_runs(world, caller->id), ==, 2);
 	assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE -");
 	member->reset_answers = 1;
 	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ERR ABORTED");
--- a/tests/test_pooler_forward.c
+++ b/tests/test_pooler_forward.c
@@ -105,7 +105,7 @@
 		char text[32];
 
 		assert_has_prefix(callers[i]->reply, "DONE core-0");
-		g_assert_cmpuint(run_count(world, callers[i]->id), ==, 1);
+		g_assert_cmpuint(count_runs(world, callers[i]->id), ==, 1);
 		g_snprintf(values, sizeof(values), "who caller-%zu;", i);
 		g_assert_true(
 			g_str_has_suffix(find_last_run(world, callers[i]->id)->values, values));
@@ -143,7 +143,7 @@
 	world_send(reader, "READ job-1");
 	world_run(world, 1200 * MSEC);
 	assert_has_prefix(writer->reply, "ERR INDOUBT");
-	g_assert_cmpuint(run_count(world, writer->id), <=, 1);
+	g_assert_cmpuint(count_runs(world, writer->id), <=, 1);
 	assert_has_prefix(reader->reply, "ROW");
 	world_destroy(world);
 }
@@ -309,7 +309,7 @@
 	world_start_proxy(world, home);
 	world_run(world, SEC);
 	assert_has_prefix(world_send_and_wait(caller, "WRITE job-2 a"), "ERR ABORTED");
-	g_assert_cmpuint(run_count(world, caller->id), ==, 0);
+	g_assert_cmpuint(count_runs(world, caller->id), ==, 0);
 	world_destroy(world);
 }
 
@@ -585,7 +585,7 @@
 	world->nodes[away].peer_delay = 100 * MSEC;
 	world_run(world, 200 * MSEC);
 	assert_has_prefix(writer->reply, "ERR BUSY");
-	g_assert_cmpuint(run_count(world, writer->id), ==, 0);
+	g_assert_cmpuint(count_runs(world, writer->id), ==, 0);
 	world_destroy(world);
 }
 
