--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -13,10 +13,10 @@
 static bool decode(const char *text, const char *id, member_entry_t *entry)
 {
 	json_t *root = json_loads(text, JSON_DECODE_ANY, NULL);
-	const char *why;
-	bool ok = member_entry_decode(root, id, entry, &why);
+	const char *reason;
+	bool ok = member_entry_decode(root, id, entry, &reason);
 
-	g_assert_true(ok == (why == NULL));
+	g_assert_true(ok == (reason == NULL));
 	json_decref(root);
 	return ok;
 }
@@ -25,9 +25,9 @@
 {
 	json_t *root = json_loads(VALID_ENTRY, 0, NULL);
 	member_entry_t entry;
-	const char *why;
+	const char *reason;
 
-	g_assert_true(member_entry_decode(root, "i-1", &entry, &why));
+	g_assert_true(member_entry_decode(root, "i-1", &entry, &reason));
 	g_assert_cmpstr(entry.service, ==, "core");
 	g_assert_cmpstr(entry.address, ==, "10.0.0.9:8080");
 	g_assert_cmpint(entry.slots, ==, 2);
--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -173,17 +173,17 @@
 {
 	json_t *root = json_loadb(data, len, 0, NULL);
 	member_entry_t entry;
-	const char *why;
+	const char *reason;
 
-	if (member_entry_decode(root, "id", &entry, &why)) {
-		g_assert_null(why);
+	if (member_entry_decode(root, "id", &entry, &reason)) {
+		g_assert_null(reason);
 		g_assert_cmpstr(entry.service, !=, "");
 		g_assert_nonnull(strchr(entry.address, ':'));
 		g_assert_cmpstr(entry.zone, !=, "");
 		g_assert_cmpint(entry.slots, >=, 0);
 		g_assert_cmpint(entry.born, >=, 0);
 	} else {
-		g_assert_nonnull(why);
+		g_assert_nonnull(reason);
 	}
 	json_decref(root);
 }
