--- a/tests/test_fuzz.c
+++ b/tests/test_fuzz.c
@@ -36,8 +36,8 @@
 /* The target and round being run, which are printed when a fault ends the process. */
 static struct {
 	const char *target;
-	unsigned number;
-} current_round;
+	unsigned round;
+} now_played;
 
 /* --- faults --- */
 
@@ -50,7 +50,7 @@
 static void print_round(void)
 {
 	g_printerr("fuzz: target %s, seed %u, round %u (0: an input of the corpus)\n",
-		   current_round.target, seed, current_round.number);
+		   now_played.target, seed, now_played.round);
 }
 
 static void on_abort(int signo)
@@ -431,8 +431,8 @@
 	const target_t *target = data;
 	GPtrArray *corpus = load_corpus(target->name);
 
-	current_round.target = target->name;
-	current_round.number = 0;
+	now_played.target = target->name;
+	now_played.round = 0;
 	for (guint i = 0; i < corpus->len; i++) {
 		gsize len;
 		const char *text = g_bytes_get_data(corpus->pdata[i], &len);
@@ -440,7 +440,7 @@
 		check_exact_buffer(target, text, len);
 	}
 	for (unsigned round = 1; round <= rounds; round++) {
-		current_round.number = round;
+		now_played.round = round;
 		run_round(target, corpus, round);
 	}
 	g_ptr_array_unref(corpus);
