--- a/tests/fake_kv.c
+++ b/tests/fake_kv.c
@@ -21,7 +21,7 @@
 typedef struct lease {
 	list_t node;
 	uint64_t id;
-	usec_t ends;
+	usec_t expires_at;
 	usec_t ttl;
 } lease_t;
 
@@ -42,15 +42,15 @@
 	char *prefix;
 	char *after_key;
 	int64_t after;
-	int64_t scanned; /* revision up to which a watch has checked the events */
+	int64_t scanned_revision; /* revision up to which a watch has checked the events */
 	int64_t ttl_ms;
 	uint64_t lease;
 	kv_write_t *writes;
 	size_t write_count;
 	kv_done_t done;
 	void *data;
-	usec_t arrives; /* time at which it reaches the store */
-	usec_t ends;	/* time-out; a watch ends then without changes */
+	usec_t arrives_at; /* time at which it reaches the store */
+	usec_t deadline;   /* time-out; a watch ends then without changes */
 	bool arrived;
 	bool lost; /* done, but its answer is lost */
 	kv_result_t result;
@@ -267,7 +267,7 @@
 	list_for_each_safe (it, &store->leases) {
 		lease_t *lease = list_entry(it, lease_t, node);
 
-		if (store_now(store) >= lease->ends)
+		if (store_now(store) >= lease->expires_at)
 			end_lease(store, lease);
 	}
 }
@@ -320,9 +320,9 @@
 		call->result.status = KV_COMPACTED;
 		return true;
 	}
-	if (store->watches_stalled || call->scanned == store->revision)
+	if (store->watches_stalled || call->scanned_revision == store->revision)
 		return false;
-	call->scanned = store->revision;
+	call->scanned_revision = store->revision;
 	list_for_each (it, &store->events) {
 		event_t *event = list_entry(it, event_t, node);
 
@@ -387,7 +387,7 @@
 
 	lease->id = ++store->next_lease;
 	lease->ttl = (usec_t)call->ttl_ms * USEC_PER_MSEC;
-	lease->ends = store_now(store) + lease->ttl;
+	lease->expires_at = store_now(store) + lease->ttl;
 	list_add_tail(&store->leases, &lease->node);
 	call->result.lease = lease->id;
 }
@@ -399,7 +399,7 @@
 	if (lease == NULL)
 		call->result.status = KV_NOT_FOUND;
 	else if (call->kind == CALL_KEEP)
-		lease->ends = store_now(store) + lease->ttl;
+		lease->expires_at = store_now(store) + lease->ttl;
 	else
 		end_lease(store, lease);
 }
@@ -465,12 +465,12 @@
 	usec_t now = store_now(store);
 	bool reachable = !store->down && !is_unreachable(call);
 
-	if (reachable && is_refused(call) && now >= call->arrives) {
+	if (reachable && is_refused(call) && now >= call->arrives_at) {
 		call->result.status = KV_REFUSED;
 		finish_call(call);
 		return true;
 	}
-	if (now >= call->ends) {
+	if (now >= call->deadline) {
 		if (call->kind == CALL_WATCH && reachable)
 			call->result.as_of = store->revision;
 		else
@@ -478,7 +478,7 @@
 		finish_call(call);
 		return true;
 	}
-	if (!reachable || call->lost || now < call->arrives)
+	if (!reachable || call->lost || now < call->arrives_at)
 		return false;
 	if (!execute_call(store, call) || call->lost)
 		return false;
@@ -499,8 +499,7 @@
 	while (again) {
 		again = false;
 		list_for_each (it, &store->calls) {
-			/* The callback of a call may start further calls, which changes the list.
-			 */
+			/* The callback of a call may change the list by starting further calls. */
 			if (advance_call(store, list_entry(it, call_t, node))) {
 				again = true;
 				break;
@@ -518,7 +517,7 @@
 
 	list_for_each (it, &store->calls) {
 		const call_t *call = list_entry(it, call_t, node);
-		usec_t at = call->arrives > now ? call->arrives : now + USEC_PER_MSEC;
+		usec_t at = call->arrives_at > now ? call->arrives_at : now + USEC_PER_MSEC;
 
 		next = at < next ? at : next;
 	}
@@ -536,8 +535,8 @@
 	call->client = client;
 	call->done = done;
 	call->data = data;
-	call->arrives = store_now(store) + store->answer_delay;
-	call->ends =
+	call->arrives_at = store_now(store) + store->answer_delay;
+	call->deadline =
 		store_now(store) +
 		(kv->patience_ms != 0 ? (usec_t)kv->patience_ms * USEC_PER_MSEC : CALL_TIMEOUT);
 	list_add_tail(&store->calls, &call->node);
@@ -561,7 +560,7 @@
 
 	call->prefix = talloc_strdup(call, prefix);
 	call->after = after;
-	call->ends = call->arrives + (usec_t)wait_ms * USEC_PER_MSEC;
+	call->deadline = call->arrives_at + (usec_t)wait_ms * USEC_PER_MSEC;
 }
 
 static void kv_commit(kv_t *kv, const kv_write_t *writes, size_t count, kv_done_t done, void *data)
--- a/tests/pool_links.c
+++ b/tests/pool_links.c
@@ -119,7 +119,8 @@
 	schedule_post(link, &link->from->timers, text, len, on_delivery_to_proxy);
 }
 
-/* Delivers a line, or the end of the connection, to the member; the first line opens its session.
+/*
+ * Delivers a line, or the end of the connection, to the member; the first line opens its session.
  */
 static void on_delivery_to_member(run_timer_t *timer, usec_t now)
 {
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -59,8 +59,7 @@
 
 	g_assert_cmpfloat(ada->rate, ==, 185);
 	g_assert_cmpfloat(ada->burst, ==, 90.5);
-	/* Of two customers with the same key the first has it. An empty or non-string key is none.
-	 */
+	/* Of two customers with the same key the first has it. Invalid keys are ignored. */
 	g_assert_true(find_customer(routes, API_KEY) == ada);
 	g_assert_true(find_customer(routes, "two") == ada);
 	g_assert_null(find_customer(routes, ""));
