--- a/ctl/changes.c
+++ b/ctl/changes.c
@@ -1,6 +1,6 @@
 /*
- * What the logs tell of the changes of primary: how long callers of a service
- * had none, and what the time went into.
+ * Evaluates the changes of primary in the logs of poolers: how long each service had no primary,
+ * and how that time divides into phases.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,33 +11,46 @@
 #include "command.h"
 #include "logs.h"
 
-/* How long before the decision a sign of the failure may be: two suspicions and a probe. */
-#define SIGN_MSEC 4000
-/* From the new primary seen to lead to its use; a slow store takes 0.5 s of it. */
-#define AT_ONCE_MSEC 2000
-#define NOT_YET	     INT64_MIN
-
-typedef enum { PART_DETECT, PART_DECIDE, PART_PROMOTE, PART_RESUME, PART_WHOLE, PART_COUNT } part_t;
-
-static const char *const part_names[PART_COUNT] = {
-	[PART_DETECT] = "detect",   /* first sign at any proxy, to the decision */
-	[PART_DECIDE] = "decide",   /* marked, released, members asked, to the promote */
-	[PART_PROMOTE] = "promote", /* to the new primary seen to lead */
-	[PART_RESUME] = "resume",   /* to the last proxy that heard of it at once */
-	[PART_WHOLE] = "whole",
+/*
+ * A log line counts as the first sign of a failure if it was written no longer than this before the
+ * decision: the time of two suspicions and a probe.
+ */
+#define DETECTION_LOOKBACK_MSEC 4000
+/*
+ * Proxies that use the new primary within this time after it leads count towards the resume phase;
+ * a slow store takes 0.5 s of it.
+ */
+#define RESUME_WINDOW_MSEC 2000
+#define TIME_UNSET	   INT64_MIN
+
+typedef enum {
+	PHASE_DETECT,
+	PHASE_DECIDE,
+	PHASE_PROMOTE,
+	PHASE_RESUME,
+	PHASE_TOTAL,
+	PHASE_COUNT
+} phase_t;
+
+static const char *const phase_names[PHASE_COUNT] = {
+	[PHASE_DETECT] = "detect",   /* from the first sign at any proxy to the decision */
+	[PHASE_DECIDE] = "decide",   /* mark, release and query the members, to the promote call */
+	[PHASE_PROMOTE] = "promote", /* until the new primary is seen to lead */
+	[PHASE_RESUME] = "resume",   /* until the last proxy within RESUME_WINDOW_MSEC uses it */
+	[PHASE_TOTAL] = "whole",
 };
 
 typedef struct primary_change {
 	const char *service;
 	const char *reason;
-	const char *old;
-	const char *new;
-	int64_t sign;
-	int64_t begun;
-	int64_t promoted;
-	int64_t seen;
-	int64_t resumed;
-	json_int_t roster; /* with which the proxies heard of it */
+	const char *old_primary;
+	const char *new_primary;
+	int64_t first_sign_at;
+	int64_t decided_at;
+	int64_t promote_called_at;
+	int64_t leads_at;
+	int64_t resumed_at;
+	json_int_t roster_version; /* roster by which the proxies use the new primary */
 } primary_change_t;
 
 typedef struct change_list {
@@ -45,38 +58,40 @@
 	size_t count;
 } change_list_t;
 
-static bool says(const log_line_t *line, const char *text)
+static bool has_text(const log_line_t *line, const char *text)
 {
-	return strcmp(logs_text(line, "text"), text) == 0;
+	return strcmp(log_line_string(line, "text"), text) == 0;
 }
 
-static bool is_about(const log_line_t *line, const char *service)
+static bool has_service(const log_line_t *line, const char *service)
 {
-	return strcmp(logs_text(line, "service"), service) == 0;
+	return strcmp(log_line_string(line, "service"), service) == 0;
 }
 
-/* The first sign of the old primary's failure; the decision itself if there is none before. */
-static int64_t find_sign(const logs_t *logs, size_t decision)
+/* Time of the first sign of the old primary's failure; that of the decision if there is none. */
+static int64_t find_first_sign(const logs_t *logs, size_t decision_index)
 {
-	const log_line_t *made = &logs->lines[decision];
-	int64_t sign = made->msec;
+	const log_line_t *decision_line = &logs->lines[decision_index];
+	int64_t first_sign_at = decision_line->msec;
 
-	for (size_t i = decision; i-- > 0 && logs->lines[i].msec >= made->msec - SIGN_MSEC;) {
+	for (size_t i = decision_index;
+	     i-- > 0 && logs->lines[i].msec >= decision_line->msec - DETECTION_LOOKBACK_MSEC;) {
 		const log_line_t *line = &logs->lines[i];
 
-		if (!is_about(line, logs_text(made, "service")))
+		if (!has_service(line, log_line_string(decision_line, "service")))
 			continue;
-		if (says(line, "primary in use"))
+		if (has_text(line, "primary in use"))
 			break;
-		if ((says(line, "member is asked whether it lives") ||
-		     says(line, "member is down")) &&
-		    strcmp(logs_text(line, "member"), logs_text(made, "member")) == 0)
-			sign = line->msec;
+		if ((has_text(line, "member is asked whether it lives") ||
+		     has_text(line, "member is down")) &&
+		    strcmp(log_line_string(line, "member"),
+			   log_line_string(decision_line, "member")) == 0)
+			first_sign_at = line->msec;
 	}
-	return sign;
+	return first_sign_at;
 }
 
-static primary_change_t *last_of(change_list_t *list, const char *service)
+static primary_change_t *find_last_change(change_list_t *list, const char *service)
 {
 	for (size_t i = list->count; i-- > 0;) {
 		if (strcmp(list->items[i].service, service) == 0)
@@ -85,104 +100,109 @@
 	return NULL;
 }
 
-static void begin(change_list_t *list, const logs_t *logs, size_t at)
+static void start_change(change_list_t *list, const logs_t *logs, size_t index)
 {
-	const log_line_t *line = &logs->lines[at];
-	primary_change_t *last = last_of(list, logs_text(line, "service"));
+	const log_line_t *line = &logs->lines[index];
+	primary_change_t *previous = find_last_change(list, log_line_string(line, "service"));
 
-	/* A holder that lost the duty in between; its successor goes on with the same change. */
-	if (last != NULL && last->resumed == NOT_YET)
+	/* After a loss of leadership the next leader logs the same change again. */
+	if (previous != NULL && previous->resumed_at == TIME_UNSET)
 		return;
 	list->items = talloc_realloc(NULL, list->items, primary_change_t, list->count + 1);
 	list->items[list->count++] = (primary_change_t){
-		.service = logs_text(line, "service"),
-		.reason = logs_text(line, "reason"),
-		.old = logs_text(line, "member"),
-		.new = "",
-		.sign = find_sign(logs, at),
-		.begun = line->msec,
-		.promoted = NOT_YET,
-		.seen = NOT_YET,
-		.resumed = NOT_YET,
+		.service = log_line_string(line, "service"),
+		.reason = log_line_string(line, "reason"),
+		.old_primary = log_line_string(line, "member"),
+		.new_primary = "",
+		.first_sign_at = find_first_sign(logs, index),
+		.decided_at = line->msec,
+		.promote_called_at = TIME_UNSET,
+		.leads_at = TIME_UNSET,
+		.resumed_at = TIME_UNSET,
 	};
 }
 
-/* Proxies that are cut off or start meanwhile hear of it later; not counted. */
-static void note_use(primary_change_t *change, const log_line_t *line)
+/*
+ * A proxy that is cut off or starts during the change begins to use the new primary later; its line
+ * is not counted.
+ */
+static void apply_primary_in_use(primary_change_t *change, const log_line_t *line)
 {
-	json_int_t roster = json_integer_value(json_object_get(line->object, "roster"));
+	json_int_t roster_version = json_integer_value(json_object_get(line->object, "roster"));
 
-	if (change->resumed == NOT_YET)
-		change->roster = roster;
-	if (roster == change->roster && line->msec <= change->seen + AT_ONCE_MSEC)
-		change->resumed = line->msec;
+	if (change->resumed_at == TIME_UNSET)
+		change->roster_version = roster_version;
+	if (roster_version == change->roster_version &&
+	    line->msec <= change->leads_at + RESUME_WINDOW_MSEC)
+		change->resumed_at = line->msec;
 }
 
-static void take(primary_change_t *change, const log_line_t *line)
+static void apply_line(primary_change_t *change, const log_line_t *line)
 {
-	const char *step = logs_text(line, "step");
-
-	if (says(line, "change of primary") && strcmp(step, "promoting") == 0) {
-		if (change->promoted == NOT_YET)
-			change->promoted = line->msec;
-	} else if (says(line, "change of primary") && strcmp(step, "committing") == 0) {
-		change->seen = line->msec;
-		change->new = logs_text(line, "target");
-	} else if (says(line, "primary in use") && change->seen != NOT_YET) {
-		note_use(change, line);
+	const char *step = log_line_string(line, "step");
+
+	if (has_text(line, "change of primary") && strcmp(step, "promoting") == 0) {
+		if (change->promote_called_at == TIME_UNSET)
+			change->promote_called_at = line->msec;
+	} else if (has_text(line, "change of primary") && strcmp(step, "committing") == 0) {
+		change->leads_at = line->msec;
+		change->new_primary = log_line_string(line, "target");
+	} else if (has_text(line, "primary in use") && change->leads_at != TIME_UNSET) {
+		apply_primary_in_use(change, line);
 	}
 }
 
-static void gather(change_list_t *list, const logs_t *logs)
+static void collect_changes(change_list_t *list, const logs_t *logs)
 {
 	for (size_t i = 0; i < logs->count; i++) {
 		const log_line_t *line = &logs->lines[i];
 		primary_change_t *change;
 
-		if (says(line, "primary is to be replaced")) {
-			begin(list, logs, i);
+		if (has_text(line, "primary is to be replaced")) {
+			start_change(list, logs, i);
 			continue;
 		}
-		change = last_of(list, logs_text(line, "service"));
+		change = find_last_change(list, log_line_string(line, "service"));
 		if (change != NULL)
-			take(change, line);
+			apply_line(change, line);
 	}
 }
 
-static bool is_whole(const primary_change_t *change)
+static bool is_complete(const primary_change_t *change)
 {
-	return change->resumed != NOT_YET && change->promoted != NOT_YET;
+	return change->resumed_at != TIME_UNSET && change->promote_called_at != TIME_UNSET;
 }
 
-static int64_t part_of(const primary_change_t *change, part_t part)
+static int64_t phase_duration(const primary_change_t *change, phase_t phase)
 {
-	switch (part) {
-	case PART_DETECT:
-		return change->begun - change->sign;
-	case PART_DECIDE:
-		return change->promoted - change->begun;
-	case PART_PROMOTE:
-		return change->seen - change->promoted;
-	case PART_RESUME:
-		return change->resumed - change->seen;
+	switch (phase) {
+	case PHASE_DETECT:
+		return change->decided_at - change->first_sign_at;
+	case PHASE_DECIDE:
+		return change->promote_called_at - change->decided_at;
+	case PHASE_PROMOTE:
+		return change->leads_at - change->promote_called_at;
+	case PHASE_RESUME:
+		return change->resumed_at - change->leads_at;
 	default:
-		return change->resumed - change->sign;
+		return change->resumed_at - change->first_sign_at;
 	}
 }
 
 static void print_change(const primary_change_t *change)
 {
-	printf("%s %s -> %s, %s:", change->service, change->old, change->new, change->reason);
-	if (!is_whole(change)) {
+	printf("%s %s -> %s, %s:", change->service, change->old_primary, change->new_primary,
+	       change->reason);
+	if (!is_complete(change)) {
 		printf(" not ended, or without a promote\n");
 		return;
 	}
-	for (part_t part = 0; part < PART_COUNT; part++)
-		printf(" %s %lld", part_names[part], (long long)part_of(change, part));
+	for (phase_t phase = 0; phase < PHASE_COUNT; phase++)
+		printf(" %s %lld", phase_names[phase], (long long)phase_duration(change, phase));
 	printf(" ms\n");
 }
 
-static int compare(const void *a, const void *b)
+static int compare_durations(const void *a, const void *b)
 {
 	int64_t left = *(const int64_t *)a;
 	int64_t right = *(const int64_t *)b;
@@ -190,22 +210,22 @@
 	return (left > right) - (left < right);
 }
 
-static void print_sums(const change_list_t *list)
+static void print_statistics(const change_list_t *list)
 {
 	int64_t *values = talloc_array(NULL, int64_t, list->count);
 
-	for (part_t part = 0; part < PART_COUNT; part++) {
+	for (phase_t phase = 0; phase < PHASE_COUNT; phase++) {
 		size_t count = 0;
 
 		for (size_t i = 0; i < list->count; i++) {
-			if (is_whole(&list->items[i]))
-				values[count++] = part_of(&list->items[i], part);
+			if (is_complete(&list->items[i]))
+				values[count++] = phase_duration(&list->items[i], phase);
 		}
 		if (count == 0)
 			break;
-		qsort(values, count, sizeof(values[0]), compare);
+		qsort(values, count, sizeof(values[0]), compare_durations);
 		printf("%-8s ms: min %lld, median %lld, p95 %lld, most %lld (%zu changes)\n",
-		       part_names[part], (long long)values[0], (long long)values[count / 2],
+		       phase_names[phase], (long long)values[0], (long long)values[count / 2],
 		       (long long)values[(count - 1) * 95 / 100], (long long)values[count - 1],
 		       count);
 	}
@@ -221,10 +241,10 @@
 	(void)ctl;
 	status = logs_read(&logs, argc, argv);
 	if (status == CTL_OK) {
-		gather(&list, &logs);
+		collect_changes(&list, &logs);
 		for (size_t i = 0; i < list.count; i++)
 			print_change(&list.items[i]);
-		print_sums(&list);
+		print_statistics(&list);
 	}
 	talloc_free(list.items);
 	logs_free(&logs);
--- a/ctl/client.c
+++ b/ctl/client.c
@@ -18,7 +18,7 @@
 }
 
 int client_call(const client_t *client, const char *path, const json_t *body, long *status,
-		char **answer, err_t *err)
+		char **response, err_t *err)
 {
 	CURL *easy = curl_easy_init();
 	char *url = talloc_asprintf(NULL, "%s%s", client->endpoint, path);
@@ -29,13 +29,13 @@
 	struct curl_slist *headers = auth != NULL ? curl_slist_append(NULL, auth) : NULL;
 	CURLcode code;
 
-	*answer = talloc_strdup(NULL, "");
+	*response = talloc_strdup(NULL, "");
 	curl_easy_setopt(easy, CURLOPT_URL, url);
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, TIMEOUT_MSEC);
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_body);
-	curl_easy_setopt(easy, CURLOPT_WRITEDATA, answer);
+	curl_easy_setopt(easy, CURLOPT_WRITEDATA, response);
 	if (post != NULL)
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, post);
 	code = curl_easy_perform(easy);
--- a/ctl/client.h
+++ b/ctl/client.h
@@ -1,4 +1,4 @@
-/* Calls on a proxy's operators' endpoint. */
+/* HTTP client for the operator endpoint of a proxy. */
 #pragma once
 
 #include <jansson.h>
@@ -11,8 +11,8 @@
 } client_t;
 
 /*
- * GET path, or POST body if it is not NULL. Returns 0 with the HTTP status and
- * the answer as text (to be freed), or -EHOSTUNREACH.
+ * Sends GET path, or POST path with body as JSON if body is not NULL. Returns 0 with the HTTP
+ * status and the response body, or -EHOSTUNREACH; the caller frees *response in both cases.
  */
 int client_call(const client_t *client, const char *path, const json_t *body, long *status,
-		char **answer, err_t *err);
+		char **response, err_t *err);
--- a/ctl/command.c
+++ b/ctl/command.c
@@ -14,27 +14,27 @@
 json_t *command_call(ctl_t *ctl, const char *path, const json_t *body, int *status)
 {
 	char *text = NULL;
-	long http = 0;
+	long http_status = 0;
 	err_t err = {0};
-	json_t *answer;
+	json_t *response;
 
 	*status = CTL_OK;
-	if (client_call(&ctl->client, path, body, &http, &text, &err) < 0) {
+	if (client_call(&ctl->client, path, body, &http_status, &text, &err) < 0) {
 		command_print_error(&err);
 		*status = CTL_UNREACHABLE;
 		talloc_free(text);
 		return NULL;
 	}
-	answer = json_loads(text, 0, NULL);
+	response = json_loads(text, 0, NULL);
 	talloc_free(text);
-	if (http == 200 && answer != NULL)
-		return answer;
-	fprintf(stderr, "cyclamenctl: the proxy answered %ld: %s\n", http,
-		json_string_value(json_object_get(answer, "error")) != NULL
-			? json_string_value(json_object_get(answer, "error"))
+	if (http_status == 200 && response != NULL)
+		return response;
+	fprintf(stderr, "cyclamenctl: the proxy answered %ld: %s\n", http_status,
+		json_string_value(json_object_get(response, "error")) != NULL
+			? json_string_value(json_object_get(response, "error"))
 			: "no reason given");
-	*status = http == 401 ? CTL_DENIED : CTL_REFUSED;
-	json_decref(answer);
+	*status = http_status == 401 ? CTL_DENIED : CTL_REFUSED;
+	json_decref(response);
 	return NULL;
 }
 
--- a/ctl/command.h
+++ b/ctl/command.h
@@ -1,4 +1,4 @@
-/* What the commands of cyclamenctl share, and their entry points. */
+/* Types and functions that the commands of cyclamenctl share, and their entry points. */
 #pragma once
 
 #include <stdbool.h>
@@ -20,12 +20,12 @@
 typedef struct ctl {
 	client_t client;
 	const char *author;
-	int64_t base_version; /* -1: the version read just before */
+	int64_t base_version; /* -1: the version that the command has just read */
 	bool json;
 } ctl_t;
 
-/* What a command asks of the options. */
-typedef enum { NEEDS_TOKEN, NEEDS_ENDPOINT, NEEDS_NOTHING } command_needs_t;
+/* Options that a command requires: token and endpoint, endpoint only, or none. */
+typedef enum { NEEDS_TOKEN, NEEDS_ENDPOINT, NEEDS_NO_OPTION } command_needs_t;
 
 typedef struct command {
 	const char *group;
@@ -40,15 +40,18 @@
 
 void command_print_error(const err_t *err);
 
-/* The answer as JSON, or NULL with *status set to the exit code. */
+/*
+ * Calls path as client_call() does. Returns the response parsed as JSON, or NULL with the error
+ * printed and *status set to the exit code.
+ */
 json_t *command_call(ctl_t *ctl, const char *path, const json_t *body, int *status);
 
 void command_print_json(const json_t *value);
 
-/* The proxies of the fleet with their table versions. */
+/* Prints the proxies of the fleet with their table versions. */
 void command_print_proxies(const json_t *fleet);
 
-/* Each returns an exit code; argv holds the arguments after the command's words. */
+/* Each runs one command and returns an exit code; argv holds the arguments after its name. */
 int run_table_get(ctl_t *ctl, int argc, char **argv);
 int run_table_diff(ctl_t *ctl, int argc, char **argv);
 int run_table_apply(ctl_t *ctl, int argc, char **argv);
--- a/ctl/explain.c
+++ b/ctl/explain.c
@@ -1,6 +1,6 @@
 /*
- * What the logs tell of one request: its own lines, and what the same proxies
- * and others wrote of its service, its member and the fleet just before.
+ * Prints the log lines that relate to one request: those with its id, and those that any proxy
+ * wrote shortly before about its service, its member or the fleet.
  */
 #include <stdio.h>
 #include <string.h>
@@ -8,88 +8,91 @@
 #include "command.h"
 #include "logs.h"
 
-#define WORDS_MAX 8
-/* How far back the cause of a failure is looked for: a change of primary and its detection. */
-#define BEFORE_MSEC 4000
-/* How much later a line may be that belongs to it, with the VMs' clocks apart. */
-#define AFTER_MSEC 500
+#define NAMES_MAX 8
+/* The cause of a failure may be logged this long before it: a primary change and its detection. */
+#define LOOKBACK_MSEC 4000
+/* The clocks of two VMs may differ by this much, so that a related line seems to be later. */
+#define CLOCK_SKEW_MSEC 500
 
-typedef struct account {
+typedef struct trace {
 	logs_t logs;
-	const char *id;
-	/* Services and members that the request's own lines name. */
-	const char *words[WORDS_MAX];
-	size_t word_count;
-	int64_t first;
-	int64_t last;
-} account_t;
+	const char *request_id;
+	/* Services and members named in the lines that have the request's id. */
+	const char *names[NAMES_MAX];
+	size_t name_count;
+	int64_t first_msec;
+	int64_t last_msec;
+} trace_t;
 
-static bool is_own(const account_t *account, const log_line_t *line)
+static bool is_of_request(const trace_t *trace, const log_line_t *line)
 {
-	return strcmp(logs_text(line, "request"), account->id) == 0;
+	return strcmp(log_line_string(line, "request"), trace->request_id) == 0;
 }
 
-static void note_word(account_t *account, const char *word)
+static void add_name(trace_t *trace, const char *name)
 {
-	for (size_t i = 0; i < account->word_count; i++) {
-		if (strcmp(account->words[i], word) == 0)
+	for (size_t i = 0; i < trace->name_count; i++) {
+		if (strcmp(trace->names[i], name) == 0)
 			return;
 	}
-	if (*word != '\0' && account->word_count < WORDS_MAX)
-		account->words[account->word_count++] = word;
+	if (*name != '\0' && trace->name_count < NAMES_MAX)
+		trace->names[trace->name_count++] = name;
 }
 
-/* Returns false if no line names the request. */
-static bool find_own(account_t *account)
+/* Collects names and times from the lines of the request. Returns false if there are none. */
+static bool find_request(trace_t *trace)
 {
 	bool found = false;
 
-	for (size_t i = 0; i < account->logs.count; i++) {
-		const log_line_t *line = &account->logs.lines[i];
+	for (size_t i = 0; i < trace->logs.count; i++) {
+		const log_line_t *line = &trace->logs.lines[i];
 
-		if (!is_own(account, line))
+		if (!is_of_request(trace, line))
 			continue;
-		note_word(account, logs_text(line, "service"));
-		note_word(account, logs_text(line, "member"));
+		add_name(trace, log_line_string(line, "service"));
+		add_name(trace, log_line_string(line, "member"));
 		if (!found)
-			account->first = line->msec;
-		account->last = line->msec;
+			trace->first_msec = line->msec;
+		trace->last_msec = line->msec;
 		found = true;
 	}
 	return found;
 }
 
-/* Lines of other requests are left out; what tells of a proxy or of the fleet is taken. */
-static bool belongs(const account_t *account, const log_line_t *line)
+/*
+ * Lines of other requests are not related. Lines without service and member are about a proxy or
+ * the fleet and are related.
+ */
+static bool is_related(const trace_t *trace, const log_line_t *line)
 {
-	const char *service = logs_text(line, "service");
-	const char *member = logs_text(line, "member");
+	const char *service = log_line_string(line, "service");
+	const char *member = log_line_string(line, "member");
 
-	if (is_own(account, line))
+	if (is_of_request(trace, line))
 		return true;
 	if (json_object_get(line->object, "request") != NULL ||
-	    strcmp(logs_text(line, "module"), "summary") == 0)
+	    strcmp(log_line_string(line, "module"), "summary") == 0)
 		return false;
-	if (line->msec < account->first - BEFORE_MSEC || line->msec > account->last + AFTER_MSEC)
+	if (line->msec < trace->first_msec - LOOKBACK_MSEC ||
+	    line->msec > trace->last_msec + CLOCK_SKEW_MSEC)
 		return false;
 	if (*service == '\0' && *member == '\0')
 		return true;
-	for (size_t i = 0; i < account->word_count; i++) {
-		if (strcmp(account->words[i], service) == 0 ||
-		    strcmp(account->words[i], member) == 0)
+	for (size_t i = 0; i < trace->name_count; i++) {
+		if (strcmp(trace->names[i], service) == 0 || strcmp(trace->names[i], member) == 0)
 			return true;
 	}
 	return false;
 }
 
-static void print_line(const account_t *account, const log_line_t *line)
+static void print_line(const trace_t *trace, const log_line_t *line)
 {
 	const char *key;
 	json_t *value;
 
-	printf("%s %+6lld ms  %s %s: %s", is_own(account, line) ? "*" : " ",
-	       (long long)(line->msec - account->last), line->source, logs_text(line, "module"),
-	       logs_text(line, "text"));
+	printf("%s %+6lld ms  %s %s: %s", is_of_request(trace, line) ? "*" : " ",
+	       (long long)(line->msec - trace->last_msec), line->source,
+	       log_line_string(line, "module"), log_line_string(line, "text"));
 	json_object_foreach (line->object, key, value) {
 		if (strcmp(key, "time") == 0 || strcmp(key, "level") == 0 ||
 		    strcmp(key, "module") == 0 || strcmp(key, "text") == 0)
@@ -102,32 +105,32 @@
 	putchar('\n');
 }
 
-static int print_account(account_t *account)
+static int print_trace(trace_t *trace)
 {
-	if (!find_own(account)) {
+	if (!find_request(trace)) {
 		fprintf(stderr,
 			"cyclamenctl: no line names the request %s; was it served in time, or did "
 			"its connection never get here?\n",
-			account->id);
+			trace->request_id);
 		return CTL_UNKNOWN;
 	}
-	printf("request %s; times are relative to its last line, marked *\n", account->id);
-	for (size_t i = 0; i < account->logs.count; i++) {
-		if (belongs(account, &account->logs.lines[i]))
-			print_line(account, &account->logs.lines[i]);
+	printf("request %s; times are relative to its last line, marked *\n", trace->request_id);
+	for (size_t i = 0; i < trace->logs.count; i++) {
+		if (is_related(trace, &trace->logs.lines[i]))
+			print_line(trace, &trace->logs.lines[i]);
 	}
 	return CTL_OK;
 }
 
 int run_explain(ctl_t *ctl, int argc, char **argv)
 {
-	account_t account = {.id = argv[0]};
+	trace_t trace = {.request_id = argv[0]};
 	int status;
 
 	(void)ctl;
-	status = logs_read(&account.logs, argc - 1, argv + 1);
+	status = logs_read(&trace.logs, argc - 1, argv + 1);
 	if (status == CTL_OK)
-		status = print_account(&account);
-	logs_free(&account.logs);
+		status = print_trace(&trace);
+	logs_free(&trace.logs);
 	return status;
 }
--- a/ctl/fleet.c
+++ b/ctl/fleet.c
@@ -1,4 +1,4 @@
-/* Commands on the fleet and on one proxy: fleet, state, metrics, drain. */
+/* The commands fleet, state, metrics and drain. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,14 +7,14 @@
 
 #include "command.h"
 
-static int show(ctl_t *ctl, const char *path)
+static int print_response(ctl_t *ctl, const char *path)
 {
 	int status;
-	json_t *answer = command_call(ctl, path, NULL, &status);
+	json_t *response = command_call(ctl, path, NULL, &status);
 
-	if (answer != NULL)
-		command_print_json(answer);
-	json_decref(answer);
+	if (response != NULL)
+		command_print_json(response);
+	json_decref(response);
 	return status;
 }
 
@@ -22,24 +22,24 @@
 {
 	(void)argc;
 	(void)argv;
-	return show(ctl, "/v1/state");
+	return print_response(ctl, "/v1/state");
 }
 
 int run_metrics(ctl_t *ctl, int argc, char **argv)
 {
 	char *text = NULL;
-	long http = 0;
+	long http_status = 0;
 	err_t err = {0};
 	int status = CTL_OK;
 
 	(void)argc;
 	(void)argv;
-	if (client_call(&ctl->client, "/v1/metrics", NULL, &http, &text, &err) < 0) {
+	if (client_call(&ctl->client, "/v1/metrics", NULL, &http_status, &text, &err) < 0) {
 		command_print_error(&err);
 		status = CTL_UNREACHABLE;
-	} else if (http != 200) {
-		fprintf(stderr, "cyclamenctl: the proxy answered %ld\n", http);
-		status = http == 401 ? CTL_DENIED : CTL_REFUSED;
+	} else if (http_status != 200) {
+		fprintf(stderr, "cyclamenctl: the proxy answered %ld\n", http_status);
+		status = http_status == 401 ? CTL_DENIED : CTL_REFUSED;
 	} else {
 		fputs(text, stdout);
 	}
@@ -51,18 +51,18 @@
 {
 	int status;
 	json_t *empty = json_object();
-	json_t *answer = command_call(ctl, "/v1/drain", empty, &status);
+	json_t *response = command_call(ctl, "/v1/drain", empty, &status);
 
 	(void)argc;
 	(void)argv;
 	json_decref(empty);
-	if (answer != NULL)
+	if (response != NULL)
 		printf("draining\n");
-	json_decref(answer);
+	json_decref(response);
 	return status;
 }
 
-static const char *liveness(const json_t *proxy)
+static const char *proxy_status(const json_t *proxy)
 {
 	if (json_is_true(json_object_get(proxy, "leaving")))
 		return "leaving";
@@ -80,11 +80,11 @@
 	json_object_foreach ((json_t *)fleet, name, proxy)
 		printf("%-16s %-16s %-22s %-8s %lld\n", name,
 		       json_string_value(json_object_get(proxy, "zone")),
-		       json_string_value(json_object_get(proxy, "address")), liveness(proxy),
+		       json_string_value(json_object_get(proxy, "address")), proxy_status(proxy),
 		       (long long)json_integer_value(json_object_get(proxy, "table_version")));
 }
 
-static void print_groups(const char *says, const json_t *groups)
+static void print_groups(const char *proxy_name, const json_t *groups)
 {
 	const char *name;
 	json_t *group;
@@ -99,7 +99,7 @@
 		printf("%-16s %-8lld %-16s %-16s %s\n", name,
 		       (long long)json_integer_value(json_object_get(group, "term")),
 		       primary != NULL ? primary : (watched ? "none" : "(not watched here)"),
-		       home != NULL ? home : "nobody", says);
+		       home != NULL ? home : "nobody", proxy_name);
 	}
 }
 
--- a/ctl/logs.c
+++ b/ctl/logs.c
@@ -11,7 +11,10 @@
 
 #define LINE_MAX_BYTES 8192
 
-/* Milliseconds of an ISO time such as 2026-01-18T20:17:51.056Z; -1 if it is none. */
+/*
+ * Converts an ISO 8601 time such as 2026-01-18T20:17:51.056Z to milliseconds since 1970. Returns -1
+ * for any other text.
+ */
 static int64_t parse_time(const char *text)
 {
 	struct tm tm = {0};
@@ -22,7 +25,7 @@
 	return (int64_t)timegm(&tm) * 1000 + strtol(rest + 1, NULL, 10);
 }
 
-const char *logs_text(const log_line_t *line, const char *key)
+const char *log_line_string(const log_line_t *line, const char *key)
 {
 	const char *text = json_string_value(json_object_get(line->object, key));
 
@@ -37,7 +40,7 @@
 	if (brace == NULL)
 		return;
 	line.object = json_loads(brace, 0, NULL);
-	line.msec = parse_time(logs_text(&line, "time"));
+	line.msec = parse_time(log_line_string(&line, "time"));
 	if (line.msec < 0) {
 		json_decref(line.object);
 		return;
@@ -57,7 +60,7 @@
 		add_line(logs, name, text);
 }
 
-static int compare(const void *a, const void *b)
+static int compare_time(const void *a, const void *b)
 {
 	const log_line_t *left = a;
 	const log_line_t *right = b;
@@ -80,7 +83,7 @@
 		fclose(in);
 	}
 	if (logs->count != 0)
-		qsort(logs->lines, logs->count, sizeof(logs->lines[0]), compare);
+		qsort(logs->lines, logs->count, sizeof(logs->lines[0]), compare_time);
 	return CTL_OK;
 }
 
--- a/ctl/logs.h
+++ b/ctl/logs.h
@@ -1,4 +1,4 @@
-/* Log lines of poolers, from files or standard input: JSON objects, a line each. */
+/* Reads the logs of poolers, one JSON object per line, from files or standard input. */
 #pragma once
 
 #include <stddef.h>
@@ -7,22 +7,23 @@
 #include <jansson.h>
 
 typedef struct log_line {
-	int64_t msec; /* by the clock of the VM that wrote it */
-	char *source; /* what stands before the JSON object, or the file's name */
+	int64_t msec; /* since 1970, by the clock of the VM that wrote the line */
+	char *source; /* text before the JSON object, or else the file's name */
 	json_t *object;
 } log_line_t;
 
 typedef struct logs {
-	log_line_t *lines; /* talloc array, by time */
+	log_line_t *lines; /* talloc array, sorted by time */
 	size_t count;
 } logs_t;
 
 /*
- * Read the files, or standard input if there are none. Lines that are no log lines are passed
- * over. Returns an exit code; what was read is freed by logs_free in any case.
+ * Reads the files in argv, or standard input if argc is 0. Text lines without a JSON object that
+ * has a valid time are skipped. Returns an exit code; the caller calls logs_free() also after an
+ * error.
  */
 int logs_read(logs_t *logs, int argc, char **argv);
 void logs_free(logs_t *logs);
 
-/* The field's text, "" if it has none. */
-const char *logs_text(const log_line_t *line, const char *key);
+/* Returns the string value of a field, "" if the field is missing or not a string. */
+const char *log_line_string(const log_line_t *line, const char *key);
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -1,4 +1,4 @@
-/* cyclamenctl: the operators' command. */
+/* cyclamenctl: the command-line tool of the operators. */
 #include <errno.h>
 #include <getopt.h>
 #include <stdio.h>
@@ -17,27 +17,28 @@
 	{"table", "get", 0, 1, NEEDS_TOKEN, run_table_get, "[KEY]",
 	 "print the table, or one entry"},
 	{"table", "diff", 1, 1, NEEDS_TOKEN, run_table_diff, "FILE",
-	 "what applying FILE would change"},
+	 "print the entries that applying FILE would change"},
 	{"table", "apply", 1, 1, NEEDS_TOKEN, run_table_apply, "FILE",
-	 "apply the entries of FILE (- for input)"},
+	 "apply the entries of FILE (- for standard input)"},
 	{"table", "set", 2, 64, NEEDS_TOKEN, run_table_set, "KEY FIELD=VALUE...",
 	 "change fields of one entry"},
 	{"table", "delete", 1, 1, NEEDS_TOKEN, run_table_delete, "KEY", "delete one entry"},
 	{"table", "history", 0, 0, NEEDS_TOKEN, run_table_history, "",
-	 "the last edits, newest first"},
+	 "print the last edits, newest first"},
 	{"table", "status", 0, 0, NEEDS_TOKEN, run_table_status, "",
-	 "which proxies have which version in force"},
+	 "print the table version in force at each proxy"},
 	{"fleet", NULL, 0, 0, NEEDS_TOKEN, run_fleet, "",
-	 "proxies, table versions, groups and primaries"},
-	{"state", NULL, 0, 0, NEEDS_TOKEN, run_state, "", "state of the proxy, JSON"},
-	{"metrics", NULL, 0, 0, NEEDS_TOKEN, run_metrics, "", "its counters, Prometheus text"},
+	 "print proxies, table versions, groups and primaries"},
+	{"state", NULL, 0, 0, NEEDS_TOKEN, run_state, "", "print the state of the proxy as JSON"},
+	{"metrics", NULL, 0, 0, NEEDS_TOKEN, run_metrics, "",
+	 "print the metrics of the proxy in Prometheus text format"},
 	{"drain", NULL, 0, 0, NEEDS_TOKEN, run_drain, "", "shut the proxy down gracefully"},
 	{"pooler", NULL, 0, 0, NEEDS_ENDPOINT, run_pooler, "",
-	 "a pooler's services, primaries and roster (no token needed)"},
-	{"explain", NULL, 1, 64, NEEDS_NOTHING, run_explain, "ID [LOG]...",
-	 "gather what the logs of poolers (files, or input) tell of a request"},
-	{"changes", NULL, 0, 64, NEEDS_NOTHING, run_changes, "[LOG]...",
-	 "the changes of primary in those logs, and what their time went into"},
+	 "print the services, primaries and roster of a pooler (no token needed)"},
+	{"explain", NULL, 1, 64, NEEDS_NO_OPTION, run_explain, "ID [LOG]...",
+	 "print the log lines of poolers (files, or standard input) that relate to a request"},
+	{"changes", NULL, 0, 64, NEEDS_NO_OPTION, run_changes, "[LOG]...",
+	 "print the primary changes in those logs, with the duration of each phase"},
 };
 
 #define COMMAND_COUNT (sizeof(commands) / sizeof(commands[0]))
@@ -48,11 +49,11 @@
 		"Usage: cyclamenctl [--endpoint URL] [--token-file FILE] [OPTION]... COMMAND\n\n"
 		"  -e, --endpoint URL      operators' address of a proxy, http://IP:PORT\n"
 		"  -k, --token-file FILE   file with the bearer token\n"
-		"  -a, --author NAME       who edits (default: $USER)\n"
-		"  -b, --base VERSION      table version the edit is based on (default: current)\n"
+		"  -a, --author NAME       author of the edit (default: $USER)\n"
+		"  -b, --base VERSION      table version that the edit is based on (default: current)\n"
 		"  -j, --json              JSON output\n"
-		"  -h, --help              this help\n"
-		"  -v, --version           the version\n\nCommands:\n");
+		"  -h, --help              print this help\n"
+		"  -v, --version           print the version\n\nCommands:\n");
 	for (size_t i = 0; i < COMMAND_COUNT; i++)
 		fprintf(out, "  %s %s %s: %s\n", commands[i].group,
 			commands[i].name != NULL ? commands[i].name : "", commands[i].args,
@@ -78,7 +79,7 @@
 	return NULL;
 }
 
-/* Returns an exit code; the token is read only for commands that need it. */
+/* Returns an exit code. The token file is read only for commands that need a token. */
 static int run_command(ctl_t *ctl, const char *token_file, int argc, char **argv)
 {
 	int used = 0;
@@ -88,7 +89,7 @@
 	argc -= used;
 	argv += used;
 	if (command == NULL || argc < command->min_args || argc > command->max_args ||
-	    (command->needs != NEEDS_NOTHING && ctl->client.endpoint == NULL) ||
+	    (command->needs != NEEDS_NO_OPTION && ctl->client.endpoint == NULL) ||
 	    (command->needs == NEEDS_TOKEN && token_file == NULL)) {
 		print_help(stderr);
 		return CTL_USAGE;
--- a/ctl/pooler.c
+++ b/ctl/pooler.c
@@ -1,21 +1,21 @@
-/* The state of a pooler on the platform, for people. */
+/* The command pooler: prints the state of a pooler as text. */
 #include <stdio.h>
 
 #include "command.h"
 
-static const char *text_of(const json_t *object, const char *key)
+static const char *get_text(const json_t *object, const char *key)
 {
 	const char *text = json_string_value(json_object_get(object, key));
 
 	return text != NULL && *text != '\0' ? text : "-";
 }
 
-static long long number_of(const json_t *object, const char *key)
+static long long get_number(const json_t *object, const char *key)
 {
 	return (long long)json_integer_value(json_object_get(object, key));
 }
 
-static const char *health_of(const json_t *member)
+static const char *member_status(const json_t *member)
 {
 	if (json_is_true(json_object_get(member, "gone")))
 		return "gone";
@@ -30,17 +30,18 @@
 	json_t *member;
 
 	printf("service %s primary %s waiting %lld positions %lld change step %lld\n",
-	       text_of(service, "name"), text_of(service, "primary"), number_of(service, "waiting"),
-	       number_of(service, "samples"), number_of(service, "change_step"));
+	       get_text(service, "name"), get_text(service, "primary"),
+	       get_number(service, "waiting"), get_number(service, "samples"),
+	       get_number(service, "change_step"));
 	json_array_foreach (json_object_get(service, "members"), index, member) {
 		printf("  %-16s %-8s zone %-12s calls itself %-8s connections %lld load %lld "
 		       "response %.1f ms last reply %lld ms ago\n",
-		       text_of(member, "id"), health_of(member), text_of(member, "zone"),
+		       get_text(member, "id"), member_status(member), get_text(member, "zone"),
 		       json_is_true(json_object_get(member, "says_primary")) ? "primary"
 									     : "replica",
-		       number_of(member, "connections"), number_of(member, "load"),
-		       (double)number_of(member, "response_usec") / 1000.0,
-		       number_of(member, "last_reply_ms"));
+		       get_number(member, "connections"), get_number(member, "load"),
+		       (double)get_number(member, "response_usec") / 1000.0,
+		       get_number(member, "last_reply_ms"));
 	}
 }
 
@@ -62,12 +63,12 @@
 		return CTL_OK;
 	}
 	printf("proxy %s %s, configuration %lld, roster %lld (%lld ms old), callers %lld\n",
-	       text_of(pooler, "name"),
+	       get_text(pooler, "name"),
 	       json_is_true(json_object_get(pooler, "ready")) ? "ready" : "not ready",
-	       number_of(pooler, "config_version"), number_of(pooler, "roster"),
-	       number_of(pooler, "roster_age_ms"), number_of(pooler, "callers"));
-	printf("duty held by %s, fence %lld%s\n", text_of(pooler, "holder"),
-	       number_of(pooler, "fence"),
+	       get_number(pooler, "config_version"), get_number(pooler, "roster"),
+	       get_number(pooler, "roster_age_ms"), get_number(pooler, "callers"));
+	printf("duty held by %s, fence %lld%s\n", get_text(pooler, "holder"),
+	       get_number(pooler, "fence"),
 	       json_is_true(json_object_get(pooler, "holding")) ? " (this proxy)" : "");
 	json_array_foreach (json_object_get(pooler, "services"), index, service)
 		print_service(service);
--- a/ctl/table.c
+++ b/ctl/table.c
@@ -1,4 +1,4 @@
-/* Commands on the operators' table. */
+/* The commands on the operators' table. */
 #include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,22 +10,22 @@
 
 #include "command.h"
 
-/* The table as it is edited: {KEY: value, ...}, with its version. */
+/* Fetches the table as an object {KEY: value, ...}, the form of the files that operators edit. */
 static json_t *fetch_table(ctl_t *ctl, int64_t *version, int *status)
 {
-	json_t *answer = command_call(ctl, "/v1/table", NULL, status);
+	json_t *response = command_call(ctl, "/v1/table", NULL, status);
 	json_t *out = json_object();
 	const char *key;
 	json_t *entry;
 
-	if (answer == NULL) {
+	if (response == NULL) {
 		json_decref(out);
 		return NULL;
 	}
-	*version = json_integer_value(json_object_get(answer, "version"));
-	json_object_foreach (json_object_get(answer, "entries"), key, entry)
+	*version = json_integer_value(json_object_get(response, "version"));
+	json_object_foreach (json_object_get(response, "entries"), key, entry)
 		json_object_set(out, key, json_object_get(entry, "value"));
-	json_decref(answer);
+	json_decref(response);
 	return out;
 }
 
@@ -34,16 +34,16 @@
 	int64_t version;
 	int status;
 	json_t *table = fetch_table(ctl, &version, &status);
-	const json_t *one = argc > 0 ? json_object_get(table, argv[0]) : NULL;
+	const json_t *entry = argc > 0 ? json_object_get(table, argv[0]) : NULL;
 
 	if (table == NULL)
 		return status;
-	if (argc > 0 && one == NULL) {
+	if (argc > 0 && entry == NULL) {
 		fprintf(stderr, "cyclamenctl: no %s in table version %lld\n", argv[0],
 			(long long)version);
 		status = CTL_REFUSED;
 	} else {
-		command_print_json(argc > 0 ? one : table);
+		command_print_json(argc > 0 ? entry : table);
 	}
 	json_decref(table);
 	return status;
@@ -57,7 +57,7 @@
 	sodium_bin2hex(out, len, raw, sizeof(raw));
 }
 
-static int exit_of(const char *edit_status)
+static int edit_exit_code(const char *edit_status)
 {
 	if (edit_status != NULL && strcmp(edit_status, "accepted") == 0)
 		return CTL_OK;
@@ -66,8 +66,11 @@
 	return CTL_UNKNOWN;
 }
 
-/* Which live proxies have the version in force, asked until all do or two seconds are over. */
-static void print_in_force(ctl_t *ctl, int64_t version)
+/*
+ * Prints how many live proxies have the version in force. Queries the proxy until all of them do,
+ * for two seconds at most.
+ */
+static void print_activation(ctl_t *ctl, int64_t version)
 {
 	for (int attempt = 0; attempt < 10; attempt++) {
 		int status;
@@ -75,63 +78,67 @@
 		json_t *fleet = json_object_get(json_object_get(state, "core"), "fleet");
 		const char *name;
 		json_t *proxy;
-		int all = 0;
-		int have = 0;
+		int proxy_count = 0;
+		int current_count = 0;
 
 		json_object_foreach (fleet, name, proxy) {
-			all++;
-			have += json_integer_value(json_object_get(proxy, "table_version")) >=
+			proxy_count++;
+			current_count +=
+				json_integer_value(json_object_get(proxy, "table_version")) >=
 				version;
 		}
 		json_decref(state);
-		if (state == NULL || have == all || attempt == 9) {
-			printf("in force on %d of %d proxies\n", have, all);
+		if (state == NULL || current_count == proxy_count || attempt == 9) {
+			printf("in force on %d of %d proxies\n", current_count, proxy_count);
 			return;
 		}
 		usleep(200000);
 	}
 }
 
-static int submit(ctl_t *ctl, json_t *entries, int64_t base)
+static int submit_edit(ctl_t *ctl, json_t *entries, int64_t base)
 {
 	char edit_id[25];
 	int status;
 	json_t *body;
-	json_t *answer;
+	json_t *response;
 	const char *edit_status;
 
 	make_edit_id(edit_id, sizeof(edit_id));
 	body = json_pack("{s:s, s:s, s:I, s:O}", "edit_id", edit_id, "author", ctl->author,
 			 "base_version", (json_int_t)base, "entries", entries);
-	answer = command_call(ctl, "/v1/table", body, &status);
+	response = command_call(ctl, "/v1/table", body, &status);
 	json_decref(body);
-	if (answer == NULL) {
-		/* The proxy may have got it: only the table itself can tell. */
+	if (response == NULL) {
+		/*
+		 * The proxy may have received the edit before the connection failed; only the table
+		 * shows whether it was applied.
+		 */
 		if (status == CTL_UNREACHABLE)
 			fprintf(stderr, "cyclamenctl: edit %s: unknown\n", edit_id);
 		return status == CTL_UNREACHABLE ? CTL_UNKNOWN : status;
 	}
-	edit_status = json_string_value(json_object_get(answer, "status"));
-	status = exit_of(edit_status);
+	edit_status = json_string_value(json_object_get(response, "status"));
+	status = edit_exit_code(edit_status);
 	if (ctl->json)
-		command_print_json(answer);
+		command_print_json(response);
 	else
 		printf("%s, edit %s, table version %lld: %s\n", edit_status, edit_id,
-		       (long long)json_integer_value(json_object_get(answer, "version")),
-		       json_string_value(json_object_get(answer, "detail")));
+		       (long long)json_integer_value(json_object_get(response, "version")),
+		       json_string_value(json_object_get(response, "detail")));
 	if (status == CTL_OK && !ctl->json)
-		print_in_force(ctl, json_integer_value(json_object_get(answer, "version")));
-	json_decref(answer);
+		print_activation(ctl, json_integer_value(json_object_get(response, "version")));
+	json_decref(response);
 	return status;
 }
 
-static int64_t base_of(const ctl_t *ctl, int64_t read_version)
+static int64_t choose_base_version(const ctl_t *ctl, int64_t read_version)
 {
 	return ctl->base_version >= 0 ? ctl->base_version : read_version;
 }
 
-/* Only what differs from the table in force is sent. */
-static json_t *differences(const json_t *wanted, const json_t *table)
+/* Returns the wanted entries that differ from the table in force; only these are sent. */
+static json_t *changed_entries(const json_t *wanted, const json_t *table)
 {
 	json_t *out = json_object();
 	const char *key;
@@ -144,7 +151,7 @@
 	return out;
 }
 
-static json_t *read_file(const char *path)
+static json_t *read_table_file(const char *path)
 {
 	json_error_t error;
 	json_t *wanted = strcmp(path, "-") == 0
@@ -161,7 +168,7 @@
 
 int run_table_apply(ctl_t *ctl, int argc, char **argv)
 {
-	json_t *wanted = read_file(argv[0]);
+	json_t *wanted = read_table_file(argv[0]);
 	int64_t version = 0;
 	int status = CTL_LOCAL_ERROR;
 	json_t *table = wanted != NULL ? fetch_table(ctl, &version, &status) : NULL;
@@ -172,11 +179,11 @@
 		json_decref(wanted);
 		return status;
 	}
-	changes = differences(wanted, table);
+	changes = changed_entries(wanted, table);
 	if (json_object_size(changes) == 0)
 		printf("nothing to change, table version %lld\n", (long long)version);
 	else
-		status = submit(ctl, changes, base_of(ctl, version));
+		status = submit_edit(ctl, changes, choose_base_version(ctl, version));
 	json_decref(changes);
 	json_decref(table);
 	json_decref(wanted);
@@ -185,11 +192,11 @@
 
 int run_table_diff(ctl_t *ctl, int argc, char **argv)
 {
-	json_t *wanted = read_file(argv[0]);
+	json_t *wanted = read_table_file(argv[0]);
 	int64_t version;
 	int status = CTL_LOCAL_ERROR;
 	json_t *table = wanted != NULL ? fetch_table(ctl, &version, &status) : NULL;
-	json_t *changes = differences(wanted, table);
+	json_t *changes = changed_entries(wanted, table);
 
 	(void)argc;
 	if (table != NULL)
@@ -200,7 +207,7 @@
 	return status;
 }
 
-/* FIELD=VALUE; a value that is no JSON is taken as a string. */
+/* Applies FIELD=VALUE to the row; a value that is not valid JSON is stored as a string. */
 static bool set_field(json_t *row, const char *assignment)
 {
 	const char *equals = strchr(assignment, '=');
@@ -235,7 +242,7 @@
 	}
 	json_object_set(changes, argv[0], row);
 	if (table != NULL)
-		status = submit(ctl, changes, base_of(ctl, version));
+		status = submit_edit(ctl, changes, choose_base_version(ctl, version));
 out:
 	json_decref(changes);
 	json_decref(row);
@@ -264,16 +271,16 @@
 int run_table_history(ctl_t *ctl, int argc, char **argv)
 {
 	int status;
-	json_t *answer = command_call(ctl, "/v1/history", NULL, &status);
-	const json_t *edits = json_object_get(answer, "edits");
+	json_t *response = command_call(ctl, "/v1/history", NULL, &status);
+	const json_t *edits = json_object_get(response, "edits");
 
 	(void)argc;
 	(void)argv;
-	if (ctl->json && answer != NULL)
+	if (ctl->json && response != NULL)
 		command_print_json(edits);
 	for (size_t i = 0; !ctl->json && i < json_array_size(edits); i++)
 		print_edit(json_array_get(edits, i));
-	json_decref(answer);
+	json_decref(response);
 	return status;
 }
 
@@ -311,7 +318,7 @@
 	(void)argc;
 	json_object_set_new(changes, argv[0], json_null());
 	if (table != NULL)
-		status = submit(ctl, changes, base_of(ctl, version));
+		status = submit_edit(ctl, changes, choose_base_version(ctl, version));
 	json_decref(changes);
 	json_decref(table);
 	return status;
