--- a/soak/check.c
+++ b/soak/check.c
@@ -10,19 +10,20 @@
 /* The record comes in portions; what a member did may still be on its way after an answer. */
 #define RECORD_SLACK (300 * MSEC)
 /* Acknowledged commits before a read that are looked at; older ones are below these in the log. */
-#define ACKS_LOOKED_AT 300
+#define ACKS_CHECKED_MAX 300
 /*
  * A commit may be that of a proxy that stood still, or of a message that was held up, if that ended
  * no longer than this before it.
  */
-#define HELD_UP_SLACK (300 * MSEC)
+#define FAULT_END_SLACK (300 * MSEC)
 
 static const run_t *find_run(const statement_t *statement)
 {
 	for (const run_t *run = statement->runs; run != NULL; run = run->next) {
 		char signature[80];
 
-		snprintf(signature, sizeof(signature), "%.47s.%" PRIu64, run->member, run->number);
+		snprintf(signature, sizeof(signature), "%.47s.%" PRIu64, run->member,
+			 run->signature_number);
 		if (strcmp(signature, statement->signature) == 0)
 			return run;
 	}
@@ -30,14 +31,14 @@
 }
 
 /* The statement whose commit an acknowledgement is about. */
-static const statement_t *last_write(const statement_t *acknowledged)
+static const statement_t *find_acknowledged_write(const statement_t *acknowledged)
 {
 	const statement_t *write = acknowledged;
 
 	if (acknowledged->kind != KIND_COMMIT)
 		return write;
 	for (const statement_t *it = acknowledged->attempt->first; it != NULL; it = it->next) {
-		if (it->kind == KIND_WRITE && it->fate == FATE_DONE)
+		if (it->kind == KIND_WRITE && it->status == STATEMENT_DONE)
 			write = it;
 	}
 	return write;
@@ -46,59 +47,60 @@
 /* --- reads --- */
 
 /* A read that began at began must show this commit, if it was kept. */
-static void check_shows(const ledger_t *ledger, const statement_t *read, const run_t *run,
-			const statement_t *acknowledged)
+static void check_read_includes(const ledger_t *ledger, const statement_t *read, const run_t *run,
+				const statement_t *acknowledged)
 {
-	const statement_t *write = last_write(acknowledged);
+	const statement_t *write = find_acknowledged_write(acknowledged);
 	unsigned service = read->attempt->service;
 	usec_t rolled_back_at;
 
 	for (const commit_t *commit = write->commits; commit != NULL; commit = commit->next) {
-		if (ledger_holds(ledger, service, run->log, commit->position) ||
-		    ledger_rolled_back(ledger, service, commit->position, &rolled_back_at))
+		if (ledger_log_includes(ledger, service, run->log_position, commit->position) ||
+		    ledger_was_rolled_back(ledger, service, commit->position, &rolled_back_at))
 			continue;
 		finding_add(PROMISE_STALE, read->id,
 			    "at %s with log %" PRIu64 ".%" PRIu64 " lacks %s, committed as %" PRIu64
 			    ".%" PRIu64 " and acknowledged %.1f ms before the read began",
-			    run->member, run->log.term, run->log.number, write->id,
-			    commit->position.term, commit->position.number,
+			    run->member, run->log_position.term, run->log_position.number,
+			    write->id, commit->position.term, commit->position.number,
 			    (double)(read->attempt->began_at - acknowledged->ended_at) / MSEC);
 		return;
 	}
 }
 
-static void check_fresh(const ledger_t *ledger, const statement_t *read, const run_t *run)
+static void check_read_freshness(const ledger_t *ledger, const statement_t *read, const run_t *run)
 {
 	const attempt_t *attempt = read->attempt;
-	const GPtrArray *acks = ledger->services[attempt->service].acks;
-	size_t looked_at = 0;
+	const GPtrArray *acks = ledger->services[attempt->service].acknowledged_writes;
+	size_t checked = 0;
 
-	for (guint i = acks->len; i > 0 && looked_at < ACKS_LOOKED_AT; i--) {
+	for (guint i = acks->len; i > 0 && checked < ACKS_CHECKED_MAX; i--) {
 		const statement_t *acknowledged = acks->pdata[i - 1];
 
 		if (acknowledged->ended_at + attempt->max_age >= attempt->began_at)
 			continue;
-		looked_at++;
-		check_shows(ledger, read, run, acknowledged);
+		checked++;
+		check_read_includes(ledger, read, run, acknowledged);
 	}
-	if (attempt->reads == READS_OWN_WRITES && attempt->own_commit != NULL &&
-	    attempt->own_commit->fate == FATE_DONE)
-		check_shows(ledger, read, run, attempt->own_commit);
+	if (attempt->reads == READS_OWN_WRITES && attempt->previous_commit != NULL &&
+	    attempt->previous_commit->status == STATEMENT_DONE)
+		check_read_includes(ledger, read, run, attempt->previous_commit);
 }
 
 /* --- writes --- */
 
-static bool was_held_up(const fleet_t *fleet, const statement_t *write, const commit_t *commit)
+static bool was_delayed_by_fault(const fleet_t *fleet, const statement_t *write,
+				 const commit_t *commit)
 {
 	const proxy_t *proxy = &fleet->proxies[write->proxy];
 
-	return fleet_overlaps(proxy->disturbed, commit->at - HELD_UP_SLACK, commit->at) ||
-	       fleet_overlaps(fleet->member_trouble[write->attempt->service], write->sent_at,
-			      commit->at);
+	return fleet_spans_overlap(proxy->disturbances, commit->at - FAULT_END_SLACK, commit->at) ||
+	       fleet_spans_overlap(fleet->member_faults[write->attempt->service], write->sent_at,
+				   commit->at);
 }
 
-static void check_kept(const clients_t *clients, const statement_t *acknowledged,
-		       const statement_t *write)
+static void check_write_kept(const clients_t *clients, const statement_t *acknowledged,
+			     const statement_t *write)
 {
 	const ledger_t *ledger = clients->ledger;
 	unsigned service = write->attempt->service;
@@ -110,8 +112,9 @@
 		return;
 	}
 	for (const commit_t *commit = write->commits; commit != NULL; commit = commit->next) {
-		if (!ledger_rolled_back(ledger, service, commit->position, &rolled_back_at) ||
-		    commit->at <= rolled_back_at || was_held_up(clients->fleet, write, commit))
+		if (!ledger_was_rolled_back(ledger, service, commit->position, &rolled_back_at) ||
+		    commit->at <= rolled_back_at ||
+		    was_delayed_by_fault(clients->fleet, write, commit))
 			continue;
 		finding_add(PROMISE_SUPERSEDED, write->id,
 			    "acknowledged as %s, committed as %" PRIu64 ".%" PRIu64
@@ -138,41 +141,41 @@
 		finding_add(PROMISE_MIXED, statement->id, "\"%s\": got row \"%s\", %s gave \"%s\"",
 			    statement->text, statement->row, run->member, run->row);
 	if (statement->kind == KIND_READ)
-		check_fresh(clients->ledger, statement, run);
+		check_read_freshness(clients->ledger, statement, run);
 }
 
 void check_answers(clients_t *clients)
 {
 	guint done = 0;
 
-	while (done < clients->answered->len) {
-		const statement_t *statement = clients->answered->pdata[done];
+	while (done < clients->unchecked->len) {
+		const statement_t *statement = clients->unchecked->pdata[done];
 
-		if (statement->ended_at + RECORD_SLACK > clients->ledger->horizon)
+		if (statement->ended_at + RECORD_SLACK > clients->ledger->complete_until)
 			break;
 		check_answer(clients, statement);
 		done++;
 	}
 	if (done != 0)
-		g_ptr_array_remove_range(clients->answered, 0, done);
+		g_ptr_array_remove_range(clients->unchecked, 0, done);
 }
 
 /* --- the whole run --- */
 
 static void check_attempt(const ledger_t *ledger, const attempt_t *attempt)
 {
-	const statement_t *kept = ledger_committed_write(attempt);
+	const statement_t *kept = ledger_find_committed_write(attempt);
 	usec_t rolled_back_at;
 
 	if (kept != NULL && attempt->refused)
 		finding_add(PROMISE_REFUSED, kept->id, "committed, though its caller was told %s",
-			    attempt->last->code);
+			    attempt->last->error_code);
 	for (const statement_t *it = attempt->first; it != NULL; it = it->next) {
 		size_t count = 0;
 
 		for (const commit_t *commit = it->commits; commit != NULL; commit = commit->next)
-			count += !ledger_rolled_back(ledger, attempt->service, commit->position,
-						     &rolled_back_at);
+			count += !ledger_was_rolled_back(ledger, attempt->service, commit->position,
+							 &rolled_back_at);
 		if (count > 1)
 			finding_add(PROMISE_TWICE, it->id, "committed %zu times", count);
 	}
@@ -181,16 +184,16 @@
 static void check_acknowledged(const clients_t *clients, const statement_t *acknowledged)
 {
 	if (acknowledged->kind == KIND_WRITE) {
-		check_kept(clients, acknowledged, acknowledged);
+		check_write_kept(clients, acknowledged, acknowledged);
 		return;
 	}
 	for (const statement_t *it = acknowledged->attempt->first; it != NULL; it = it->next) {
-		if (it->kind == KIND_WRITE && it->fate == FATE_DONE)
-			check_kept(clients, acknowledged, it);
+		if (it->kind == KIND_WRITE && it->status == STATEMENT_DONE)
+			check_write_kept(clients, acknowledged, it);
 	}
 }
 
-void check_end(clients_t *clients)
+void check_whole_run(clients_t *clients)
 {
 	const ledger_t *ledger = clients->ledger;
 
@@ -198,7 +201,8 @@
 	for (const attempt_t *it = ledger->attempts; it != NULL; it = it->next)
 		check_attempt(ledger, it);
 	for (unsigned i = 0; i < SERVICES_MAX; i++) {
-		for (guint k = 0; k < ledger->services[i].acks->len; k++)
-			check_acknowledged(clients, ledger->services[i].acks->pdata[k]);
+		for (guint k = 0; k < ledger->services[i].acknowledged_writes->len; k++)
+			check_acknowledged(clients,
+					   ledger->services[i].acknowledged_writes->pdata[k]);
 	}
 }
--- a/soak/check.h
+++ b/soak/check.h
@@ -10,4 +10,4 @@
 void check_answers(clients_t *clients);
 
 /* When nothing runs any more: what must hold of the whole run. */
-void check_end(clients_t *clients);
+void check_whole_run(clients_t *clients);
--- a/soak/finding.c
+++ b/soak/finding.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 /* Told in full of each promise; one broken promise shows in many requests. */
-#define TOLD_MAX 5
+#define PRINTED_MAX 5
 
-static unsigned seed_of_run;
+static unsigned run_seed;
 static size_t counts[PROMISE_COUNT];
 
 static const char *const names[PROMISE_COUNT] = {
@@ -28,7 +28,7 @@
 
 void finding_start(unsigned seed)
 {
-	seed_of_run = seed;
+	run_seed = seed;
 	memset(counts, 0, sizeof(counts));
 }
 
@@ -36,9 +36,9 @@
 {
 	va_list args;
 
-	if (counts[promise]++ >= TOLD_MAX)
+	if (counts[promise]++ >= PRINTED_MAX)
 		return;
-	printf("seed %u: broken promise %s, %s: ", seed_of_run, names[promise], id);
+	printf("seed %u: broken promise %s, %s: ", run_seed, names[promise], id);
 	va_start(args, fmt);
 	vprintf(fmt, args);
 	va_end(args);
@@ -55,7 +55,7 @@
 	return sum;
 }
 
-void finding_names(char *text, size_t size)
+void finding_summary(char *text, size_t size)
 {
 	size_t len = 0;
 
--- a/soak/finding.h
+++ b/soak/finding.h
@@ -32,4 +32,4 @@
 size_t finding_count(void);
 
 /* The names of the promises that were broken, "none" for none. */
-void finding_names(char *text, size_t size);
+void finding_summary(char *text, size_t size);
--- a/soak/fleet.c
+++ b/soak/fleet.c
@@ -20,21 +20,21 @@
  * Offset of the store's port in the first block; from there that of the first member, behind the
  * promote call and the door that turns everyone away; from a member that of the link before it.
  */
-#define PORT_STORE   1
-#define PORT_MEMBERS 3
-#define MEMBER_LINKS 26
+#define PORT_STORE	   1
+#define PORT_MEMBERS	   3
+#define MEMBER_LINK_OFFSET 26
 /* For callers, probe, operators and peers, and the link to the store. */
-#define PORTS_PER_PROXY 5
-#define PROXIES_A_BLOCK (PORTS_PER_BLOCK / PORTS_PER_PROXY)
+#define PORTS_PER_PROXY	  5
+#define PROXIES_PER_BLOCK (PORTS_PER_BLOCK / PORTS_PER_PROXY)
 
 /* Until a process that did not end in time is started again. */
-#define RESTART_AFTER (300 * USEC_PER_MSEC)
+#define RESTART_DELAY (300 * USEC_PER_MSEC)
 /* From fork() until the loader is done with a program, on a busy VM. */
-#define LOADING (100 * USEC_PER_MSEC)
+#define LOAD_TIME (100 * USEC_PER_MSEC)
 /* By then it certainly is. */
-#define LOADED (1 * USEC_PER_SEC)
+#define LOAD_TIME_MAX (1 * USEC_PER_SEC)
 /* From the end of the grace to the end of the process: its last turn of the loop. */
-#define END_SLACK (1 * USEC_PER_SEC)
+#define EXIT_SLACK (1 * USEC_PER_SEC)
 
 /* What the deployment grants a proxy. */
 #define MEMORY_MAX_KB (260 * 1024)
@@ -53,40 +53,40 @@
 #define CHECKS_MEMORY true
 #endif
 
-static usec_t now_of(const fleet_t *fleet)
+static usec_t fleet_now(const fleet_t *fleet)
 {
 	return clock_now(fleet->loop->clock);
 }
 
 int fleet_store_port(const fleet_t *fleet)
 {
-	return fleet->blocks[0].first + PORT_STORE;
+	return fleet->port_blocks[0].first + PORT_STORE;
 }
 
-int fleet_closed_door(const fleet_t *fleet)
+int fleet_refusing_port(const fleet_t *fleet)
 {
 	return fleet_store_port(fleet) + 2;
 }
 
 int fleet_caller_port(const fleet_t *fleet, unsigned proxy)
 {
-	return fleet->blocks[1 + proxy / PROXIES_A_BLOCK].first +
-	       PORTS_PER_PROXY * (int)(proxy % PROXIES_A_BLOCK);
+	return fleet->port_blocks[1 + proxy / PROXIES_PER_BLOCK].first +
+	       PORTS_PER_PROXY * (int)(proxy % PROXIES_PER_BLOCK);
 }
 
-static char *path_of(const fleet_t *fleet, const proxy_t *proxy, const char *suffix)
+static char *proxy_path(const fleet_t *fleet, const proxy_t *proxy, const char *suffix)
 {
 	return g_strdup_printf("%s/%s.%s", fleet->options.dir, proxy->name, suffix);
 }
 
-void fleet_note_span(GArray *spans, usec_t from, usec_t duration)
+void fleet_add_span(GArray *spans, usec_t from, usec_t duration)
 {
 	const span_t span = {.from = from, .to = from + duration};
 
 	g_array_append_val(spans, span);
 }
 
-bool fleet_overlaps(const GArray *spans, usec_t from, usec_t to)
+bool fleet_spans_overlap(const GArray *spans, usec_t from, usec_t to)
 {
 	for (guint i = 0; i < spans->len; i++) {
 		const span_t *span = &g_array_index(spans, span_t, i);
@@ -103,7 +103,7 @@
 {
 	const proxy_t *proxy = &fleet->proxies[index];
 	int port = fleet_caller_port(fleet, index);
-	char *path = path_of(fleet, proxy, "toml");
+	char *path = proxy_path(fleet, proxy, "toml");
 	char *text = g_strdup_printf(
 		"[node]\nname = \"%s\"\nzone = \"%s\"\n"
 		"[callers]\nlisten = \"127.0.0.1:%d\"\n[probe]\nlisten = \"127.0.0.1:%d\"\n"
@@ -111,8 +111,8 @@
 		"[store]\naddress = \"127.0.0.1:%d\"\n[promotion]\naddress = \"127.0.0.1:%d\"\n"
 		"[shutdown]\ngrace_s = %d\n[log]\nlevel = \"%s\"\n",
 		proxy->name, index % 3 == 0 ? "plateau" : "almadies", port, port + 1, port + 2,
-		port + 3, port + 4, fleet_store_port(fleet) + 1, (int)(FLEET_GRACE / USEC_PER_SEC),
-		proxy->log_verbose ? "debug" : "info");
+		port + 3, port + 4, fleet_store_port(fleet) + 1,
+		(int)(FLEET_SHUTDOWN_GRACE / USEC_PER_SEC), proxy->log_verbose ? "debug" : "info");
 
 	g_assert_true(g_file_set_contents(path, text, -1, NULL));
 	g_free(text);
@@ -121,7 +121,7 @@
 
 static off_t log_size(const fleet_t *fleet, const proxy_t *proxy)
 {
-	char *path = path_of(fleet, proxy, "log");
+	char *path = proxy_path(fleet, proxy, "log");
 	struct stat info;
 	off_t size = stat(path, &info) == 0 ? info.st_size : 0;
 
@@ -133,20 +133,20 @@
 {
 	proxy_t *proxy = &fleet->proxies[index];
 	char *program = harness_program("proxy/cyclamenspan");
-	char *config = path_of(fleet, proxy, "toml");
-	char *log = path_of(fleet, proxy, "log");
+	char *config = proxy_path(fleet, proxy, "toml");
+	char *log = proxy_path(fleet, proxy, "log");
 	char *argv[] = {program, "--pooler", "--config", config, NULL};
 	int fd = g_open(log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
 
 	write_settings(fleet, index);
-	proxy->log_before = log_size(fleet, proxy);
+	proxy->log_start_size = log_size(fleet, proxy);
 	proxy->pid = harness_spawn(argv, (const int[]){-1, fd, fd});
-	proxy->state = PROXY_RUNS;
-	proxy->started_at = now_of(fleet);
+	proxy->state = PROXY_RUNNING;
+	proxy->started_at = fleet_now(fleet);
 	proxy->killed = false;
-	proxy->down = RESTART_AFTER;
-	proxy->term_at = 0;
-	proxy->ends_by = 0;
+	proxy->restart_delay = RESTART_DELAY;
+	proxy->sigterm_at = 0;
+	proxy->exit_deadline = 0;
 	proxy->paused_until = 0;
 	close(fd);
 	g_free(log);
@@ -155,66 +155,66 @@
 }
 
 /* A pause puts off the time by which the process must have ended. */
-static void push_end(proxy_t *proxy, usec_t by)
+static void extend_exit_deadline(proxy_t *proxy, usec_t duration)
 {
-	if (proxy->ends_by != 0)
-		proxy->ends_by += by;
+	if (proxy->exit_deadline != 0)
+		proxy->exit_deadline += duration;
 }
 
-void fleet_pause(fleet_t *fleet, unsigned index, usec_t until)
+void fleet_pause_proxy(fleet_t *fleet, unsigned index, usec_t until)
 {
 	proxy_t *proxy = &fleet->proxies[index];
-	usec_t now = now_of(fleet);
+	usec_t now = fleet_now(fleet);
 
 	if (proxy->state == PROXY_DOWN || until <= now)
 		return;
 	kill(proxy->pid, SIGSTOP);
-	push_end(proxy, until - now);
+	extend_exit_deadline(proxy, until - now);
 	if (until > proxy->paused_until)
 		proxy->paused_until = until;
-	fleet_note_span(proxy->disturbed, now, until - now);
+	fleet_add_span(proxy->disturbances, now, until - now);
 }
 
-static void resume(proxy_t *proxy, usec_t now)
+static void resume_proxy(proxy_t *proxy, usec_t now)
 {
 	kill(proxy->pid, SIGCONT);
 	proxy->paused_until = 0;
 	/* SIGCONT may come late: the pause lasted until now. */
-	fleet_note_span(proxy->disturbed, now, 0);
+	fleet_add_span(proxy->disturbances, now, 0);
 }
 
-void fleet_kill(fleet_t *fleet, unsigned index, usec_t down)
+void fleet_kill_proxy(fleet_t *fleet, unsigned index, usec_t restart_delay)
 {
 	proxy_t *proxy = &fleet->proxies[index];
 
-	fleet_note_span(proxy->disturbed, now_of(fleet), 0);
-	proxy->down = down;
+	fleet_add_span(proxy->disturbances, fleet_now(fleet), 0);
+	proxy->restart_delay = restart_delay;
 	if (proxy->state == PROXY_DOWN)
 		return;
 	proxy->killed = true;
 	kill(proxy->pid, SIGKILL);
 }
 
-void fleet_term(fleet_t *fleet, unsigned index, usec_t down)
+void fleet_stop_proxy(fleet_t *fleet, unsigned index, usec_t restart_delay)
 {
 	proxy_t *proxy = &fleet->proxies[index];
-	usec_t now = now_of(fleet);
+	usec_t now = fleet_now(fleet);
 
 	if (proxy->state == PROXY_DOWN)
 		return;
 	/* A second signal is sent too; what counts is the first. */
 	kill(proxy->pid, SIGTERM);
-	if (proxy->state == PROXY_ENDS)
+	if (proxy->state == PROXY_STOPPING)
 		return;
-	proxy->state = PROXY_ENDS;
-	proxy->term_at = now;
-	proxy->ends_by = now + FLEET_GRACE + END_SLACK;
+	proxy->state = PROXY_STOPPING;
+	proxy->sigterm_at = now;
+	proxy->exit_deadline = now + FLEET_SHUTDOWN_GRACE + EXIT_SLACK;
 	if (proxy->paused_until > now)
-		proxy->ends_by += proxy->paused_until - now;
-	proxy->down = down;
+		proxy->exit_deadline += proxy->paused_until - now;
+	proxy->restart_delay = restart_delay;
 }
 
-void fleet_hangup(fleet_t *fleet, unsigned index)
+void fleet_reload(fleet_t *fleet, unsigned index)
 {
 	proxy_t *proxy = &fleet->proxies[index];
 
@@ -226,54 +226,54 @@
 }
 
 /* No program can handle a signal before its first instruction. */
-static bool came_too_early(const proxy_t *proxy, int status, usec_t now)
+static bool was_signalled_while_loading(const proxy_t *proxy, int status, usec_t now)
 {
 	int signo = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
 
-	return (signo == SIGTERM || signo == SIGHUP) && now < proxy->started_at + LOADING;
+	return (signo == SIGTERM || signo == SIGHUP) && now < proxy->started_at + LOAD_TIME;
 }
 
 /* It was asked to end and did. Status 1: the grace ended with requests in progress, as after a
  * pause.
  */
-static bool is_orderly(const proxy_t *proxy, int status)
+static bool is_requested_exit(const proxy_t *proxy, int status)
 {
-	return proxy->term_at != 0 && WIFEXITED(status) && WEXITSTATUS(status) <= 1;
+	return proxy->sigterm_at != 0 && WIFEXITED(status) && WEXITSTATUS(status) <= 1;
 }
 
-static void on_exit_of(fleet_t *fleet, proxy_t *proxy, int status, usec_t now)
+static void on_proxy_exit(fleet_t *fleet, proxy_t *proxy, int status, usec_t now)
 {
-	if (!proxy->killed && !fleet->stopping && !is_orderly(proxy, status) &&
-	    !came_too_early(proxy, status, now))
+	if (!proxy->killed && !fleet->stopping && !is_requested_exit(proxy, status) &&
+	    !was_signalled_while_loading(proxy, status, now))
 		finding_add(PROMISE_PROCESS, proxy->name,
 			    "ended by itself, exit %d, signal %d, %.1f ms after its start, %s",
 			    WIFEXITED(status) ? WEXITSTATUS(status) : -1,
 			    WIFSIGNALED(status) ? WTERMSIG(status) : 0,
 			    (double)(now - proxy->started_at) / USEC_PER_MSEC,
-			    proxy->term_at != 0 ? "after SIGTERM" : "without SIGTERM");
+			    proxy->sigterm_at != 0 ? "after SIGTERM" : "without SIGTERM");
 	proxy->state = PROXY_DOWN;
-	proxy->restart_at = now + proxy->down;
+	proxy->restart_at = now + proxy->restart_delay;
 }
 
-static void look_after(fleet_t *fleet, unsigned index, usec_t now)
+static void supervise_proxy(fleet_t *fleet, unsigned index, usec_t now)
 {
 	proxy_t *proxy = &fleet->proxies[index];
 	int status;
 
 	if (proxy->state != PROXY_DOWN && waitpid(proxy->pid, &status, WNOHANG) == proxy->pid)
-		on_exit_of(fleet, proxy, status, now);
+		on_proxy_exit(fleet, proxy, status, now);
 	if (proxy->state == PROXY_DOWN) {
 		if (now >= proxy->restart_at && !fleet->stopping)
 			start_proxy(fleet, index);
 		return;
 	}
 	if (proxy->paused_until != 0 && now >= proxy->paused_until)
-		resume(proxy, now);
-	if (proxy->ends_by != 0 && now >= proxy->ends_by && proxy->paused_until == 0) {
+		resume_proxy(proxy, now);
+	if (proxy->exit_deadline != 0 && now >= proxy->exit_deadline && proxy->paused_until == 0) {
 		finding_add(PROMISE_PROCESS, proxy->name, "has not ended %.1f s after SIGTERM",
-			    (double)(now - proxy->term_at) / USEC_PER_SEC);
-		fleet_kill(fleet, index, RESTART_AFTER);
-		proxy->ends_by = 0;
+			    (double)(now - proxy->sigterm_at) / USEC_PER_SEC);
+		fleet_kill_proxy(fleet, index, RESTART_DELAY);
+		proxy->exit_deadline = 0;
 	}
 }
 
@@ -312,7 +312,7 @@
 {
 	long rss = read_rss_kb(proxy->pid);
 	long fds = count_fds(proxy->pid);
-	off_t log = log_size(fleet, proxy) - proxy->log_before;
+	off_t log = log_size(fleet, proxy) - proxy->log_start_size;
 	usec_t age = now - proxy->started_at;
 
 	proxy->peak_kb = MAX(proxy->peak_kb, rss);
@@ -332,14 +332,14 @@
 		const proxy_t *proxy = &fleet->proxies[i];
 
 		/* Between fork() and exec() it has this process's memory and descriptors. */
-		if (proxy->state != PROXY_DOWN && now >= proxy->started_at + LOADED)
+		if (proxy->state != PROXY_DOWN && now >= proxy->started_at + LOAD_TIME_MAX)
 			check_bounds(fleet, &fleet->proxies[i], now);
 	}
 }
 
 /* --- the platform --- */
 
-void fleet_command(fleet_t *fleet, const char *fmt, ...)
+void fleet_send_command(fleet_t *fleet, const char *fmt, ...)
 {
 	va_list args;
 	char *text;
@@ -348,9 +348,9 @@
 	va_start(args, fmt);
 	text = g_strdup_vprintf(fmt, args);
 	va_end(args);
-	written = write(fleet->control, text, strlen(text));
+	written = write(fleet->command_fd, text, strlen(text));
 	if (written == (ssize_t)strlen(text))
-		written = write(fleet->control, "\n", 1);
+		written = write(fleet->command_fd, "\n", 1);
 	if (written != 1)
 		finding_add(PROMISE_PROCESS, "platform", "takes no commands: %s", strerror(errno));
 	g_free(text);
@@ -378,7 +378,7 @@
 	}
 }
 
-void fleet_configure(fleet_t *fleet, unsigned timeout_ms)
+void fleet_send_config(fleet_t *fleet, unsigned timeout_ms)
 {
 	GString *text = g_string_new(NULL);
 
@@ -389,11 +389,12 @@
 		add_routes(fleet, text, i);
 	g_string_append(text, "],\"services\":[");
 	for (unsigned i = 0; i < fleet->options.services; i++)
-		g_string_append_printf(
-			text, "%s{\"name\":\"%s\",\"maxConns\":%u,\"syncReplicas\":0}",
-			i != 0 ? "," : "", ledger_service_name(i), fleet->options.connections);
+		g_string_append_printf(text,
+				       "%s{\"name\":\"%s\",\"maxConns\":%u,\"syncReplicas\":0}",
+				       i != 0 ? "," : "", ledger_service_name(i),
+				       fleet->options.member_connections);
 	g_string_append(text, "],\"limits\":{\"txIdleMs\":3000}}");
-	fleet_command(fleet, "config %s", text->str);
+	fleet_send_command(fleet, "config %s", text->str);
 	g_string_free(text, TRUE);
 }
 
@@ -404,14 +405,14 @@
 		fleet->platform_paused_until = until;
 }
 
-static void on_record(loop_watch_t *watch)
+static void on_record_output(loop_watch_t *watch)
 {
-	fleet_t *fleet = list_entry(watch, fleet_t, watch);
+	fleet_t *fleet = list_entry(watch, fleet_t, record_watch);
 	char buffer[65536];
-	ssize_t n = read(fleet->record, buffer, sizeof(buffer));
+	ssize_t n = read(fleet->record_fd, buffer, sizeof(buffer));
 
 	if (n > 0) {
-		ledger_read(fleet->ledger, buffer, (size_t)n);
+		ledger_parse_output(fleet->ledger, buffer, (size_t)n);
 		return;
 	}
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
@@ -421,13 +422,13 @@
 		finding_add(PROMISE_PROCESS, "platform", "the stand-in has ended");
 }
 
-static int start_platform(fleet_t *fleet)
+static int start_standin(fleet_t *fleet)
 {
 	char *program = harness_program("tests/standin_site");
 	char *numbers[] = {g_strdup_printf("%u", fleet->options.services),
-			   g_strdup_printf("%u", fleet->options.slots),
-			   g_strdup_printf("%u", fleet->options.connections),
-			   g_strdup_printf("%d", MEMBER_LINKS),
+			   g_strdup_printf("%u", fleet->options.member_slots),
+			   g_strdup_printf("%u", fleet->options.member_connections),
+			   g_strdup_printf("%d", MEMBER_LINK_OFFSET),
 			   g_strdup_printf("%d", fleet_store_port(fleet))};
 	char *argv[] = {program,    "--services",    numbers[0], "--slots",
 			numbers[1], "--connections", numbers[2], "--link-offset",
@@ -441,10 +442,11 @@
 		fleet->platform = harness_spawn(argv, (const int[]){in[0], out[1], -1});
 		close(in[0]);
 		close(out[1]);
-		fleet->control = in[1];
-		fleet->record = out[0];
-		fcntl(fleet->record, F_SETFL, O_NONBLOCK);
-		rc = loop_watch_start(fleet->loop, &fleet->watch, fleet->record, on_record);
+		fleet->command_fd = in[1];
+		fleet->record_fd = out[0];
+		fcntl(fleet->record_fd, F_SETFL, O_NONBLOCK);
+		rc = loop_watch_start(fleet->loop, &fleet->record_watch, fleet->record_fd,
+				      on_record_output);
 	}
 	for (size_t i = 0; i < G_N_ELEMENTS(numbers); i++)
 		g_free(numbers[i]);
@@ -459,18 +461,18 @@
 	unsigned members = fleet->options.services * FLEET_MEMBERS;
 	int port = fleet_store_port(fleet) + PORT_MEMBERS;
 
-	fleet->members = talloc_zero_array(fleet, link_t *, members);
+	fleet->member_links = talloc_zero_array(fleet, link_t *, members);
 	for (unsigned i = 0; i < members; i++) {
-		fleet->members[i] = link_create(fleet, fleet->loop, port + MEMBER_LINKS + (int)i,
-						port + (int)i);
-		if (fleet->members[i] == NULL)
+		fleet->member_links[i] = link_create(
+			fleet, fleet->loop, port + MEMBER_LINK_OFFSET + (int)i, port + (int)i);
+		if (fleet->member_links[i] == NULL)
 			return -1;
 	}
 	for (unsigned i = 0; i < fleet->options.proxies; i++) {
-		fleet->proxies[i].store =
+		fleet->proxies[i].store_link =
 			link_create(fleet, fleet->loop, fleet_caller_port(fleet, i) + 4,
 				    fleet_store_port(fleet));
-		if (fleet->proxies[i].store == NULL)
+		if (fleet->proxies[i].store_link == NULL)
 			return -1;
 	}
 	return 0;
@@ -479,26 +481,27 @@
 static int destructor(fleet_t *fleet)
 {
 	for (unsigned i = 0; i < fleet->options.proxies; i++)
-		g_array_unref(fleet->proxies[i].disturbed);
+		g_array_unref(fleet->proxies[i].disturbances);
 	for (unsigned i = 0; i < SERVICES_MAX; i++)
-		g_array_unref(fleet->member_trouble[i]);
+		g_array_unref(fleet->member_faults[i]);
 	return 0;
 }
 
-static void init(fleet_t *fleet)
+static void init_proxies(fleet_t *fleet)
 {
 	for (unsigned i = 0; i < fleet->options.proxies; i++) {
 		proxy_t *proxy = &fleet->proxies[i];
 
 		snprintf(proxy->name, sizeof(proxy->name), "p%u", i);
-		proxy->disturbed = g_array_new(FALSE, FALSE, sizeof(span_t));
+		proxy->disturbances = g_array_new(FALSE, FALSE, sizeof(span_t));
 	}
-	fleet->block_count = 1 + (fleet->options.proxies + PROXIES_A_BLOCK - 1) / PROXIES_A_BLOCK;
-	fleet->blocks = talloc_zero_array(fleet, ports_t, fleet->block_count);
-	for (unsigned i = 0; i < fleet->block_count; i++)
-		ports_take(&fleet->blocks[i]);
+	fleet->port_block_count =
+		1 + (fleet->options.proxies + PROXIES_PER_BLOCK - 1) / PROXIES_PER_BLOCK;
+	fleet->port_blocks = talloc_zero_array(fleet, ports_t, fleet->port_block_count);
+	for (unsigned i = 0; i < fleet->port_block_count; i++)
+		ports_take(&fleet->port_blocks[i]);
 	for (unsigned i = 0; i < SERVICES_MAX; i++)
-		fleet->member_trouble[i] = g_array_new(FALSE, FALSE, sizeof(span_t));
+		fleet->member_faults[i] = g_array_new(FALSE, FALSE, sizeof(span_t));
 	talloc_set_destructor(fleet, destructor);
 }
 
@@ -511,12 +514,12 @@
 	fleet->ledger = ledger;
 	fleet->config_version = 3;
 	fleet->proxies = talloc_zero_array(fleet, proxy_t, options->proxies);
-	init(fleet);
-	if (create_links(fleet) < 0 || start_platform(fleet) < 0) {
+	init_proxies(fleet);
+	if (create_links(fleet) < 0 || start_standin(fleet) < 0) {
 		talloc_free(fleet);
 		return NULL;
 	}
-	fleet_configure(fleet, 800);
+	fleet_send_config(fleet, 800);
 	for (unsigned i = 0; i < options->proxies; i++)
 		start_proxy(fleet, i);
 	return fleet;
@@ -525,7 +528,7 @@
 void fleet_tick(fleet_t *fleet, usec_t now)
 {
 	for (unsigned i = 0; i < fleet->options.proxies; i++)
-		look_after(fleet, i, now);
+		supervise_proxy(fleet, i, now);
 	if (fleet->platform_paused_until != 0 && now >= fleet->platform_paused_until) {
 		kill(fleet->platform, SIGCONT);
 		fleet->platform_paused_until = 0;
@@ -535,14 +538,14 @@
 void fleet_stop(fleet_t *fleet)
 {
 	fleet->stopping = true;
-	loop_watch_stop(&fleet->watch);
+	loop_watch_stop(&fleet->record_watch);
 	for (unsigned i = 0; i < fleet->options.proxies; i++) {
 		if (fleet->proxies[i].state != PROXY_DOWN)
 			harness_kill(&fleet->proxies[i].pid);
 	}
 	harness_kill(&fleet->platform);
-	for (unsigned i = 0; i < fleet->block_count; i++)
-		ports_release(&fleet->blocks[i]);
-	close(fleet->control);
-	close(fleet->record);
+	for (unsigned i = 0; i < fleet->port_block_count; i++)
+		ports_release(&fleet->port_blocks[i]);
+	close(fleet->command_fd);
+	close(fleet->record_fd);
 }
--- a/soak/fleet.h
+++ b/soak/fleet.h
@@ -15,14 +15,14 @@
 
 #define FLEET_MEMBERS 3 /* of a service */
 /* As the settings of proxies say. */
-#define FLEET_GRACE (4 * USEC_PER_SEC)
+#define FLEET_SHUTDOWN_GRACE (4 * USEC_PER_SEC)
 
 typedef struct fleet_options {
 	unsigned proxies;
 	unsigned services;
-	unsigned connections; /* that a member allows */
-	unsigned slots;	      /* of a member */
-	const char *dir;      /* settings and logs */
+	unsigned member_connections; /* that a member allows */
+	unsigned member_slots;	     /* of a member */
+	const char *dir;	     /* settings and logs */
 } fleet_options_t;
 
 /* When something was harmed; the last span may reach into the future. */
@@ -31,7 +31,7 @@
 	usec_t to;
 } span_t;
 
-typedef enum { PROXY_DOWN, PROXY_RUNS, PROXY_ENDS } proxy_state_t;
+typedef enum { PROXY_DOWN, PROXY_RUNNING, PROXY_STOPPING } proxy_state_t;
 
 typedef struct proxy {
 	char name[16];
@@ -39,36 +39,36 @@
 	proxy_state_t state;
 	bool killed; /* by us, so that its end is no finding */
 	usec_t started_at;
-	usec_t term_at; /* of the SIGTERM under way, 0: none */
-	usec_t down;	/* from its end to its next start */
+	usec_t sigterm_at;    /* of the SIGTERM under way, 0: none */
+	usec_t restart_delay; /* from its end to its next start */
 	usec_t restart_at;
-	usec_t paused_until; /* 0: it is not paused */
-	GArray *disturbed;   /* span_t: paused, killed, its way to the store harmed */
-	usec_t ends_by;	     /* it must have ended by then, 0: it need not */
+	usec_t paused_until;  /* 0: it is not paused */
+	GArray *disturbances; /* span_t: paused, killed, its way to the store harmed */
+	usec_t exit_deadline; /* it must have ended by then, 0: it need not */
 	bool log_verbose;
-	link_t *store;
-	off_t log_before; /* size of its log at its start */
+	link_t *store_link;
+	off_t log_start_size; /* size of its log at its start */
 	long peak_kb;
 	long peak_fds;
-	size_t asked;  /* statements since the clients' last mark */
-	size_t served; /* operations, the same */
+	size_t statements_sent; /* statements since the clients' last mark */
+	size_t operations_done; /* operations, the same */
 } proxy_t;
 
 typedef struct fleet {
 	fleet_options_t options;
 	loop_t *loop;
 	ledger_t *ledger;
-	ports_t *blocks; /* the platform's and the members' links, then those of a dozen proxies
-			    each */
-	unsigned block_count;
+	ports_t *port_blocks; /* the platform's and the members' links, then those of a dozen
+			    proxies each */
+	unsigned port_block_count;
 	pid_t platform;
-	int control; /* commands to the stand-in */
-	int record;  /* its output */
-	loop_watch_t watch;
+	int command_fd; /* commands to the stand-in */
+	int record_fd;	/* its output */
+	loop_watch_t record_watch;
 	usec_t platform_paused_until;
 	proxy_t *proxies;
-	link_t **members;
-	GArray *member_trouble[SERVICES_MAX]; /* span_t: of members, or of the ways to them */
+	link_t **member_links;
+	GArray *member_faults[SERVICES_MAX]; /* span_t: of members, or of the ways to them */
 	unsigned config_version;
 	unsigned timeout_ms; /* of routes */
 	bool stopping;
@@ -90,32 +90,32 @@
 int fleet_caller_port(const fleet_t *fleet, unsigned proxy);
 
 /* Add a span_t to spans. */
-void fleet_note_span(GArray *spans, usec_t from, usec_t duration);
+void fleet_add_span(GArray *spans, usec_t from, usec_t duration);
 
 /* True if any of the spans touches the time from the first to the second. */
-bool fleet_overlaps(const GArray *spans, usec_t from, usec_t to);
+bool fleet_spans_overlap(const GArray *spans, usec_t from, usec_t to);
 
 /* One command to the stand-in. */
-void fleet_command(fleet_t *fleet, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void fleet_send_command(fleet_t *fleet, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 
 /* A new configuration with this timeout of routes. */
-void fleet_configure(fleet_t *fleet, unsigned timeout_ms);
+void fleet_send_config(fleet_t *fleet, unsigned timeout_ms);
 
 /* SIGSTOP, and SIGCONT at the time given. */
-void fleet_pause(fleet_t *fleet, unsigned proxy, usec_t until);
+void fleet_pause_proxy(fleet_t *fleet, unsigned proxy, usec_t until);
 
 /* SIGKILL or SIGTERM; it is started again so long after its end. */
-void fleet_kill(fleet_t *fleet, unsigned proxy, usec_t down);
-void fleet_term(fleet_t *fleet, unsigned proxy, usec_t down);
+void fleet_kill_proxy(fleet_t *fleet, unsigned proxy, usec_t restart_delay);
+void fleet_stop_proxy(fleet_t *fleet, unsigned proxy, usec_t restart_delay);
 
 /* SIGHUP with settings that have changed. */
-void fleet_hangup(fleet_t *fleet, unsigned proxy);
+void fleet_reload(fleet_t *fleet, unsigned proxy);
 
 /* The stand-in stands still, with the store and all members. */
 void fleet_pause_platform(fleet_t *fleet, usec_t until);
 
 /* Port of the door that turns away calls to the store. */
-int fleet_closed_door(const fleet_t *fleet);
+int fleet_refusing_port(const fleet_t *fleet);
 
 /* Port of the store itself. */
 int fleet_store_port(const fleet_t *fleet);
--- a/soak/inject.h
+++ b/soak/inject.h
@@ -7,11 +7,11 @@
 typedef struct inject {
 	fleet_t *fleet;
 	const plan_t *plan;
-	guint next;	/* fault of the plan */
-	usec_t started; /* 0: not yet */
-	list_t undos;
-	unsigned replaced; /* members so far, so that ids differ */
-	bool verbose;	   /* tell each fault as it comes */
+	guint next;	   /* fault of the plan */
+	usec_t started_at; /* 0: not yet */
+	list_t followups;
+	unsigned replacement_count; /* members so far, so that ids differ */
+	bool verbose;		    /* tell each fault as it comes */
 } inject_t;
 
 /* A child of parent. verbose: tell each fault as it comes. */
@@ -27,4 +27,4 @@
 bool inject_is_over(const inject_t *inject, usec_t now);
 
 /* Take back what waits for its occasion: answers to be lost, statements to be refused. */
-void inject_end(inject_t *inject);
+void inject_clear_pending(inject_t *inject);
--- a/soak/ledger.c
+++ b/soak/ledger.c
@@ -11,7 +11,7 @@
 
 #define FIELDS_MAX 12
 /* Terms start at 1; the first that a promote begins is 2. */
-#define FIRST_PROMOTED 2
+#define FIRST_PROMOTED_TERM 2
 
 static const char *const service_names[SERVICES_MAX] = {"core",	 "ledger", "fleet", "stock",
 							"depot", "crew",   "rota",  "map"};
@@ -21,7 +21,7 @@
 	return service_names[service];
 }
 
-unsigned ledger_service(const char *name)
+unsigned ledger_service_number(const char *name)
 {
 	size_t len = strcspn(name, "-");
 
@@ -38,7 +38,7 @@
 {
 	for (size_t i = 0; i < SERVICES_MAX; i++) {
 		g_array_unref(ledger->services[i].branches);
-		g_ptr_array_unref(ledger->services[i].acks);
+		g_ptr_array_unref(ledger->services[i].acknowledged_writes);
 	}
 	g_hash_table_unref(ledger->statements);
 	g_hash_table_unref(ledger->transactions);
@@ -53,13 +53,13 @@
 	ledger->transactions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	for (size_t i = 0; i < SERVICES_MAX; i++) {
 		ledger->services[i].branches = g_array_new(FALSE, TRUE, sizeof(branch_t));
-		ledger->services[i].acks = g_ptr_array_new();
+		ledger->services[i].acknowledged_writes = g_ptr_array_new();
 	}
 	talloc_set_destructor(ledger, destructor);
 	return ledger;
 }
 
-attempt_t *ledger_begin(ledger_t *ledger, unsigned service, read_kind_t reads, usec_t max_age)
+attempt_t *ledger_add_attempt(ledger_t *ledger, unsigned service, read_kind_t reads, usec_t max_age)
 {
 	attempt_t *attempt = talloc_zero(ledger, attempt_t);
 
@@ -71,20 +71,20 @@
 	return attempt;
 }
 
-statement_t *ledger_add(ledger_t *ledger, attempt_t *attempt, kind_t kind)
+statement_t *ledger_add_statement(ledger_t *ledger, attempt_t *attempt, statement_kind_t kind)
 {
 	statement_t *statement = talloc_zero(attempt, statement_t);
 
 	statement->attempt = attempt;
 	statement->kind = kind;
-	snprintf(statement->id, sizeof(statement->id), "q%" PRIu64, ++ledger->next_id);
+	snprintf(statement->id, sizeof(statement->id), "q%" PRIu64, ++ledger->last_id);
 	if (attempt->last != NULL)
 		attempt->last->next = statement;
 	else
 		attempt->first = statement;
 	attempt->last = statement;
 	if (kind == KIND_COMMIT)
-		attempt->commit_asked = true;
+		attempt->commit_requested = true;
 	g_hash_table_insert(ledger->statements, statement->id, statement);
 	return statement;
 }
@@ -98,23 +98,25 @@
 	if (statement->kind != KIND_COMMIT)
 		return false;
 	for (const statement_t *it = attempt->first; it != NULL; it = it->next) {
-		if (it->kind == KIND_WRITE && it->fate == FATE_DONE)
+		if (it->kind == KIND_WRITE && it->status == STATEMENT_DONE)
 			return true;
 	}
 	return false;
 }
 
-void ledger_answered(ledger_t *ledger, statement_t *statement, fate_t fate, usec_t now)
+void ledger_record_answer(ledger_t *ledger, statement_t *statement, statement_status_t status,
+			  usec_t now)
 {
-	statement->fate = fate;
+	statement->status = status;
 	statement->ended_at = now;
-	if (fate == FATE_REFUSED)
+	if (status == STATEMENT_REFUSED)
 		statement->attempt->refused = true;
-	if (fate == FATE_DONE && acknowledges_writes(statement))
-		g_ptr_array_add(ledger->services[statement->attempt->service].acks, statement);
+	if (status == STATEMENT_DONE && acknowledges_writes(statement))
+		g_ptr_array_add(ledger->services[statement->attempt->service].acknowledged_writes,
+				statement);
 }
 
-const statement_t *ledger_committed_write(const attempt_t *attempt)
+const statement_t *ledger_find_committed_write(const attempt_t *attempt)
 {
 	for (const statement_t *it = attempt->first; it != NULL; it = it->next) {
 		if (it->commits != NULL)
@@ -127,25 +129,26 @@
 
 uint64_t ledger_newest_term(const ledger_t *ledger, unsigned service)
 {
-	return ledger->services[service].branches->len + FIRST_PROMOTED - 1;
+	return ledger->services[service].branches->len + FIRST_PROMOTED_TERM - 1;
 }
 
-const branch_t *ledger_branch(const ledger_t *ledger, unsigned service, uint64_t term)
+const branch_t *ledger_find_branch(const ledger_t *ledger, unsigned service, uint64_t term)
 {
 	const GArray *branches = ledger->services[service].branches;
 	const branch_t *branch;
 
-	if (term < FIRST_PROMOTED || term - FIRST_PROMOTED >= branches->len)
+	if (term < FIRST_PROMOTED_TERM || term - FIRST_PROMOTED_TERM >= branches->len)
 		return NULL;
-	branch = &g_array_index(branches, branch_t, term - FIRST_PROMOTED);
+	branch = &g_array_index(branches, branch_t, term - FIRST_PROMOTED_TERM);
 	return branch->at != 0 ? branch : NULL;
 }
 
-bool ledger_holds(const ledger_t *ledger, unsigned service, position_t log, position_t position)
+bool ledger_log_includes(const ledger_t *ledger, unsigned service, position_t log,
+			 position_t position)
 {
 	/* From branch to branch back to the one that the commit was made on. */
 	while (log.term > position.term) {
-		const branch_t *branch = ledger_branch(ledger, service, log.term);
+		const branch_t *branch = ledger_find_branch(ledger, service, log.term);
 
 		if (branch == NULL)
 			return false;
@@ -154,14 +157,15 @@
 	return log.term == position.term && log.number >= position.number;
 }
 
-bool ledger_rolled_back(const ledger_t *ledger, unsigned service, position_t position, usec_t *at)
+bool ledger_was_rolled_back(const ledger_t *ledger, unsigned service, position_t position,
+			    usec_t *at)
 {
 	uint64_t newest = ledger_newest_term(ledger, service);
 
 	for (uint64_t term = position.term + 1; term <= newest; term++) {
-		const branch_t *branch = ledger_branch(ledger, service, term);
+		const branch_t *branch = ledger_find_branch(ledger, service, term);
 
-		if (branch == NULL || ledger_holds(ledger, service, branch->base, position))
+		if (branch == NULL || ledger_log_includes(ledger, service, branch->base, position))
 			continue;
 		*at = branch->at;
 		return true;
@@ -198,7 +202,7 @@
 	return found;
 }
 
-static bool same_value(const char *left, const char *right, const char *name)
+static bool has_same_value(const char *left, const char *right, const char *name)
 {
 	size_t left_len = 0;
 	size_t right_len = 0;
@@ -211,40 +215,40 @@
 }
 
 /* Names of prepared statements may differ: "EXEC name item data". */
-static bool same_text(const char *asked, const char *ran)
+static bool has_same_text(const char *sent, const char *ran)
 {
-	if (strncmp(asked, "EXEC ", 5) != 0 || strncmp(ran, "EXEC ", 5) != 0)
-		return strcmp(asked, ran) == 0;
-	asked = strchr(asked + 5, ' ');
+	if (strncmp(sent, "EXEC ", 5) != 0 || strncmp(ran, "EXEC ", 5) != 0)
+		return strcmp(sent, ran) == 0;
+	sent = strchr(sent + 5, ' ');
 	ran = strchr(ran + 5, ' ');
-	return asked != NULL && ran != NULL && strcmp(asked, ran) == 0;
+	return sent != NULL && ran != NULL && strcmp(sent, ran) == 0;
 }
 
-static void check_tx(ledger_t *ledger, const statement_t *statement, const char *member,
-		     uint64_t tx)
+static void check_transaction(ledger_t *ledger, const statement_t *statement, const char *member,
+			      uint64_t tx_number)
 {
 	attempt_t *attempt = statement->attempt;
 	char *key;
-	attempt_t *known;
+	attempt_t *known_attempt;
 
-	if (!attempt->in_tx || tx == 0) {
-		if (attempt->in_tx != (tx != 0))
+	if (!attempt->in_tx || tx_number == 0) {
+		if (attempt->in_tx != (tx_number != 0))
 			finding_add(PROMISE_PINNED, statement->id,
-				    "in transaction %" PRIu64 " of member %s", tx, member);
+				    "in transaction %" PRIu64 " of member %s", tx_number, member);
 		return;
 	}
-	if (attempt->tx != 0 && attempt->tx != tx)
+	if (attempt->tx_number != 0 && attempt->tx_number != tx_number)
 		finding_add(PROMISE_PINNED, statement->id,
-			    "in transaction %" PRIu64 " of member %s, begun in %" PRIu64, tx,
-			    member, attempt->tx);
-	attempt->tx = tx;
-	key = g_strdup_printf("%u %" PRIu64, attempt->service, tx);
-	known = g_hash_table_lookup(ledger->transactions, key);
-	if (known != NULL && known != attempt)
+			    "in transaction %" PRIu64 " of member %s, begun in %" PRIu64, tx_number,
+			    member, attempt->tx_number);
+	attempt->tx_number = tx_number;
+	key = g_strdup_printf("%u %" PRIu64, attempt->service, tx_number);
+	known_attempt = g_hash_table_lookup(ledger->transactions, key);
+	if (known_attempt != NULL && known_attempt != attempt)
 		finding_add(PROMISE_PINNED, statement->id,
-			    "in transaction %" PRIu64 " of member %s, which is that of %s", tx,
-			    member, known->first->id);
-	if (known == NULL)
+			    "in transaction %" PRIu64 " of member %s, which is that of %s",
+			    tx_number, member, known_attempt->first->id);
+	if (known_attempt == NULL)
 		g_hash_table_insert(ledger->transactions, key, attempt);
 	else
 		g_free(key);
@@ -255,19 +259,19 @@
 	static const char *const names[] = {"tz", "lang"};
 	const char *values = fields[7];
 
-	if (!same_text(statement->text, fields[10]))
+	if (!has_same_text(statement->text, fields[10]))
 		finding_add(PROMISE_UNASKED, statement->id, "asked \"%s\", member %s ran \"%s\"",
 			    statement->text, fields[3], fields[10]);
-	if (strcmp(statement->shape, fields[8]) != 0)
+	if (strcmp(statement->prepared_shape, fields[8]) != 0)
 		finding_add(PROMISE_PINNED, statement->id, "prepared as %s, ran as %s at %s",
-			    statement->shape, fields[8], fields[3]);
+			    statement->prepared_shape, fields[8], fields[3]);
 	for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
-		if (!same_value(statement->values, values, names[i]))
+		if (!has_same_value(statement->session_values, values, names[i]))
 			finding_add(PROMISE_PINNED, statement->id,
 				    "with the values \"%s\" at %s, its session has \"%s\"", values,
-				    fields[3], statement->values);
+				    fields[3], statement->session_values);
 	}
-	check_tx(ledger, statement, fields[3], strtoull(fields[4], NULL, 10));
+	check_transaction(ledger, statement, fields[3], strtoull(fields[4], NULL, 10));
 }
 
 static statement_t *find_statement(const ledger_t *ledger, char *const *fields)
@@ -290,8 +294,8 @@
 		return;
 	run = talloc_zero(statement, run_t);
 	run->at = strtoull(fields[1], NULL, 10);
-	run->number = strtoull(fields[5], NULL, 10);
-	run->log = parse_position(fields[6]);
+	run->signature_number = strtoull(fields[5], NULL, 10);
+	run->log_position = parse_position(fields[6]);
 	snprintf(run->member, sizeof(run->member), "%s", fields[3]);
 	snprintf(run->row, sizeof(run->row), "%s", fields[9]);
 	run->next = statement->runs;
@@ -312,7 +316,7 @@
 	commit->position = parse_position(fields[4]);
 	commit->next = statement->commits;
 	statement->commits = commit;
-	if (statement->attempt->in_tx && !statement->attempt->commit_asked)
+	if (statement->attempt->in_tx && !statement->attempt->commit_requested)
 		finding_add(PROMISE_UNASKED, statement->id,
 			    "committed at %s, its caller has not asked for that", fields[3]);
 }
@@ -320,53 +324,53 @@
 /* P, time, service, member, term, length, term of the last entry */
 static void on_promote(ledger_t *ledger, char *const *fields)
 {
-	GArray *branches = ledger->services[ledger_service(fields[2])].branches;
+	GArray *branches = ledger->services[ledger_service_number(fields[2])].branches;
 	uint64_t term = strtoull(fields[4], NULL, 10);
 	branch_t *branch;
 
-	if (term < FIRST_PROMOTED)
+	if (term < FIRST_PROMOTED_TERM)
 		return;
-	if (branches->len < term - FIRST_PROMOTED + 1)
-		g_array_set_size(branches, (guint)(term - FIRST_PROMOTED + 1));
-	branch = &g_array_index(branches, branch_t, term - FIRST_PROMOTED);
+	if (branches->len < term - FIRST_PROMOTED_TERM + 1)
+		g_array_set_size(branches, (guint)(term - FIRST_PROMOTED_TERM + 1));
+	branch = &g_array_index(branches, branch_t, term - FIRST_PROMOTED_TERM);
 	branch->at = strtoull(fields[1], NULL, 10);
 	branch->base.number = strtoull(fields[5], NULL, 10);
 	branch->base.term = strtoull(fields[6], NULL, 10);
 	snprintf(branch->member, sizeof(branch->member), "%s", fields[3]);
-	ledger->promotes++;
+	ledger->promote_count++;
 }
 
 /* K, time, holder, fence, service, member, done */
-static void on_call(ledger_t *ledger, char *const *fields)
+static void on_promote_call(ledger_t *ledger, char *const *fields)
 {
-	uint64_t fence = strtoull(fields[3], NULL, 10);
+	uint64_t fencing_token = strtoull(fields[3], NULL, 10);
 
-	if (fence < ledger->fence)
+	if (fencing_token < ledger->fencing_token)
 		finding_add(PROMISE_ONE_PROMOTE, fields[4],
 			    "%s promotes with fence %" PRIu64 " after %s with %" PRIu64, fields[2],
-			    fence, ledger->holder, ledger->fence);
-	else if (fence == ledger->fence && strcmp(fields[2], ledger->holder) != 0)
+			    fencing_token, ledger->leader, ledger->fencing_token);
+	else if (fencing_token == ledger->fencing_token && strcmp(fields[2], ledger->leader) != 0)
 		finding_add(PROMISE_ONE_PROMOTE, fields[4],
 			    "%s and %s promote with the same fence %" PRIu64, fields[2],
-			    ledger->holder, fence);
-	if (fence < ledger->fence)
+			    ledger->leader, fencing_token);
+	if (fencing_token < ledger->fencing_token)
 		return;
-	ledger->fence = fence;
-	snprintf(ledger->holder, sizeof(ledger->holder), "%s", fields[2]);
+	ledger->fencing_token = fencing_token;
+	snprintf(ledger->leader, sizeof(ledger->leader), "%s", fields[2]);
 }
 
 typedef struct record_kind {
 	char letter;
 	size_t fields;
-	void (*take)(ledger_t *ledger, char *const *fields);
+	void (*handle)(ledger_t *ledger, char *const *fields);
 } record_kind_t;
 
 static const record_kind_t record_kinds[] = {
-	{'R', 11, on_run}, {'C', 7, on_commit}, {'P', 7, on_promote},
-	{'K', 7, on_call}, {'S', 3, NULL},
+	{'R', 11, on_run},	   {'C', 7, on_commit}, {'P', 7, on_promote},
+	{'K', 7, on_promote_call}, {'S', 3, NULL},
 };
 
-static void take_line(ledger_t *ledger, char *line)
+static void parse_record(ledger_t *ledger, char *line)
 {
 	char *fields[FIELDS_MAX] = {line};
 	size_t count = 1;
@@ -381,13 +385,13 @@
 
 		if (line[0] != kind->letter || count < kind->fields)
 			continue;
-		if (kind->take != NULL)
-			kind->take(ledger, fields);
-		ledger->horizon = strtoull(fields[1], NULL, 10);
+		if (kind->handle != NULL)
+			kind->handle(ledger, fields);
+		ledger->complete_until = strtoull(fields[1], NULL, 10);
 	}
 }
 
-void ledger_read(ledger_t *ledger, const char *data, size_t len)
+void ledger_parse_output(ledger_t *ledger, const char *data, size_t len)
 {
 	for (size_t i = 0; i < len; i++) {
 		if (data[i] != '\n') {
@@ -397,6 +401,6 @@
 		}
 		ledger->line[ledger->line_len] = '\0';
 		ledger->line_len = 0;
-		take_line(ledger, ledger->line);
+		parse_record(ledger, ledger->line);
 	}
 }
--- a/soak/ledger.h
+++ b/soak/ledger.h
@@ -14,17 +14,24 @@
 #define SERVICES_MAX 8
 #define TEXT_MAX     96
 
-typedef enum { KIND_BEGIN, KIND_READ, KIND_WRITE, KIND_COMMIT, KIND_ROLLBACK, KIND_SETUP } kind_t;
+typedef enum {
+	KIND_BEGIN,
+	KIND_READ,
+	KIND_WRITE,
+	KIND_COMMIT,
+	KIND_ROLLBACK,
+	KIND_SETUP
+} statement_kind_t;
 
-typedef enum { READS_ANY_PRIMARY, READS_MAX_AGE, READS_OWN_WRITES } read_kind_t;
+typedef enum { READS_PRIMARY, READS_MAX_AGE, READS_OWN_WRITES } read_kind_t;
 
 /* What the answer says of the statement. */
 typedef enum {
-	FATE_OPEN,
-	FATE_DONE,
-	FATE_REFUSED, /* with the promise that nothing of the attempt is kept */
-	FATE_UNSURE,
-} fate_t;
+	STATEMENT_PENDING,
+	STATEMENT_DONE,
+	STATEMENT_REFUSED, /* with the promise that nothing of the attempt is kept */
+	STATEMENT_UNKNOWN,
+} statement_status_t;
 
 /* Of a member's log; 0.0: before everything. */
 typedef struct position {
@@ -35,10 +42,10 @@
 typedef struct run {
 	struct run *next;
 	usec_t at;
-	uint64_t number; /* of the signature */
+	uint64_t signature_number; /* of the signature */
 	char member[48];
 	char row[64];
-	position_t log; /* that a read saw */
+	position_t log_position; /* that a read saw */
 } run_t;
 
 typedef struct commit {
@@ -55,12 +62,12 @@
 	usec_t max_age;
 	usec_t began_at; /* before its first byte left */
 	bool in_tx;
-	bool commit_asked;
+	bool commit_requested;
 	bool refused;
-	uint64_t tx; /* at the member, 0: not seen yet */
+	uint64_t tx_number; /* at the member, 0: not seen yet */
 	struct statement *first;
 	struct statement *last;
-	const struct statement *own_commit; /* last one of the session before it */
+	const struct statement *previous_commit; /* last one of the session before it */
 } attempt_t;
 
 typedef struct statement {
@@ -68,14 +75,14 @@
 	attempt_t *attempt;
 	char id[24];
 	char text[TEXT_MAX];
-	char shape[24];	       /* of a prepared statement */
-	char values[TEXT_MAX]; /* the session's, as acknowledged */
-	kind_t kind;
+	char prepared_shape[24];       /* of a prepared statement */
+	char session_values[TEXT_MAX]; /* the session's, as acknowledged */
+	statement_kind_t kind;
 	unsigned proxy;
 	usec_t sent_at;
 	usec_t ended_at; /* answer or close */
-	fate_t fate;
-	char code[16]; /* of an error */
+	statement_status_t status;
+	char error_code[16]; /* of an error */
 	char row[64];
 	char signature[80];
 	run_t *runs;
@@ -91,7 +98,8 @@
 
 typedef struct ledger_service {
 	GArray *branches; /* branch_t by term less 2; a gap has at 0 */
-	GPtrArray *acks;  /* statement_t whose write was acknowledged, in that order */
+	GPtrArray
+		*acknowledged_writes; /* statement_t whose write was acknowledged, in that order */
 } ledger_service_t;
 
 typedef struct ledger {
@@ -99,47 +107,51 @@
 	GHashTable *transactions; /* "service tx" to its attempt */
 	attempt_t *attempts;
 	ledger_service_t services[SERVICES_MAX];
-	usec_t horizon; /* what members did before this is known */
-	uint64_t fence; /* highest that was used */
-	char holder[64];
-	size_t promotes;
+	usec_t complete_until;	/* what members did before this is known */
+	uint64_t fencing_token; /* highest that was used */
+	char leader[64];
+	size_t promote_count;
 	char line[2048];
 	size_t line_len;
-	uint64_t next_id;
+	uint64_t last_id;
 } ledger_t;
 
 /* A child of parent, as are its records. */
 ledger_t *ledger_create(void *parent);
 
 /* A new attempt; max_age: how old its reads may be at most, 0 for those of the primary. */
-attempt_t *ledger_begin(ledger_t *ledger, unsigned service, read_kind_t reads, usec_t max_age);
+attempt_t *ledger_add_attempt(ledger_t *ledger, unsigned service, read_kind_t reads,
+			      usec_t max_age);
 
 /* A statement of the attempt with a fresh id; its text is the caller's to fill in. */
-statement_t *ledger_add(ledger_t *ledger, attempt_t *attempt, kind_t kind);
+statement_t *ledger_add_statement(ledger_t *ledger, attempt_t *attempt, statement_kind_t kind);
 
 /* The answer has come whole; what it acknowledges holds from now on. */
-void ledger_answered(ledger_t *ledger, statement_t *statement, fate_t fate, usec_t now);
+void ledger_record_answer(ledger_t *ledger, statement_t *statement, statement_status_t status,
+			  usec_t now);
 
 /* Some of the stand-in's output. */
-void ledger_read(ledger_t *ledger, const char *data, size_t len);
+void ledger_parse_output(ledger_t *ledger, const char *data, size_t len);
 
 /* The first write of an attempt that has commits, or NULL. */
-const statement_t *ledger_committed_write(const attempt_t *attempt);
+const statement_t *ledger_find_committed_write(const attempt_t *attempt);
 
 /* The branch that the term began, NULL for the first term and for one that nobody saw begin. */
-const branch_t *ledger_branch(const ledger_t *ledger, unsigned service, uint64_t term);
+const branch_t *ledger_find_branch(const ledger_t *ledger, unsigned service, uint64_t term);
 
 /* The term that is newest in the service. */
 uint64_t ledger_newest_term(const ledger_t *ledger, unsigned service);
 
 /* A log that ends at log holds what was committed at position. */
-bool ledger_holds(const ledger_t *ledger, unsigned service, position_t log, position_t position);
+bool ledger_log_includes(const ledger_t *ledger, unsigned service, position_t log,
+			 position_t position);
 
 /* A promote left it out: who leads now lacks it. *at: when. */
-bool ledger_rolled_back(const ledger_t *ledger, unsigned service, position_t position, usec_t *at);
+bool ledger_was_rolled_back(const ledger_t *ledger, unsigned service, position_t position,
+			    usec_t *at);
 
 /* The number of a service by its name or by one of its members' ids. */
-unsigned ledger_service(const char *name);
+unsigned ledger_service_number(const char *name);
 
 /* The name of the service of this number. */
 const char *ledger_service_name(unsigned service);
--- a/soak/link.c
+++ b/soak/link.c
@@ -7,9 +7,9 @@
 #include <talloc.h>
 
 /* Sent data unacknowledged for so long ends a connection; longer than any fault of a soak. */
-#define SILENCE_MS 60000
+#define TCP_USER_TIMEOUT_MS 60000
 /* A member drops a connection whose remote end has been out of reach for so long. */
-#define DROPPED_AFTER (3 * USEC_PER_SEC)
+#define DROP_DELAY (3 * USEC_PER_SEC)
 
 typedef struct chunk {
 	list_t node;
@@ -22,8 +22,8 @@
 	struct pair *pair;
 	stream_t *to;
 	list_t chunks;
-	usec_t free_at; /* with a limited rate: when the next byte may leave */
-	bool ended;	/* the sender has closed; the receiver hears of it after the chunks */
+	usec_t free_at;	    /* with a limited rate: when the next byte may leave */
+	bool sender_closed; /* the sender has closed; the receiver hears of it after the chunks */
 	run_timer_t timer;
 } flow_t;
 
@@ -34,26 +34,26 @@
 	stream_t target;
 	flow_t flows[LINK_DIRECTIONS];
 	bool silent;
-	run_timer_t drop;
+	run_timer_t drop_timer;
 } pair_t;
 
-static usec_t now_of(const link_t *link)
+static usec_t link_now(const link_t *link)
 {
 	return clock_now(link->loop->clock);
 }
 
-static void dispose(pair_t *pair)
+static void destroy_pair(pair_t *pair)
 {
 	for (int i = 0; i < LINK_DIRECTIONS; i++)
 		timers_cancel(&pair->link->loop->timers, &pair->flows[i].timer);
-	timers_cancel(&pair->link->loop->timers, &pair->drop);
+	timers_cancel(&pair->link->loop->timers, &pair->drop_timer);
 	stream_close(&pair->caller);
 	stream_close(&pair->target);
 	list_del(&pair->node);
 	talloc_free(pair);
 }
 
-static void reset(stream_t *stream)
+static void set_reset_on_close(stream_t *stream)
 {
 	const struct linger now = {.l_onoff = 1, .l_linger = 0};
 
@@ -64,12 +64,12 @@
 
 static void reset_pair(pair_t *pair)
 {
-	reset(&pair->caller);
-	reset(&pair->target);
-	dispose(pair);
+	set_reset_on_close(&pair->caller);
+	set_reset_on_close(&pair->target);
+	destroy_pair(pair);
 }
 
-static bool is_held(const flow_t *flow)
+static bool is_blocked(const flow_t *flow)
 {
 	const pair_t *pair = flow->pair;
 
@@ -77,12 +77,12 @@
 }
 
 /* Pass on what is due. The pair may be gone afterwards. */
-static void pump(flow_t *flow)
+static void forward_due_chunks(flow_t *flow)
 {
 	pair_t *pair = flow->pair;
-	usec_t now = now_of(pair->link);
+	usec_t now = link_now(pair->link);
 
-	while (!is_held(flow) && !list_empty(&flow->chunks)) {
+	while (!is_blocked(flow) && !list_empty(&flow->chunks)) {
 		chunk_t *chunk = list_entry(flow->chunks.next, chunk_t, node);
 
 		if (chunk->due > now) {
@@ -97,20 +97,20 @@
 		list_del(&chunk->node);
 		talloc_free(chunk);
 	}
-	if (!is_held(flow) && flow->ended)
+	if (!is_blocked(flow) && flow->sender_closed)
 		stream_finish(flow->to);
 }
 
-static void on_due(run_timer_t *timer, usec_t now)
+static void on_chunk_due(run_timer_t *timer, usec_t now)
 {
 	(void)now;
-	pump(list_entry(timer, flow_t, timer));
+	forward_due_chunks(list_entry(timer, flow_t, timer));
 }
 
-static usec_t due_at(flow_t *flow, size_t len)
+static usec_t schedule_chunk(flow_t *flow, size_t len)
 {
 	const link_t *link = flow->pair->link;
-	usec_t at = now_of(link) + link->delay;
+	usec_t at = link_now(link) + link->delay;
 
 	if (link->rate == 0)
 		return at;
@@ -119,56 +119,56 @@
 	return flow->free_at;
 }
 
-static size_t pass(flow_t *flow, const char *data, size_t len)
+static size_t queue_chunk(flow_t *flow, const char *data, size_t len)
 {
 	pair_t *pair = flow->pair;
 	chunk_t *chunk = talloc_size(pair, sizeof(*chunk) + len);
 
 	chunk->len = len;
-	chunk->due = due_at(flow, len);
+	chunk->due = schedule_chunk(flow, len);
 	memcpy(chunk->data, data, len);
 	list_add_tail(&flow->chunks, &chunk->node);
-	pump(flow);
+	forward_due_chunks(flow);
 	return len;
 }
 
-static void end(flow_t *flow, const stream_t *other)
+static void on_sender_closed(flow_t *flow, const stream_t *other)
 {
-	flow->ended = true;
+	flow->sender_closed = true;
 	if (other->sock == NULL || flow->pair->silent)
-		dispose(flow->pair);
+		destroy_pair(flow->pair);
 	else
-		pump(flow);
+		forward_due_chunks(flow);
 }
 
 static size_t on_caller_data(stream_t *stream, const char *data, size_t len)
 {
-	return pass(&list_entry(stream, pair_t, caller)->flows[LINK_OUT], data, len);
+	return queue_chunk(&list_entry(stream, pair_t, caller)->flows[LINK_OUT], data, len);
 }
 
 static size_t on_target_data(stream_t *stream, const char *data, size_t len)
 {
-	return pass(&list_entry(stream, pair_t, target)->flows[LINK_BACK], data, len);
+	return queue_chunk(&list_entry(stream, pair_t, target)->flows[LINK_BACK], data, len);
 }
 
-static void on_caller_down(stream_t *stream, const char *reason)
+static void on_caller_close(stream_t *stream, const char *reason)
 {
 	pair_t *pair = list_entry(stream, pair_t, caller);
 
 	(void)reason;
-	end(&pair->flows[LINK_OUT], &pair->target);
+	on_sender_closed(&pair->flows[LINK_OUT], &pair->target);
 }
 
-static void on_target_down(stream_t *stream, const char *reason)
+static void on_target_close(stream_t *stream, const char *reason)
 {
 	pair_t *pair = list_entry(stream, pair_t, target);
 
 	(void)reason;
-	end(&pair->flows[LINK_BACK], &pair->caller);
+	on_sender_closed(&pair->flows[LINK_BACK], &pair->caller);
 }
 
-static const stream_ops_t caller_ops = {.on_data = on_caller_data, .on_down = on_caller_down};
-static const stream_ops_t target_ops = {.on_data = on_target_data, .on_down = on_target_down};
+static const stream_ops_t caller_ops = {.on_data = on_caller_data, .on_down = on_caller_close};
+static const stream_ops_t target_ops = {.on_data = on_target_data, .on_down = on_target_close};
 
 static void init_flow(pair_t *pair, link_direction_t direction, stream_t *to)
 {
@@ -176,7 +176,7 @@
 
 	flow->pair = pair;
 	flow->to = to;
-	flow->timer.cb = on_due;
+	flow->timer.cb = on_chunk_due;
 	list_init(&flow->chunks);
 }
 
@@ -197,13 +197,13 @@
 		init_flow(pair, LINK_OUT, &pair->target);
 		init_flow(pair, LINK_BACK, &pair->caller);
 		list_add_tail(&link->pairs, &pair->node);
-		if (stream_connect(&pair->target, link->loop, link->target, SILENCE_MS, &error) <
-		    0) {
+		if (stream_connect(&pair->target, link->loop, link->target, TCP_USER_TIMEOUT_MS,
+				   &error) < 0) {
 			h2o_socket_close(sock);
-			dispose(pair);
+			destroy_pair(pair);
 			continue;
 		}
-		stream_accept(&pair->caller, link->loop, sock, SILENCE_MS);
+		stream_accept(&pair->caller, link->loop, sock, TCP_USER_TIMEOUT_MS);
 	}
 }
 
@@ -215,7 +215,7 @@
 static int destructor(link_t *link)
 {
 	while (!list_empty(&link->pairs))
-		dispose(list_entry(link->pairs.next, pair_t, node));
+		destroy_pair(list_entry(link->pairs.next, pair_t, node));
 	h2o_socket_read_stop(link->listener);
 	h2o_socket_close(link->listener);
 	return 0;
@@ -250,26 +250,26 @@
 		reset_pair(list_entry(link->pairs.next, pair_t, node));
 }
 
-static void on_drop(run_timer_t *timer, usec_t now)
+static void on_drop_timer(run_timer_t *timer, usec_t now)
 {
-	pair_t *pair = list_entry(timer, pair_t, drop);
+	pair_t *pair = list_entry(timer, pair_t, drop_timer);
 
 	(void)now;
 	if (pair->silent || pair->link->cut[LINK_OUT] || pair->link->cut[LINK_BACK])
 		stream_close(&pair->target);
 }
 
-static void drop_later(link_t *link)
+static void arm_drop_timers(link_t *link)
 {
 	list_for_each (it, &link->pairs)
-		timers_arm(&link->loop->timers, &list_entry(it, pair_t, node)->drop,
-			   now_of(link) + DROPPED_AFTER, on_drop);
+		timers_arm(&link->loop->timers, &list_entry(it, pair_t, node)->drop_timer,
+			   link_now(link) + DROP_DELAY, on_drop_timer);
 }
 
 void link_cut(link_t *link, link_direction_t direction)
 {
 	link->cut[direction] = true;
-	drop_later(link);
+	arm_drop_timers(link);
 }
 
 void link_redirect(link_t *link, int target_port)
@@ -282,7 +282,7 @@
 {
 	list_for_each (it, &link->pairs)
 		list_entry(it, pair_t, node)->silent = true;
-	drop_later(link);
+	arm_drop_timers(link);
 }
 
 void link_heal(link_t *link)
@@ -301,6 +301,6 @@
 	for (int i = 0; i < LINK_DIRECTIONS; i++) {
 		/* A pair may end while its bytes are passed on. */
 		list_for_each_safe (it, &link->pairs)
-			pump(&list_entry(it, pair_t, node)->flows[i]);
+			forward_due_chunks(&list_entry(it, pair_t, node)->flows[i]);
 	}
 }
--- a/soak/plan.c
+++ b/soak/plan.c
@@ -9,27 +9,27 @@
 /* Between two faults on average; a series has its own pace. */
 #define FAULT_INTERVAL (650 * MSEC)
 /* Faults of a series, and the time between two of them. */
-#define SERIES_MAX   5
-#define SERIES_LEAST (60 * MSEC)
-#define SERIES_MOST  (700 * MSEC)
+#define SERIES_MAX     5
+#define SERIES_GAP_MIN (60 * MSEC)
+#define SERIES_GAP_MAX (700 * MSEC)
 /* Chance that a run has a kind of fault: others left out, rarer mixtures come too. */
 #define KIND_PERCENT 55
 
 /* Between two restores of the store, microseconds. */
-#define RESTORED_LEAST (5 * USEC_PER_SEC)
-#define RESTORED_MOST  (15 * USEC_PER_SEC)
+#define RESTORE_GAP_MIN (5 * USEC_PER_SEC)
+#define RESTORE_GAP_MAX (15 * USEC_PER_SEC)
 
 typedef struct fault_shape {
 	const char *name;
 	unsigned weight;
-	unsigned least_ms; /* duration */
-	unsigned most_ms;
-	unsigned amount_least;
-	unsigned amount_most;
+	unsigned min_ms; /* duration */
+	unsigned max_ms;
+	unsigned amount_min;
+	unsigned amount_max;
 	unsigned series_percent; /* how often it comes in a series */
 } fault_shape_t;
 
-static const fault_shape_t shapes[FAULT_COUNT] = {
+static const fault_shape_t fault_shapes[FAULT_COUNT] = {
 	[FAULT_PAUSE] = {"pause", 10, 50, 4000, 0, 0, 30},
 	[FAULT_KILL] = {"kill", 8, 200, 2500, 0, 0, 30},
 	[FAULT_TERM] = {"term", 10, 100, 1500, 0, 0, 30},
@@ -73,39 +73,39 @@
 
 const char *plan_fault_name(fault_kind_t kind)
 {
-	return shapes[kind].name;
+	return fault_shapes[kind].name;
 }
 
-static unsigned between(GRand *rand, unsigned least, unsigned most)
+static unsigned random_between(GRand *rand, unsigned min, unsigned max)
 {
-	return most > least ? (unsigned)g_rand_int_range(rand, (gint32)least, (gint32)most + 1)
-			    : least;
+	return max > min ? (unsigned)g_rand_int_range(rand, (gint32)min, (gint32)max + 1) : min;
 }
 
 static void choose_kinds(GRand *rand, unsigned *weights)
 {
 	weights[FAULT_STORE_RESTORED] = 0;
 	for (size_t i = 0; i < FAULT_STORE_RESTORED; i++)
-		weights[i] = between(rand, 1, 100) <= KIND_PERCENT ? shapes[i].weight : 0;
+		weights[i] =
+			random_between(rand, 1, 100) <= KIND_PERCENT ? fault_shapes[i].weight : 0;
 	/* Every run restarts some proxy. */
-	weights[FAULT_TERM] = shapes[FAULT_TERM].weight;
+	weights[FAULT_TERM] = fault_shapes[FAULT_TERM].weight;
 }
 
 static fault_kind_t choose_kind(GRand *rand, const unsigned *weights)
 {
 	unsigned sum = 0;
-	unsigned left;
+	unsigned remaining;
 	size_t kind = 0;
 
 	for (size_t i = 0; i < FAULT_COUNT; i++)
 		sum += weights[i];
-	left = between(rand, 0, sum - 1);
-	while (left >= weights[kind])
-		left -= weights[kind++];
+	remaining = random_between(rand, 0, sum - 1);
+	while (remaining >= weights[kind])
+		remaining -= weights[kind++];
 	return (fault_kind_t)kind;
 }
 
-static void add(plan_t *plan, fault_t fault)
+static void add_fault(plan_t *plan, fault_t fault)
 {
 	if (fault.at + fault.duration > plan->length) {
 		if (fault.at + MSEC > plan->length)
@@ -117,22 +117,25 @@
 
 static void add_series(plan_t *plan, GRand *rand, fault_kind_t kind, usec_t at)
 {
-	const fault_shape_t *shape = &shapes[kind];
+	const fault_shape_t *fault_shape = &fault_shapes[kind];
 	unsigned count = 1;
 
-	if (between(rand, 1, 100) <= shape->series_percent)
-		count = between(rand, 2, SERIES_MAX);
+	if (random_between(rand, 1, 100) <= fault_shape->series_percent)
+		count = random_between(rand, 2, SERIES_MAX);
 	for (unsigned i = 0; i < count; i++) {
-		fault_t fault = {.at = at, .kind = kind, .target = between(rand, 0, 1 << 20)};
-
-		fault.duration = between(rand, shape->least_ms, shape->most_ms) * MSEC;
-		fault.amount = between(rand, shape->amount_least, shape->amount_most);
-		add(plan, fault);
-		at += between(rand, SERIES_LEAST, SERIES_MOST);
+		fault_t fault = {
+			.at = at, .kind = kind, .target = random_between(rand, 0, 1 << 20)};
+
+		fault.duration =
+			random_between(rand, fault_shape->min_ms, fault_shape->max_ms) * MSEC;
+		fault.amount =
+			random_between(rand, fault_shape->amount_min, fault_shape->amount_max);
+		add_fault(plan, fault);
+		at += random_between(rand, SERIES_GAP_MIN, SERIES_GAP_MAX);
 	}
 }
 
-static int by_time(const void *a, const void *b)
+static int compare_time(const void *a, const void *b)
 {
 	const fault_t *left = a;
 	const fault_t *right = b;
@@ -152,11 +155,11 @@
 static void add_restores(plan_t *plan, unsigned seed)
 {
 	GRand *rand = g_rand_new_with_seed(~seed);
-	usec_t at = between(rand, RESTORED_LEAST, RESTORED_MOST);
+	usec_t at = random_between(rand, RESTORE_GAP_MIN, RESTORE_GAP_MAX);
 
 	while (seed % 2 == 0 && at < plan->length) {
 		add_series(plan, rand, FAULT_STORE_RESTORED, at);
-		at += between(rand, RESTORED_LEAST, RESTORED_MOST);
+		at += random_between(rand, RESTORE_GAP_MIN, RESTORE_GAP_MAX);
 	}
 	g_rand_free(rand);
 }
@@ -180,11 +183,11 @@
 	if (proxies > 24)
 		interval /= 3;
 	while (at < length) {
-		at += between(rand, 1, (unsigned)(2 * interval));
+		at += random_between(rand, 1, (unsigned)(2 * interval));
 		add_series(plan, rand, choose_kind(rand, weights), at);
 	}
 	add_restores(plan, seed);
-	g_array_sort(plan->faults, by_time);
+	g_array_sort(plan->faults, compare_time);
 	g_rand_free(rand);
 	return plan;
 }
@@ -195,7 +198,7 @@
 		const fault_t *fault = &g_array_index(plan->faults, fault_t, i);
 
 		printf("%7.3f %-20s target %u for %" PRIu64 " ms, amount %u\n",
-		       (double)fault->at / USEC_PER_SEC, shapes[fault->kind].name, fault->target,
-		       fault->duration / MSEC, fault->amount);
+		       (double)fault->at / USEC_PER_SEC, fault_shapes[fault->kind].name,
+		       fault->target, fault->duration / MSEC, fault->amount);
 	}
 }
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -23,20 +23,20 @@
 
 #define TICK (10 * USEC_PER_MSEC)
 /* This process was late if a tick comes so long after the one before. */
-#define LATE_TICK (60 * USEC_PER_MSEC)
+#define LATE_TICK_INTERVAL (60 * USEC_PER_MSEC)
 /* For so long after that its own time stamps are not used for findings. */
-#define LATE_SPAN (300 * USEC_PER_MSEC)
+#define CLOCK_UNRELIABLE_TIME (300 * USEC_PER_MSEC)
 /* Between two marks in the record of the stand-in; see ledger_t.horizon. */
 #define SYNC_INTERVAL (200 * USEC_PER_MSEC)
 /* Between two looks at memory, descriptors and logs, and at the answers that can be judged by then.
  */
-#define LOOK_INTERVAL (1 * USEC_PER_SEC)
+#define CHECK_INTERVAL (1 * USEC_PER_SEC)
 /* A fleet that starts for the first time has to find its primaries. */
 #define START_TIMEOUT (25 * USEC_PER_SEC)
 /* Everything is served again so long after the last fault. */
-#define RECOVER (12 * USEC_PER_SEC)
+#define RECOVERY_TIME (12 * USEC_PER_SEC)
 /* Then everything is served for so long. */
-#define SERVED_SPAN (3 * USEC_PER_SEC)
+#define SERVED_TIME (3 * USEC_PER_SEC)
 /* The record of the members must come to the end within this. */
 #define RECORD_TIMEOUT (5 * USEC_PER_SEC)
 
@@ -52,11 +52,11 @@
 	stage_t stage;
 	usec_t stage_until;
 	usec_t next_sync;
-	usec_t next_look;
+	usec_t next_check;
 	usec_t last_tick;
 	size_t late_ticks;
-	usec_t late_most; /* between two ticks */
-	usec_t late_last; /* when the last late one came */
+	usec_t longest_tick; /* between two ticks */
+	usec_t last_late_at; /* when the last late one came */
 	run_timer_t tick;
 } soak_t;
 
@@ -71,17 +71,17 @@
 	bool only_plan;
 } options_t;
 
-static volatile sig_atomic_t stop_asked;
+static volatile sig_atomic_t stop_requested;
 
-static void on_stop(int signo)
+static void on_stop_signal(int signo)
 {
 	(void)signo;
-	stop_asked = 1;
+	stop_requested = 1;
 }
 
 /* --- stages --- */
 
-static void enter(soak_t *soak, stage_t stage, usec_t now)
+static void enter_stage(soak_t *soak, stage_t stage, usec_t now)
 {
 	soak->stage = stage;
 	switch (stage) {
@@ -92,68 +92,69 @@
 		inject_start(soak->inject, now);
 		break;
 	case STAGE_RECOVER:
-		inject_end(soak->inject);
-		soak->stage_until = now + RECOVER;
+		inject_clear_pending(soak->inject);
+		soak->stage_until = now + RECOVERY_TIME;
 		break;
 	case STAGE_SERVED:
-		clients_mark(soak->clients);
-		soak->clients->counting = true;
-		soak->stage_until = now + SERVED_SPAN;
+		clients_reset_counts(soak->clients);
+		soak->clients->failures_are_findings = true;
+		soak->stage_until = now + SERVED_TIME;
 		break;
 	case STAGE_RECORD:
-		soak->clients->counting = false;
+		soak->clients->failures_are_findings = false;
 		clients_stop(soak->clients);
-		fleet_command(soak->fleet, "sync end");
+		fleet_send_command(soak->fleet, "sync end");
 		soak->stage_until = now + RECORD_TIMEOUT;
 		break;
 	}
 }
 
-static void step_start(soak_t *soak, usec_t now)
+static void advance_start(soak_t *soak, usec_t now)
 {
-	if (clients_all_served(soak->clients)) {
-		enter(soak, STAGE_FAULTS, now);
+	if (clients_served_by_all(soak->clients)) {
+		enter_stage(soak, STAGE_FAULTS, now);
 	} else if (now >= soak->stage_until) {
 		finding_add(PROMISE_RECOVERY, "start", "some proxy serves nobody after %.0f s",
 			    (double)START_TIMEOUT / USEC_PER_SEC);
-		enter(soak, STAGE_RECORD, now);
+		enter_stage(soak, STAGE_RECORD, now);
 	}
 }
 
-static void step_served(soak_t *soak, usec_t now)
+static void advance_served(soak_t *soak, usec_t now)
 {
 	if (now < soak->stage_until)
 		return;
 	for (unsigned i = 0; i < soak->fleet->options.proxies; i++) {
 		/* With few callers a proxy may have none just then. */
-		if (soak->fleet->proxies[i].served == 0 && soak->fleet->proxies[i].asked != 0)
+		if (soak->fleet->proxies[i].operations_done == 0 &&
+		    soak->fleet->proxies[i].statements_sent != 0)
 			finding_add(PROMISE_RECOVERY, soak->fleet->proxies[i].name,
 				    "serves nobody after the last fault");
 	}
-	enter(soak, STAGE_RECORD, now);
+	enter_stage(soak, STAGE_RECORD, now);
 }
 
-static void step(soak_t *soak, usec_t now)
+static void advance_stage(soak_t *soak, usec_t now)
 {
 	switch (soak->stage) {
 	case STAGE_START:
-		step_start(soak, now);
+		advance_start(soak, now);
 		break;
 	case STAGE_FAULTS:
 		if (inject_is_over(soak->inject, now))
-			enter(soak, STAGE_RECOVER, now);
+			enter_stage(soak, STAGE_RECOVER, now);
 		break;
 	case STAGE_RECOVER:
 		if (now >= soak->stage_until)
-			enter(soak, STAGE_SERVED, now);
+			enter_stage(soak, STAGE_SERVED, now);
 		break;
 	case STAGE_SERVED:
-		step_served(soak, now);
+		advance_served(soak, now);
 		break;
 	case STAGE_RECORD:
 		/* What was sent before the clients stopped has run or not by then. */
 		if (now >= soak->stage_until - RECORD_TIMEOUT + USEC_PER_SEC &&
-		    soak->ledger->horizon + USEC_PER_SEC / 2 > now)
+		    soak->ledger->complete_until + USEC_PER_SEC / 2 > now)
 			loop_stop(&soak->loop);
 		else if (now >= soak->stage_until)
 			finding_add(PROMISE_PROCESS, "platform", "its record does not come"),
@@ -162,15 +163,15 @@
 	}
 }
 
-static void note_lateness(soak_t *soak, usec_t now)
+static void record_late_tick(soak_t *soak, usec_t now)
 {
-	usec_t late = soak->last_tick != 0 ? now - soak->last_tick : 0;
+	usec_t interval = soak->last_tick != 0 ? now - soak->last_tick : 0;
 
-	if (late > LATE_TICK) {
-		soak->clients->late_until = now + LATE_SPAN;
+	if (interval > LATE_TICK_INTERVAL) {
+		soak->clients->clock_unreliable_until = now + CLOCK_UNRELIABLE_TIME;
 		soak->late_ticks++;
-		soak->late_most = MAX(soak->late_most, late);
-		soak->late_last = now;
+		soak->longest_tick = MAX(soak->longest_tick, interval);
+		soak->last_late_at = now;
 	}
 	soak->last_tick = now;
 }
@@ -179,27 +180,27 @@
 {
 	soak_t *soak = list_entry(timer, soak_t, tick);
 
-	note_lateness(soak, now);
+	record_late_tick(soak, now);
 	inject_tick(soak->inject, now);
 	fleet_tick(soak->fleet, now);
 	if (now >= soak->next_sync) {
-		fleet_command(soak->fleet, "sync now");
+		fleet_send_command(soak->fleet, "sync now");
 		soak->next_sync = now + SYNC_INTERVAL;
 	}
-	if (now >= soak->next_look) {
+	if (now >= soak->next_check) {
 		fleet_check_bounds(soak->fleet, now);
 		check_answers(soak->clients);
-		soak->next_look = now + LOOK_INTERVAL;
+		soak->next_check = now + CHECK_INTERVAL;
 	}
-	step(soak, now);
-	if (stop_asked)
+	advance_stage(soak, now);
+	if (stop_requested)
 		loop_stop(&soak->loop);
 	timers_arm(&soak->loop.timers, timer, now + TICK, on_tick);
 }
 
 /* --- the run --- */
 
-static void report(const soak_t *soak, const options_t *options, usec_t took)
+static void print_report(const soak_t *soak, const options_t *options, usec_t duration)
 {
 	const clients_t *clients = soak->clients;
 	char names[256];
@@ -210,16 +211,17 @@
 		kb = MAX(kb, soak->fleet->proxies[i].peak_kb);
 		fds = MAX(fds, soak->fleet->proxies[i].peak_fds);
 	}
-	finding_names(names, sizeof(names));
+	finding_summary(names, sizeof(names));
 	printf("seed %u, %u proxies, %.0f s: broken promises: %s; %u faults, %zu promotes, %zu sessions, "
 	       "%zu statements (%zu done, %zu refused, %zu unsure), at most %ld KB and %ld descriptors, "
 	       "soak late %zu times, by %.0f ms at most, last %.1f s before its end\n",
-	       options->seed, options->proxies, (double)took / USEC_PER_SEC, names,
-	       soak->inject->next, soak->ledger->promotes, clients->opened, clients->statements,
-	       clients->fates[FATE_DONE], clients->fates[FATE_REFUSED], clients->fates[FATE_UNSURE],
-	       kb, fds, soak->late_ticks, (double)soak->late_most / USEC_PER_MSEC,
+	       options->seed, options->proxies, (double)duration / USEC_PER_SEC, names,
+	       soak->inject->next, soak->ledger->promote_count, clients->sessions_opened,
+	       clients->statements_sent, clients->status_counts[STATEMENT_DONE],
+	       clients->status_counts[STATEMENT_REFUSED], clients->status_counts[STATEMENT_UNKNOWN],
+	       kb, fds, soak->late_ticks, (double)soak->longest_tick / USEC_PER_MSEC,
 	       soak->late_ticks != 0
-		       ? (double)(clock_now(soak->loop.clock) - soak->late_last) / USEC_PER_SEC
+		       ? (double)(clock_now(soak->loop.clock) - soak->last_late_at) / USEC_PER_SEC
 		       : 0.0);
 }
 
@@ -239,19 +241,19 @@
 	g_rmdir(path);
 }
 
-static int start(soak_t *soak, void *parent, const options_t *options, const char *dir)
+static int start_soak(soak_t *soak, void *parent, const options_t *options, const char *dir)
 {
 	const fleet_options_t fleet_options = {
 		.proxies = options->proxies,
 		.services = options->services,
-		.connections = 32,
-		.slots = 4,
+		.member_connections = 32,
+		.member_slots = 4,
 		.dir = dir,
 	};
 	const clients_options_t client_options = {
 		.seed = options->seed,
 		.sessions = options->sessions,
-		.rest = 150 * USEC_PER_MSEC,
+		.mean_idle_time = 150 * USEC_PER_MSEC,
 	};
 	usec_t now;
 
@@ -264,29 +266,29 @@
 	soak->clients = clients_create(parent, soak->fleet, soak->ledger, &client_options);
 	soak->inject = inject_create(parent, soak->fleet, soak->plan, options->verbose);
 	now = clock_now(soak->loop.clock);
-	enter(soak, STAGE_START, now);
+	enter_stage(soak, STAGE_START, now);
 	timers_arm(&soak->loop.timers, &soak->tick, now, on_tick);
 	return 0;
 }
 
-static int run(const options_t *options, void *parent, plan_t *plan)
+static int run_soak(const options_t *options, void *parent, plan_t *plan)
 {
 	static soak_t soak;
 	char *dir = g_dir_make_tmp("cyclamenspan-soak-XXXXXX", NULL);
-	usec_t began = clock_now(clock_system());
+	usec_t started_at = clock_now(clock_system());
 	bool keep;
 
 	soak.plan = plan;
-	if (dir == NULL || start(&soak, parent, options, dir) < 0) {
+	if (dir == NULL || start_soak(&soak, parent, options, dir) < 0) {
 		fprintf(stderr, "soak: the processes can't be started\n");
 		return 2;
 	}
 	loop_run(&soak.loop);
 	fleet_stop(soak.fleet);
 	/* The record of a run that was broken off lacks its end. */
-	if (!stop_asked)
-		check_end(soak.clients);
-	report(&soak, options, clock_now(soak.loop.clock) - began);
+	if (!stop_requested)
+		check_whole_run(soak.clients);
+	print_report(&soak, options, clock_now(soak.loop.clock) - started_at);
 	keep = finding_count() != 0 || options->keep;
 	if (keep)
 		printf("logs are in %s: cyclamenctl explain ID %s/p*.log\n", dir, dir);
@@ -296,7 +298,7 @@
 	talloc_free(soak.fleet);
 	/* Frees the sockets that were closed. */
 	h2o_evloop_run(soak.loop.h2o, 0);
-	if (stop_asked)
+	if (stop_requested)
 		return 2;
 	return finding_count() != 0 ? 1 : 0;
 }
@@ -359,14 +361,14 @@
 		return 2;
 	}
 	signal(SIGPIPE, SIG_IGN);
-	signal(SIGINT, on_stop);
-	signal(SIGTERM, on_stop);
+	signal(SIGINT, on_stop_signal);
+	signal(SIGTERM, on_stop_signal);
 	finding_start(options.seed);
 	plan = plan_create(parent, options.seed, options.seconds * USEC_PER_SEC, options.proxies);
 	if (options.only_plan)
 		plan_print(plan);
 	else
-		rc = run(&options, parent, plan);
+		rc = run_soak(&options, parent, plan);
 	talloc_free(parent);
 	return rc;
 }
