--- a/soak/check.c
+++ b/soak/check.c
@@ -7,13 +7,19 @@
 #include "finding.h"
 
 #define MSEC USEC_PER_MSEC
-/* The record comes in portions; what a member did may still be on its way after an answer. */
+/*
+ * The record arrives in portions; an entry may still be in flight when the record has reached the
+ * time of the answer.
+ */
 #define RECORD_SLACK (300 * MSEC)
-/* Acknowledged commits before a read that are looked at; older ones are below these in the log. */
+/*
+ * Number of acknowledged commits before a read that are checked; older ones precede these in the
+ * log.
+ */
 #define ACKS_CHECKED_MAX 300
 /*
- * A commit may be that of a proxy that stood still, or of a message that was held up, if that ended
- * no longer than this before it.
+ * A late commit is allowed if the proxy was paused, or its message delayed, and the fault ended no
+ * longer than this before the commit.
  */
 #define FAULT_END_SLACK (300 * MSEC)
 
@@ -30,7 +36,10 @@
 	return NULL;
 }
 
-/* The statement whose commit an acknowledgement is about. */
+/*
+ * Returns the statement whose commit is acknowledged: the last write of a transaction for its
+ * COMMIT, otherwise the statement itself.
+ */
 static const statement_t *find_acknowledged_write(const statement_t *acknowledged)
 {
 	const statement_t *write = acknowledged;
@@ -46,7 +55,10 @@
 
 /* --- reads --- */
 
-/* A read that began at began must show this commit, if it was kept. */
+/*
+ * Adds a finding if the read does not show the acknowledged write, unless the write was rolled back
+ * by a promote.
+ */
 static void check_read_includes(const ledger_t *ledger, const statement_t *read, const run_t *run,
 				const statement_t *acknowledged)
 {
--- a/soak/check.h
+++ b/soak/check.h
@@ -1,13 +1,13 @@
 /*
- * The promises about data: each answer is compared with what the members ran
- * and committed, as soon as their record has come that far.
+ * Checks the promises about data: compares each answer with the record of what the members ran and
+ * committed, as soon as the record covers the time of the answer.
  */
 #pragma once
 
 #include "client.h"
 
-/* Check the answers that the members' record covers by now. */
+/* Checks the answers that the members' record covers by now. */
 void check_answers(clients_t *clients);
 
-/* When nothing runs any more: what must hold of the whole run. */
+/* Checks the promises about the whole run, after its last statement has ended. */
 void check_whole_run(clients_t *clients);
--- a/soak/client.c
+++ b/soak/client.c
@@ -8,29 +8,32 @@
 #include "finding.h"
 
 #define MSEC USEC_PER_MSEC
-/* As callers of the platform do. */
+/* Time-out of connect and START, the same as that of the platform's callers. */
 #define START_TIMEOUT (2 * USEC_PER_SEC)
-/* Longer than any timeout of a route together with a pause of the proxy. */
+/* Longer than the time-out of any route and a pause of the proxy together. */
 #define ANSWER_TIMEOUT (9 * USEC_PER_SEC)
-/* Sent data unacknowledged for so long ends a connection; longer than any fault. */
+/* A connection ends if sent data stays unacknowledged for this time; longer than any fault. */
 #define TCP_USER_TIMEOUT_MS 60000
-/* Before a session connects again, and between the statements of a transaction; milliseconds. */
+/* Delay before a session connects again, and between the statements of a transaction. */
 #define RECONNECT_MIN_MS 20
 #define RECONNECT_MAX_MS 150
 #define TX_PAUSE_MAX_MS	 30
-/* Statements of a transaction between BEGIN and its end. */
+/* Greatest number of statements between BEGIN and COMMIT or ROLLBACK. */
 #define TX_STEPS_MAX 5
-/* Operations of a connection before the session goes elsewhere. */
+/* Greatest number of operations on a connection before the session connects to another proxy. */
 #define OPERATIONS_MAX 60
-/* Keys of each service: few, so that sessions meet at them. */
+/* Keys of each service; few, so that sessions access the same keys. */
 #define ITEM_COUNT 16
-/* A whole request unanswered for so long is not one that crossed the close. */
+/* A request that was sent no longer than this before the close may have crossed it. */
 #define CLOSE_CROSSING_TIME (200 * MSEC)
-/* Nothing worse than the SIGTERM may have come so long before the request. */
+/*
+ * A close after SIGTERM is a finding only if no other fault affected the proxy from this time
+ * before the request on.
+ */
 #define DISTURBANCE_LOOKBACK (4 * USEC_PER_SEC)
 /*
- * A statement sent within the first time after SIGTERM may still be at work in the last sixth of
- * the grace if a member was harmed, and is broken off then. That is no finding.
+ * A statement sent within EARLY_STATEMENT_TIME after SIGTERM may still run in the last sixth of the
+ * shutdown grace if a fault affected a member; the proxy then breaks it off. That is no finding.
  */
 #define EARLY_STATEMENT_TIME (3 * USEC_PER_SEC)
 #define FORCED_CLOSE_AFTER   (FLEET_SHUTDOWN_GRACE * 5 / 6)
@@ -50,11 +53,11 @@
 	unsigned service;
 	read_kind_t reads;
 	run_timer_t timer;
-	unsigned operations_left; /* operations in this connection */
+	unsigned operations_left; /* operations before the session closes its connection */
 	unsigned next_setup;
 	char values[TEXT_MAX];
-	attempt_t *attempt;   /* under way */
-	statement_t *pending; /* waits for its answer */
+	attempt_t *attempt;   /* attempt in progress */
+	statement_t *pending; /* statement that waits for its answer */
 	const statement_t *last_commit;
 	statement_kind_t steps[TX_STEPS_MAX + 2];
 	size_t step_count;
@@ -125,8 +128,9 @@
 }
 
 /*
- * Length of the first answer with its READY, 0 if it has not come whole. Written apart from the
- * proxy's own decoder, whose faults would else go unseen.
+ * Returns the length of the first answer including its READY line, 0 if the answer is incomplete.
+ * This parser is written apart from the proxy's own decoder, so that it does not share the
+ * decoder's faults.
  */
 static size_t parse_answer(answer_t *answer, const char *data, size_t len)
 {
@@ -175,7 +179,7 @@
 			    session->proxy, session->pending->text);
 }
 
-/* The same for a session that was not opened. */
+/* Adds a finding if the session could not be opened while failures are findings. */
 static void report_not_opened(const session_t *session, const char *what)
 {
 	if (session->clients->failures_are_findings &&
@@ -184,7 +188,10 @@
 			    session->proxy, what);
 }
 
-/* A proxy that was asked to end, and nothing worse, has closed on a whole request. */
+/*
+ * Adds a finding if a proxy closed on a complete request after SIGTERM although no other fault
+ * affected it.
+ */
 static void check_shutdown(const session_t *session)
 {
 	const fleet_t *fleet = session->clients->fleet;
@@ -289,7 +296,10 @@
 	const char *data = writes ? statement->id : "";
 
 	if (prepared) {
-		/* Every session calls its statements the same; their shapes differ. */
+		/*
+		 * All sessions use the same names for their prepared statements, with different
+		 * shapes, so that a mix-up between sessions shows.
+		 */
 		verb = writes ? "EXEC put" : "EXEC get";
 		snprintf(statement->prepared_shape, sizeof(statement->prepared_shape), "%s%u",
 			 writes ? "w" : "r", session->index);
@@ -329,7 +339,10 @@
 	arm_timer(session, random_between(session, 1, 2 * mean_ms) * MSEC, on_idle_over);
 }
 
-/* A transaction whose first statement after BEGIN is a read only reads. */
+/*
+ * Chooses the statements of a transaction. If the first one after BEGIN is a read, the transaction
+ * only reads.
+ */
 static void choose_transaction(session_t *session)
 {
 	unsigned count = random_between(session, 1, TX_STEPS_MAX);
@@ -364,7 +377,7 @@
 	session_t *session = list_entry(timer, session_t, timer);
 
 	(void)now;
-	/* Some callers leave in the middle of a transaction. */
+	/* Some callers disconnect in the middle of a transaction. */
 	if (session->step > 1 && random_between(session, 0, 39) == 0) {
 		reconnect_elsewhere(session);
 		return;
@@ -404,7 +417,9 @@
 
 	if (strncmp(statement->text, "SET ", 4) != 0)
 		return;
-	/* Only the last value of a name counts; there is room for some dozens. */
+	/*
+	 * All settings are appended; a session whose buffer is full, after some dozens, reconnects.
+	 */
 	if (len + 16 > sizeof(session->values)) {
 		reconnect_elsewhere(session);
 		return;
@@ -474,7 +489,7 @@
 		report_failure(session, answer->error_code);
 	finish_statement(session, answer_status(answer));
 	if (session->phase == PHASE_ABANDON)
-		/* A transaction that has failed is over. */
+		/* ROLLBACK must succeed and end the failed transaction. */
 		answer->ok && answer->state == 'I' ? start_idle(session)
 						   : reconnect_elsewhere(session);
 	else if (answer->ok)
@@ -495,7 +510,7 @@
 	send_setup(session);
 }
 
-/* START may be refused; no READY follows then, only the close. */
+/* If START is refused, the proxy closes the connection without sending READY. */
 static size_t on_session_data(stream_t *stream, const char *data, size_t len)
 {
 	session_t *session = list_entry(stream, session_t, stream);
--- a/soak/finding.c
+++ b/soak/finding.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Told in full of each promise; one broken promise shows in many requests. */
+/* Findings printed for each promise; one fault breaks the promise for many requests. */
 #define PRINTED_MAX 5
 
 static unsigned run_seed;
--- a/soak/fleet.c
+++ b/soak/fleet.c
@@ -17,37 +17,42 @@
 #include "harness.h"
 
 /*
- * Offset of the store's port in the first block; from there that of the first member, behind the
- * promote call and the door that turns everyone away; from a member that of the link before it.
+ * Ports of the stand-in: PORT_STORE is the offset of the store's port in the first block.
+ * PORT_MEMBERS is the offset of the first member's port from the store's port, after the ports of
+ * the promote call and of the listener that refuses all calls. MEMBER_LINK_OFFSET is the offset of
+ * a member's link from the member's port.
  */
 #define PORT_STORE	   1
 #define PORT_MEMBERS	   3
 #define MEMBER_LINK_OFFSET 26
-/* For callers, probe, operators and peers, and the link to the store. */
+/* Ports for callers, probes, operators and peers, and for the link to the store. */
 #define PORTS_PER_PROXY	  5
 #define PROXIES_PER_BLOCK (PORTS_PER_BLOCK / PORTS_PER_PROXY)
 
-/* Until a process that did not end in time is started again. */
+/* Delay before the restart of a process that exited by itself or missed its exit deadline. */
 #define RESTART_DELAY (300 * USEC_PER_MSEC)
-/* From fork() until the loader is done with a program, on a busy VM. */
+/* Time from fork() until the dynamic loader has loaded the program, on a busy VM. */
 #define LOAD_TIME (100 * USEC_PER_MSEC)
-/* By then it certainly is. */
+/* The program is certainly loaded this long after fork(). */
 #define LOAD_TIME_MAX (1 * USEC_PER_SEC)
-/* From the end of the grace to the end of the process: its last turn of the loop. */
+/*
+ * Time that the last iteration of the event loop may take after the shutdown grace, before the
+ * process exits.
+ */
 #define EXIT_SLACK (1 * USEC_PER_SEC)
 
-/* What the deployment grants a proxy. */
+/* Limits of memory and descriptors that the deployment sets for a proxy. */
 #define MEMORY_MAX_KB (260 * 1024)
 #define FDS_MAX	      4200
 /*
- * Each place in the code may log 20 lines a second of some 400 bytes; at most two dozen places
- * speak in the same second. The start has lines of its own.
+ * Each call site may log 20 lines a second of some 400 bytes, and at most two dozen call sites log
+ * in the same second. The lines at the start of a process have a limit of their own.
  */
 #define LOG_RATE_MAX  (24 * 8 * 1024)
 #define LOG_START_MAX (1024 * 1024)
 
 #if defined(__SANITIZE_ADDRESS__)
-/* Shadow memory and quarantine are not the program's. */
+/* The shadow memory and quarantine of AddressSanitizer count as memory of the process. */
 #define CHECKS_MEMORY false
 #else
 #define CHECKS_MEMORY true
@@ -154,7 +159,7 @@
 	g_free(program);
 }
 
-/* A pause puts off the time by which the process must have ended. */
+/* A process can't exit while it is stopped, so a pause moves its exit deadline. */
 static void extend_exit_deadline(proxy_t *proxy, usec_t duration)
 {
 	if (proxy->exit_deadline != 0)
@@ -179,7 +184,7 @@
 {
 	kill(proxy->pid, SIGCONT);
 	proxy->paused_until = 0;
-	/* SIGCONT may come late: the pause lasted until now. */
+	/* SIGCONT may be sent late; the pause lasted until now. */
 	fleet_add_span(proxy->disturbances, now, 0);
 }
 
@@ -202,7 +207,7 @@
 
 	if (proxy->state == PROXY_DOWN)
 		return;
-	/* A second signal is sent too; what counts is the first. */
+	/* A second SIGTERM is sent too; the deadline counts from the first. */
 	kill(proxy->pid, SIGTERM);
 	if (proxy->state == PROXY_STOPPING)
 		return;
@@ -225,7 +230,7 @@
 	kill(proxy->pid, SIGHUP);
 }
 
-/* No program can handle a signal before its first instruction. */
+/* SIGTERM and SIGHUP end a process that has not yet installed its signal handlers. */
 static bool was_signalled_while_loading(const proxy_t *proxy, int status, usec_t now)
 {
 	int signo = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
@@ -233,8 +238,9 @@
 	return (signo == SIGTERM || signo == SIGHUP) && now < proxy->started_at + LOAD_TIME;
 }
 
-/* It was asked to end and did. Status 1: the grace ended with requests in progress, as after a
- * pause.
+/*
+ * Returns true for an exit after SIGTERM. Exit status 1 means that the grace ended with requests in
+ * progress, as after a pause.
  */
 static bool is_requested_exit(const proxy_t *proxy, int status)
 {
@@ -331,7 +337,10 @@
 	for (unsigned i = 0; i < fleet->options.proxies; i++) {
 		const proxy_t *proxy = &fleet->proxies[i];
 
-		/* Between fork() and exec() it has this process's memory and descriptors. */
+		/*
+		 * Between fork() and exec() the child has the memory and descriptors of the soak
+		 * itself.
+		 */
 		if (proxy->state != PROXY_DOWN && now >= proxy->started_at + LOAD_TIME_MAX)
 			check_bounds(fleet, &fleet->proxies[i], now);
 	}
--- a/soak/fleet.h
+++ b/soak/fleet.h
@@ -1,7 +1,7 @@
 /*
- * The processes of a soak: the platform's stand-in and the proxies, each proxy
- * with a link of ours on its way to the store, and a link in front of each
- * member. Only processes that it started are signalled, by their ids.
+ * The processes of a soak run: the stand-in for the platform (store, promote call and members) and
+ * the proxies. Each proxy reaches the store through a link of the soak, and there is one link in
+ * front of each member. The soak signals only processes that it started, by their ids.
  */
 #pragma once
 
@@ -13,19 +13,19 @@
 #include "loop.h"
 #include "ports.h"
 
-#define FLEET_MEMBERS 3 /* of a service */
-/* As the settings of proxies say. */
+#define FLEET_MEMBERS 3 /* members of each service */
+/* Time that a proxy has to finish after SIGTERM; written to its settings. */
 #define FLEET_SHUTDOWN_GRACE (4 * USEC_PER_SEC)
 
 typedef struct fleet_options {
 	unsigned proxies;
 	unsigned services;
-	unsigned member_connections; /* that a member allows */
-	unsigned member_slots;	     /* of a member */
-	const char *dir;	     /* settings and logs */
+	unsigned member_connections; /* connections that each member allows */
+	unsigned member_slots;	     /* statements that each member runs at the same time */
+	const char *dir;	     /* directory for settings and logs */
 } fleet_options_t;
 
-/* When something was harmed; the last span may reach into the future. */
+/* A period during which a fault affected a proxy or a member. It may end in the future. */
 typedef struct span {
 	usec_t from;
 	usec_t to;
@@ -37,85 +37,88 @@
 	char name[16];
 	pid_t pid;
 	proxy_state_t state;
-	bool killed; /* by us, so that its end is no finding */
+	bool killed; /* the soak sent SIGKILL, so that the exit is no finding */
 	usec_t started_at;
-	usec_t sigterm_at;    /* of the SIGTERM under way, 0: none */
-	usec_t restart_delay; /* from its end to its next start */
+	usec_t sigterm_at;    /* when SIGTERM was sent to this process, 0: not sent */
+	usec_t restart_delay; /* from the exit of the process to its next start */
 	usec_t restart_at;
-	usec_t paused_until;  /* 0: it is not paused */
-	GArray *disturbances; /* span_t: paused, killed, its way to the store harmed */
-	usec_t exit_deadline; /* it must have ended by then, 0: it need not */
+	usec_t paused_until;  /* time of SIGCONT, 0: the process is not stopped */
+	GArray *disturbances; /* span_t: paused, killed, or faults of its link to the store */
+	usec_t exit_deadline; /* latest time of its exit after SIGTERM, 0: no SIGTERM */
 	bool log_verbose;
 	link_t *store_link;
-	off_t log_start_size; /* size of its log at its start */
+	off_t log_start_size; /* size of its log file when the process started */
 	long peak_kb;
 	long peak_fds;
-	size_t statements_sent; /* statements since the clients' last mark */
-	size_t operations_done; /* operations, the same */
+	size_t statements_sent; /* since the last clients_reset_counts() */
+	size_t operations_done; /* successful operations since then */
 } proxy_t;
 
 typedef struct fleet {
 	fleet_options_t options;
 	loop_t *loop;
 	ledger_t *ledger;
-	ports_t *port_blocks; /* the platform's and the members' links, then those of a dozen
-			    proxies each */
+	/*
+	 * the first for the stand-in and the links to members, each other one for a dozen proxies
+	 */
+	ports_t *port_blocks;
 	unsigned port_block_count;
 	pid_t platform;
-	int command_fd; /* commands to the stand-in */
-	int record_fd;	/* its output */
+	int command_fd; /* standard input of the stand-in, for commands */
+	int record_fd;	/* standard output of the stand-in, its record of statements */
 	loop_watch_t record_watch;
 	usec_t platform_paused_until;
 	proxy_t *proxies;
 	link_t **member_links;
-	GArray *member_faults[SERVICES_MAX]; /* span_t: of members, or of the ways to them */
+	/* span_t: faults of members, or of the links to them */
+	GArray *member_faults[SERVICES_MAX];
 	unsigned config_version;
-	unsigned timeout_ms; /* of routes */
+	unsigned timeout_ms; /* time-out of all routes */
 	bool stopping;
 } fleet_t;
 
-/* A child of parent with all processes started, or NULL. */
+/* Starts all processes. Returns a child of parent, or NULL if a process could not be started. */
 fleet_t *fleet_create(void *parent, loop_t *loop, ledger_t *ledger, const fleet_options_t *options);
 
-/* End all of its processes. */
+/* Ends all processes of the fleet. */
 void fleet_stop(fleet_t *fleet);
 
-/* Look after processes: ends, restarts, pauses that are over. */
+/* Handles exits of processes, restarts them, and resumes those whose pause is over. */
 void fleet_tick(fleet_t *fleet, usec_t now);
 
-/* Check what /proc says of each proxy. */
+/* Checks the memory, the descriptors and the log size of each proxy against their bounds. */
 void fleet_check_bounds(fleet_t *fleet, usec_t now);
 
-/* Port on which the proxy takes callers. */
+/* Returns the port on which the proxy accepts callers. */
 int fleet_caller_port(const fleet_t *fleet, unsigned proxy);
 
-/* Add a span_t to spans. */
+/* Appends a span_t to spans. */
 void fleet_add_span(GArray *spans, usec_t from, usec_t duration);
 
-/* True if any of the spans touches the time from the first to the second. */
+/* Returns true if any of the spans overlaps the time between from and to. */
 bool fleet_spans_overlap(const GArray *spans, usec_t from, usec_t to);
 
-/* One command to the stand-in. */
+/* Sends one command line to the stand-in. */
 void fleet_send_command(fleet_t *fleet, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 
-/* A new configuration with this timeout of routes. */
+/* Publishes a new configuration version in which all routes have this time-out. */
 void fleet_send_config(fleet_t *fleet, unsigned timeout_ms);
 
-/* SIGSTOP, and SIGCONT at the time given. */
+/* Sends SIGSTOP now, and SIGCONT at the given time. */
 void fleet_pause_proxy(fleet_t *fleet, unsigned proxy, usec_t until);
 
-/* SIGKILL or SIGTERM; it is started again so long after its end. */
+/* Send SIGKILL or SIGTERM. The proxy starts again restart_delay after its exit. */
 void fleet_kill_proxy(fleet_t *fleet, unsigned proxy, usec_t restart_delay);
 void fleet_stop_proxy(fleet_t *fleet, unsigned proxy, usec_t restart_delay);
 
-/* SIGHUP with settings that have changed. */
+/* Changes the settings of the proxy and sends SIGHUP. */
 void fleet_reload(fleet_t *fleet, unsigned proxy);
 
-/* The stand-in stands still, with the store and all members. */
+/* Stops the stand-in by SIGSTOP, and with it the store and all members, until the given time. */
 void fleet_pause_platform(fleet_t *fleet, usec_t until);
 
-/* Port of the door that turns away calls to the store. */
+/* Returns the port of the stand-in that refuses every call to the store. */
 int fleet_refusing_port(const fleet_t *fleet);
 
-/* Port of the store itself. */
+/* Returns the port of the store. */
 int fleet_store_port(const fleet_t *fleet);
--- a/soak/inject.c
+++ b/soak/inject.c
@@ -7,9 +7,12 @@
 #include "standin_command.h"
 
 #define MSEC USEC_PER_MSEC
-/* Statements that a member is to lose, reset or refuse come within this time, as a rule. */
+/*
+ * A fault that affects a number of statements of a member has usually affected all of them within
+ * this time.
+ */
 #define COUNTED_FAULT_TIME (2 * USEC_PER_SEC)
-/* From a member's end to the start of the one that replaces it. */
+/* Time from the end of a member to the start of the member that replaces it. */
 #define REPLACEMENT_DELAY (1 * USEC_PER_SEC)
 
 typedef void (*fault_cb_t)(inject_t *inject, const fault_t *fault);
@@ -74,14 +77,14 @@
 	fleet_stop_proxy(inject->fleet, target_proxy(inject, fault), fault->duration);
 }
 
-/* The next proxy gets its signal amount ms later. */
+/* Restarts the target proxy, and schedules the restart of the next one amount ms later. */
 static void rolling_restart_step(inject_t *inject, const fault_t *fault)
 {
 	fault_t next = *fault;
 
 	fleet_stop_proxy(inject->fleet, target_proxy(inject, fault), fault->duration);
 	next.target++;
-	/* In a large fleet it would go on beyond the last fault. */
+	/* In a large fleet the rolling restart would continue after the end of the plan. */
 	if (next.target < inject->fleet->options.proxies &&
 	    inject_now(inject) + fault->amount * MSEC < inject->started_at + inject->plan->length)
 		schedule(inject, &next, fault->amount * MSEC, rolling_restart_step);
@@ -221,7 +224,7 @@
 	fleet_send_command(inject->fleet, "store deaf 0");
 }
 
-/* Members stand still too. */
+/* The members run in the stand-in's process and stop with it. */
 static void begin_platform_pause(inject_t *inject, const fault_t *fault)
 {
 	fleet_t *fleet = inject->fleet;
@@ -281,8 +284,8 @@
 }
 
 /*
- * Whoever leads is crashed. In the end all members of the service are started, since another one
- * leads by then.
+ * Crashes the current leader of a service. When the fault ends, all members of the service are
+ * started, since another member leads by then and the plan does not record which one crashed.
  */
 static void begin_leader_crash(inject_t *inject, const fault_t *fault)
 {
@@ -300,7 +303,10 @@
 		fleet_send_command(inject->fleet, "member %u start", first + i);
 }
 
-/* A planned end: it says that it leaves, serves on, ends, and another one comes in its place. */
+/*
+ * A planned replacement: the member reports that it is leaving and still serves. At the end of the
+ * fault it stops and a new member starts in its place.
+ */
 static void begin_member_replace(inject_t *inject, const fault_t *fault)
 {
 	send_member_command(inject, fault, "leave", 0);
@@ -319,14 +325,14 @@
 	schedule(inject, fault, REPLACEMENT_DELAY, start_replacement);
 }
 
-/* The first member of a service leads at first, and later often does. */
+/* The member that leads now reports that it is leaving. */
 static void begin_leader_replace(inject_t *inject, const fault_t *fault)
 {
 	fleet_send_command(inject->fleet, "member %u leave",
 			   STANDIN_LEADER_OF + target_service(inject, fault));
 }
 
-/* Who was told to leave may lead no more, so it is found by that. */
+/* The member that is leaving may no longer lead, so it is selected by its leaving state. */
 static void end_leader_replace(inject_t *inject, const fault_t *fault)
 {
 	unsigned service = target_service(inject, fault);
@@ -505,7 +511,7 @@
 		schedule(inject, fault, fault->duration, handler->end);
 }
 
-/* Undoing one may put off the next part of it. */
+/* A followup may schedule another one, which is appended to the list. */
 static void run_due_followups(inject_t *inject, usec_t now)
 {
 	list_for_each_safe (it, &inject->followups) {
--- a/soak/inject.h
+++ b/soak/inject.h
@@ -1,4 +1,4 @@
-/* Plays a plan's faults on a fleet. */
+/* Applies the faults of a plan to a fleet. */
 #pragma once
 
 #include "fleet.h"
@@ -7,24 +7,27 @@
 typedef struct inject {
 	fleet_t *fleet;
 	const plan_t *plan;
-	guint next;	   /* fault of the plan */
-	usec_t started_at; /* 0: not yet */
+	guint next;	   /* index of the plan's next fault */
+	usec_t started_at; /* start of the plan, 0: not started */
 	list_t followups;
-	unsigned replacement_count; /* members so far, so that ids differ */
-	bool verbose;		    /* tell each fault as it comes */
+	unsigned replacement_count; /* numbers the replaced members, so that their ids differ */
+	bool verbose;		    /* print each fault when it begins */
 } inject_t;
 
-/* A child of parent. verbose: tell each fault as it comes. */
+/* Returns a child of parent. verbose: print each fault when it begins. */
 inject_t *inject_create(void *parent, fleet_t *fleet, const plan_t *plan, bool verbose);
 
-/* The plan's times count from now. */
+/* Starts the plan; its times count from now. */
 void inject_start(inject_t *inject, usec_t now);
 
-/* Play what is due, and undo what has lasted long enough. */
+/* Begins the faults that are due, and ends those whose duration is over. */
 void inject_tick(inject_t *inject, usec_t now);
 
-/* All faults were played and undone. */
+/* Returns true when the length of the plan is over and all faults have begun and ended. */
 bool inject_is_over(const inject_t *inject, usec_t now);
 
-/* Take back what waits for its occasion: answers to be lost, statements to be refused. */
+/*
+ * Cancels the faults that count statements or calls: the answers that the store and the members
+ * would still lose, reset or refuse.
+ */
 void inject_clear_pending(inject_t *inject);
--- a/soak/ledger.c
+++ b/soak/ledger.c
@@ -10,7 +10,7 @@
 #include "finding.h"
 
 #define FIELDS_MAX 12
-/* Terms start at 1; the first that a promote begins is 2. */
+/* Terms start at 1; the first promote starts term 2. */
 #define FIRST_PROMOTED_TERM 2
 
 static const char *const service_names[SERVICES_MAX] = {"core",	 "ledger", "fleet", "stock",
@@ -146,7 +146,7 @@
 bool ledger_log_includes(const ledger_t *ledger, unsigned service, position_t log,
 			 position_t position)
 {
-	/* From branch to branch back to the one that the commit was made on. */
+	/* Walk back from branch to branch until the term of the commit. */
 	while (log.term > position.term) {
 		const branch_t *branch = ledger_find_branch(ledger, service, log.term);
 
@@ -184,7 +184,10 @@
 	return position;
 }
 
-/* The last value of name in "name value;name value;", as length and start. */
+/*
+ * Finds the last value of name in the text "name value;name value;". Returns its start, with its
+ * length in *len, or NULL.
+ */
 static const char *find_value(const char *values, const char *name, size_t *len)
 {
 	const char *found = NULL;
@@ -214,7 +217,10 @@
 	return left_len == right_len && strncmp(a, b, left_len) == 0;
 }
 
-/* Names of prepared statements may differ: "EXEC name item data". */
+/*
+ * Returns true if two statement texts are the same. The name of a prepared statement in "EXEC name
+ * item data" may differ.
+ */
 static bool has_same_text(const char *sent, const char *ran)
 {
 	if (strncmp(sent, "EXEC ", 5) != 0 || strncmp(ran, "EXEC ", 5) != 0)
@@ -284,7 +290,7 @@
 	return statement;
 }
 
-/* R, time, id, member, transaction, number, log, values, shape, row, text */
+/* Record of a run: R, time, id, member, transaction, number, log, values, shape, row, text */
 static void on_run(ledger_t *ledger, char *const *fields)
 {
 	statement_t *statement = find_statement(ledger, fields);
@@ -303,7 +309,7 @@
 	check_run(ledger, statement, fields);
 }
 
-/* C, time, id, member, position, item, data */
+/* Record of a commit: C, time, id, member, position, item, data */
 static void on_commit(ledger_t *ledger, char *const *fields)
 {
 	statement_t *statement = find_statement(ledger, fields);
@@ -321,7 +327,9 @@
 			    "committed at %s, its caller has not asked for that", fields[3]);
 }
 
-/* P, time, service, member, term, length, term of the last entry */
+/*
+ * Record of a promote at the member: P, time, service, member, term, length, term of the last entry
+ */
 static void on_promote(ledger_t *ledger, char *const *fields)
 {
 	GArray *branches = ledger->services[ledger_service_number(fields[2])].branches;
@@ -340,7 +348,7 @@
 	ledger->promote_count++;
 }
 
-/* K, time, holder, fence, service, member, done */
+/* Record of a promote call of a proxy: K, time, leader, fencing token, service, member, done */
 static void on_promote_call(ledger_t *ledger, char *const *fields)
 {
 	uint64_t fencing_token = strtoull(fields[3], NULL, 10);
--- a/soak/ledger.h
+++ b/soak/ledger.h
@@ -1,6 +1,6 @@
 /*
- * What callers asked and were told, beside what members ran and committed: each
- * statement with its attempt, its answer, its runs and its commits.
+ * The ledger: what callers sent and received, and what members ran and committed. It holds each
+ * statement with its attempt, answer, runs and commits.
  */
 #pragma once
 
@@ -25,15 +25,18 @@
 
 typedef enum { READS_PRIMARY, READS_MAX_AGE, READS_OWN_WRITES } read_kind_t;
 
-/* What the answer says of the statement. */
+/*
+ * What the answer to a statement says about it. Without an answer, or with an error after which a
+ * write may be kept, the status is unknown.
+ */
 typedef enum {
 	STATEMENT_PENDING,
 	STATEMENT_DONE,
-	STATEMENT_REFUSED, /* with the promise that nothing of the attempt is kept */
+	STATEMENT_REFUSED, /* an error that promises that nothing of the attempt is kept */
 	STATEMENT_UNKNOWN,
 } statement_status_t;
 
-/* Of a member's log; 0.0: before everything. */
+/* A position in a member's log; 0.0 is before the first entry. */
 typedef struct position {
 	uint64_t term;
 	uint64_t number;
@@ -42,10 +45,10 @@
 typedef struct run {
 	struct run *next;
 	usec_t at;
-	uint64_t signature_number; /* of the signature */
+	uint64_t signature_number; /* number in the signature that the member sent */
 	char member[48];
 	char row[64];
-	position_t log_position; /* that a read saw */
+	position_t log_position; /* end of the member's log at the time of the run */
 } run_t;
 
 typedef struct commit {
@@ -54,61 +57,60 @@
 	position_t position;
 } commit_t;
 
-/* An operation as its caller tried it once: a statement, or a transaction. */
+/* One try of an operation: a lone statement, or a transaction. */
 typedef struct attempt {
-	struct attempt *next; /* of the ledger */
+	struct attempt *next; /* next attempt in the ledger */
 	unsigned service;
 	read_kind_t reads;
 	usec_t max_age;
-	usec_t began_at; /* before its first byte left */
+	usec_t began_at; /* when its first statement was sent */
 	bool in_tx;
 	bool commit_requested;
 	bool refused;
-	uint64_t tx_number; /* at the member, 0: not seen yet */
+	uint64_t tx_number; /* the member's transaction number, 0: not recorded yet */
 	struct statement *first;
 	struct statement *last;
-	const struct statement *previous_commit; /* last one of the session before it */
+	const struct statement *previous_commit; /* the session's last write or commit before it */
 } attempt_t;
 
 typedef struct statement {
-	struct statement *next; /* of the attempt */
+	struct statement *next; /* next statement of the attempt */
 	attempt_t *attempt;
 	char id[24];
 	char text[TEXT_MAX];
-	char prepared_shape[24];       /* of a prepared statement */
-	char session_values[TEXT_MAX]; /* the session's, as acknowledged */
+	char prepared_shape[24];       /* what PREPARE defined, for a prepared statement */
+	char session_values[TEXT_MAX]; /* values set by the session and acknowledged */
 	statement_kind_t kind;
 	unsigned proxy;
 	usec_t sent_at;
-	usec_t ended_at; /* answer or close */
+	usec_t ended_at; /* time of the answer, or of the close */
 	statement_status_t status;
-	char error_code[16]; /* of an error */
+	char error_code[16]; /* code of an error answer */
 	char row[64];
 	char signature[80];
 	run_t *runs;
 	commit_t *commits;
 } statement_t;
 
-/* One promote as the member took it up. */
+/* The log branch that a promote started, when the member applied it. */
 typedef struct branch {
-	position_t base; /* the last entry that it shares with the branch before */
+	position_t base; /* last entry shared with the previous branch */
 	usec_t at;
 	char member[48];
 } branch_t;
 
 typedef struct ledger_service {
-	GArray *branches; /* branch_t by term less 2; a gap has at 0 */
-	GPtrArray
-		*acknowledged_writes; /* statement_t whose write was acknowledged, in that order */
+	GArray *branches;		/* branch_t; index: term - 2; at is 0 for unknown terms */
+	GPtrArray *acknowledged_writes; /* statement_t, in order of acknowledgement */
 } ledger_service_t;
 
 typedef struct ledger {
-	GHashTable *statements;	  /* by id */
-	GHashTable *transactions; /* "service tx" to its attempt */
+	GHashTable *statements;	  /* statement_t by id */
+	GHashTable *transactions; /* attempt_t by "SERVICE TX_NUMBER" */
 	attempt_t *attempts;
 	ledger_service_t services[SERVICES_MAX];
-	usec_t complete_until;	/* what members did before this is known */
-	uint64_t fencing_token; /* highest that was used */
+	usec_t complete_until;	/* the members' record is complete up to this time */
+	uint64_t fencing_token; /* highest fencing token of a promote call */
 	char leader[64];
 	size_t promote_count;
 	char line[2048];
@@ -116,42 +118,51 @@
 	uint64_t last_id;
 } ledger_t;
 
-/* A child of parent, as are its records. */
+/* Returns a child of parent; the attempts and statements are children of the ledger. */
 ledger_t *ledger_create(void *parent);
 
-/* A new attempt; max_age: how old its reads may be at most, 0 for those of the primary. */
+/* Adds an attempt. max_age is the greatest age of its reads, 0 for reads of the primary. */
 attempt_t *ledger_add_attempt(ledger_t *ledger, unsigned service, read_kind_t reads,
 			      usec_t max_age);
 
-/* A statement of the attempt with a fresh id; its text is the caller's to fill in. */
+/* Adds a statement with a new id to the attempt; the caller fills in its text. */
 statement_t *ledger_add_statement(ledger_t *ledger, attempt_t *attempt, statement_kind_t kind);
 
-/* The answer has come whole; what it acknowledges holds from now on. */
+/*
+ * Records the complete answer, or the lack of one. Reads that begin from now on must show what a
+ * done statement has acknowledged.
+ */
 void ledger_record_answer(ledger_t *ledger, statement_t *statement, statement_status_t status,
 			  usec_t now);
 
-/* Some of the stand-in's output. */
+/* Parses a part of the stand-in's output; it may end within a line. */
 void ledger_parse_output(ledger_t *ledger, const char *data, size_t len);
 
-/* The first write of an attempt that has commits, or NULL. */
+/* Returns the first statement of the attempt that a member has committed, or NULL. */
 const statement_t *ledger_find_committed_write(const attempt_t *attempt);
 
-/* The branch that the term began, NULL for the first term and for one that nobody saw begin. */
+/*
+ * Returns the branch that the term started, NULL for the first term and for a term without a
+ * recorded promote.
+ */
 const branch_t *ledger_find_branch(const ledger_t *ledger, unsigned service, uint64_t term);
 
-/* The term that is newest in the service. */
+/* Returns the newest term of the service. */
 uint64_t ledger_newest_term(const ledger_t *ledger, unsigned service);
 
-/* A log that ends at log holds what was committed at position. */
+/* Returns true if a member's log that ends at position log contains the commit at position. */
 bool ledger_log_includes(const ledger_t *ledger, unsigned service, position_t log,
 			 position_t position);
 
-/* A promote left it out: who leads now lacks it. *at: when. */
+/*
+ * Returns true if a later promote left the commit at position out of the log; *at is then the time
+ * of that promote.
+ */
 bool ledger_was_rolled_back(const ledger_t *ledger, unsigned service, position_t position,
 			    usec_t *at);
 
-/* The number of a service by its name or by one of its members' ids. */
+/* Returns the number of a service by its name or by the id of one of its members. */
 unsigned ledger_service_number(const char *name);
 
-/* The name of the service of this number. */
+/* Returns the name of the service with this number. */
 const char *ledger_service_name(unsigned service);
--- a/soak/link.c
+++ b/soak/link.c
@@ -6,9 +6,12 @@
 #include <sys/socket.h>
 #include <talloc.h>
 
-/* Sent data unacknowledged for so long ends a connection; longer than any fault of a soak. */
+/*
+ * A connection ends if sent data stays unacknowledged for this time; longer than any fault of a
+ * soak.
+ */
 #define TCP_USER_TIMEOUT_MS 60000
-/* A member drops a connection whose remote end has been out of reach for so long. */
+/* A member drops a connection whose remote end has been unreachable for this time. */
 #define DROP_DELAY (3 * USEC_PER_SEC)
 
 typedef struct chunk {
@@ -22,8 +25,8 @@
 	struct pair *pair;
 	stream_t *to;
 	list_t chunks;
-	usec_t free_at;	    /* with a limited rate: when the next byte may leave */
-	bool sender_closed; /* the sender has closed; the receiver hears of it after the chunks */
+	usec_t free_at;	    /* with a rate limit: when the next byte may be sent */
+	bool sender_closed; /* the receiver's side is closed after the last chunk */
 	run_timer_t timer;
 } flow_t;
 
@@ -76,7 +79,7 @@
 	return pair->silent || pair->link->cut[flow - pair->flows];
 }
 
-/* Pass on what is due. The pair may be gone afterwards. */
+/* Forwards the chunks that are due. The pair may have been freed afterwards. */
 static void forward_due_chunks(flow_t *flow)
 {
 	pair_t *pair = flow->pair;
@@ -294,12 +297,15 @@
 	list_for_each_safe (it, &link->pairs) {
 		pair_t *pair = list_entry(it, pair_t, node);
 
-		/* Its other end has given it up meanwhile. */
+		/*
+		 * The target has closed while the link was cut, or on_drop_timer() has closed its
+		 * side.
+		 */
 		if (!pair->silent && pair->target.sock == NULL)
 			reset_pair(pair);
 	}
 	for (int i = 0; i < LINK_DIRECTIONS; i++) {
-		/* A pair may end while its bytes are passed on. */
+		/* forward_due_chunks() may free the pair, hence the safe iteration. */
 		list_for_each_safe (it, &link->pairs)
 			forward_due_chunks(&list_entry(it, pair_t, node)->flows[i]);
 	}
--- a/soak/plan.c
+++ b/soak/plan.c
@@ -6,27 +6,30 @@
 #include <talloc.h>
 
 #define MSEC USEC_PER_MSEC
-/* Between two faults on average; a series has its own pace. */
+/* Average time between two faults or series of faults. */
 #define FAULT_INTERVAL (650 * MSEC)
-/* Faults of a series, and the time between two of them. */
+/* Greatest number of faults in a series, and the range of the time between two of them. */
 #define SERIES_MAX     5
 #define SERIES_GAP_MIN (60 * MSEC)
 #define SERIES_GAP_MAX (700 * MSEC)
-/* Chance that a run has a kind of fault: others left out, rarer mixtures come too. */
+/*
+ * Chance that a kind of fault takes part in a run. Without the kinds that are left out, rare
+ * combinations of the others occur more often.
+ */
 #define KIND_PERCENT 55
 
-/* Between two restores of the store, microseconds. */
+/* Range of the time between two restores of the store. */
 #define RESTORE_GAP_MIN (5 * USEC_PER_SEC)
 #define RESTORE_GAP_MAX (15 * USEC_PER_SEC)
 
 typedef struct fault_shape {
 	const char *name;
 	unsigned weight;
-	unsigned min_ms; /* duration */
+	unsigned min_ms; /* duration of the fault */
 	unsigned max_ms;
 	unsigned amount_min;
 	unsigned amount_max;
-	unsigned series_percent; /* how often it comes in a series */
+	unsigned series_percent; /* chance that the fault starts a series */
 } fault_shape_t;
 
 static const fault_shape_t fault_shapes[FAULT_COUNT] = {
@@ -67,7 +70,9 @@
 	[FAULT_MEMBER_LINK_LIMIT] = {"member-link-limit", 2, 300, 4000, 2000, 30000, 0},
 	[FAULT_MEMBER_LINK_RESET] = {"member-link-reset", 4, 0, 0, 0, 0, 40},
 	[FAULT_MEMBER_LINK_SILENCE] = {"member-link-silence", 4, 0, 0, 0, 0, 20},
-	/* By a generator of its own: the others' draws are those that a seed always had. */
+	/*
+	 * Drawn by a random generator of its own, so that the other faults of a seed stay the same.
+	 */
 	[FAULT_STORE_RESTORED] = {"store-restored", 0, 300, 5000, 0, 0, 0},
 };
 
@@ -87,7 +92,7 @@
 	for (size_t i = 0; i < FAULT_STORE_RESTORED; i++)
 		weights[i] =
 			random_between(rand, 1, 100) <= KIND_PERCENT ? fault_shapes[i].weight : 0;
-	/* Every run restarts some proxy. */
+	/* Every run can restart proxies. */
 	weights[FAULT_TERM] = fault_shapes[FAULT_TERM].weight;
 }
 
@@ -151,7 +156,7 @@
 	return 0;
 }
 
-/* In one run of two. */
+/* Adds restores of the store to the plan if the seed is even. */
 static void add_restores(plan_t *plan, unsigned seed)
 {
 	GRand *rand = g_rand_new_with_seed(~seed);
@@ -177,8 +182,8 @@
 	talloc_set_destructor(plan, destructor);
 	choose_kinds(rand, weights);
 	/*
-	 * The faults of a small fleet would be spread thin over a large one; as many for each proxy
-	 * would leave it no time without a fault.
+	 * In a large fleet the faults of a small one would hit each proxy too rarely; with as many
+	 * faults for each proxy there would be no time without a fault.
 	 */
 	if (proxies > 24)
 		interval /= 3;
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -1,6 +1,6 @@
 /*
- * The faults of a run, in order of time. They follow from the seed, the length
- * and the number of proxies alone.
+ * The plan: the faults of a run, ordered by time. It depends only on the seed, the length and the
+ * number of proxies.
  */
 #pragma once
 
@@ -16,23 +16,23 @@
 	FAULT_KILL,
 	FAULT_TERM,
 	FAULT_ROLLING_RESTART,
-	FAULT_HANGUP, /* SIGHUP, with settings that have changed */
+	FAULT_HANGUP, /* SIGHUP after a change of the settings */
 	FAULT_POWER_LOSS,
-	/* One proxy's way to the store. */
+	/* The link of one proxy to the store. */
 	FAULT_STORE_LINK_CUT,
 	FAULT_STORE_LINK_ONE_WAY,
 	FAULT_STORE_LINK_DELAY,
 	FAULT_STORE_LINK_RESET,
 	FAULT_STORE_LINK_SILENCE,
-	FAULT_STORE_TURNS_AWAY,
-	/* The store, for everyone. */
+	FAULT_STORE_TURNS_AWAY, /* calls reach a port that refuses them */
+	/* The store, the promote call and the configuration, for all proxies. */
 	FAULT_STORE_DOWN,
 	FAULT_STORE_SLOW,
-	FAULT_STORE_LOSES,
-	FAULT_STORE_FORGETS,
-	FAULT_STORE_DEAF,
+	FAULT_STORE_LOSES,   /* answers to writes, or to lease renewals, are lost */
+	FAULT_STORE_FORGETS, /* the history of changes is compacted */
+	FAULT_STORE_DEAF,    /* watches receive no events */
 	FAULT_PLATFORM_PAUSE,
-	FAULT_PROMOTE_LOSES,
+	FAULT_PROMOTE_LOSES, /* answers of the promote call are lost */
 	FAULT_PROMOTE_REFUSES,
 	FAULT_CONFIG,
 	/* Members. */
@@ -42,40 +42,44 @@
 	FAULT_LEADER_REPLACE,
 	FAULT_MEMBER_SLOW,
 	FAULT_MEMBER_LAG,
-	FAULT_MEMBER_LOSES,
-	FAULT_MEMBER_RESETS,
-	FAULT_MEMBER_GREY,
-	FAULT_MEMBER_DEAF,
-	/* All proxies' way to a member. */
+	FAULT_MEMBER_LOSES,  /* answers are lost */
+	FAULT_MEMBER_RESETS, /* connections are reset in place of answers */
+	FAULT_MEMBER_GREY,   /* a number of statements is refused */
+	FAULT_MEMBER_DEAF,   /* receives nothing from the leader and is not demoted */
+	/* The link of all proxies to a member. */
 	FAULT_MEMBER_LINK_CUT,
 	FAULT_MEMBER_LINK_ONE_WAY,
 	FAULT_MEMBER_LINK_DELAY,
 	FAULT_MEMBER_LINK_LIMIT,
 	FAULT_MEMBER_LINK_RESET,
 	FAULT_MEMBER_LINK_SILENCE,
-	/* The store comes back from a copy that was taken when the fault began. */
+	/*
+	 * At the end of the fault the store is restored from a backup that was taken at its
+	 * beginning.
+	 */
 	FAULT_STORE_RESTORED,
 	FAULT_COUNT,
 } fault_kind_t;
 
 typedef struct fault {
-	usec_t at; /* from the first fault on */
+	usec_t at; /* time since inject_start() */
 	fault_kind_t kind;
-	unsigned target; /* proxy, member or service; the kind says which, modulo their number */
+	/* index of a proxy, member or service, by kind; taken modulo their number */
+	unsigned target;
 	usec_t duration;
 	unsigned amount;
 } fault_t;
 
 typedef struct plan {
 	GArray *faults; /* fault_t */
-	usec_t length;	/* all faults have ended by then */
+	usec_t length;	/* all faults end within this time */
 } plan_t;
 
-/* A child of parent. */
+/* Returns a child of parent. */
 plan_t *plan_create(void *parent, unsigned seed, usec_t length, unsigned proxies);
 
-/* As the plan is printed and faults are told. */
+/* Returns the name of the kind in the output of plan_print() and of --verbose. */
 const char *plan_fault_name(fault_kind_t kind);
 
-/* To standard output, a line for each fault. */
+/* Prints one line for each fault to standard output. */
 void plan_print(const plan_t *plan);
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -1,7 +1,7 @@
 /*
- * A randomized soak: real proxies as separate processes on loopback, faults from
- * outside them, and the promises checked while it runs, from what callers and
- * members see. The seed decides faults and load.
+ * A randomized soak: runs proxies as separate processes on loopback, injects faults from outside,
+ * and checks the promises during the run against what callers and members see. The seed determines
+ * the faults and the load.
  */
 #include <getopt.h>
 #include <inttypes.h>
@@ -22,22 +22,24 @@
 #include "plan.h"
 
 #define TICK (10 * USEC_PER_MSEC)
-/* This process was late if a tick comes so long after the one before. */
+/* The soak itself was delayed if two ticks are further apart than this. */
 #define LATE_TICK_INTERVAL (60 * USEC_PER_MSEC)
-/* For so long after that its own time stamps are not used for findings. */
+/* Time after a delayed tick during which time stamps of the soak are not used for findings. */
 #define CLOCK_UNRELIABLE_TIME (300 * USEC_PER_MSEC)
-/* Between two marks in the record of the stand-in; see ledger_t.horizon. */
+/* Interval of the marks that the stand-in writes to its record; see ledger_t.complete_until. */
 #define SYNC_INTERVAL (200 * USEC_PER_MSEC)
-/* Between two looks at memory, descriptors and logs, and at the answers that can be judged by then.
+/*
+ * Interval of the checks of memory, descriptors and logs, and of the answers that the record covers
+ * by then.
  */
 #define CHECK_INTERVAL (1 * USEC_PER_SEC)
-/* A fleet that starts for the first time has to find its primaries. */
+/* At its first start a fleet has to find its primaries. */
 #define START_TIMEOUT (25 * USEC_PER_SEC)
-/* Everything is served again so long after the last fault. */
+/* All callers must be served again this long after the last fault. */
 #define RECOVERY_TIME (12 * USEC_PER_SEC)
-/* Then everything is served for so long. */
+/* Time after the recovery during which every failure is a finding. */
 #define SERVED_TIME (3 * USEC_PER_SEC)
-/* The record of the members must come to the end within this. */
+/* Time-out for the rest of the members' record at the end of the run. */
 #define RECORD_TIMEOUT (5 * USEC_PER_SEC)
 
 typedef enum { STAGE_START, STAGE_FAULTS, STAGE_RECOVER, STAGE_SERVED, STAGE_RECORD } stage_t;
@@ -55,8 +57,8 @@
 	usec_t next_check;
 	usec_t last_tick;
 	size_t late_ticks;
-	usec_t longest_tick; /* between two ticks */
-	usec_t last_late_at; /* when the last late one came */
+	usec_t longest_tick; /* longest time between two ticks */
+	usec_t last_late_at; /* time of the last delayed tick */
 	run_timer_t tick;
 } soak_t;
 
@@ -125,7 +127,7 @@
 	if (now < soak->stage_until)
 		return;
 	for (unsigned i = 0; i < soak->fleet->options.proxies; i++) {
-		/* With few callers a proxy may have none just then. */
+		/* With few callers a proxy may have received no statement in this time. */
 		if (soak->fleet->proxies[i].operations_done == 0 &&
 		    soak->fleet->proxies[i].statements_sent != 0)
 			finding_add(PROMISE_RECOVERY, soak->fleet->proxies[i].name,
@@ -152,7 +154,10 @@
 		advance_served(soak, now);
 		break;
 	case STAGE_RECORD:
-		/* What was sent before the clients stopped has run or not by then. */
+		/*
+		 * After a second no statement that was sent before the clients stopped is still
+		 * running.
+		 */
 		if (now >= soak->stage_until - RECORD_TIMEOUT + USEC_PER_SEC &&
 		    soak->ledger->complete_until + USEC_PER_SEC / 2 > now)
 			loop_stop(&soak->loop);
@@ -285,7 +290,7 @@
 	}
 	loop_run(&soak.loop);
 	fleet_stop(soak.fleet);
-	/* The record of a run that was broken off lacks its end. */
+	/* The record of an interrupted run is incomplete. */
 	if (!stop_requested)
 		check_whole_run(soak.clients);
 	print_report(&soak, options, clock_now(soak.loop.clock) - started_at);
@@ -296,7 +301,7 @@
 		remove_dir(dir);
 	g_free(dir);
 	talloc_free(soak.fleet);
-	/* Frees the sockets that were closed. */
+	/* One more iteration of the event loop frees the closed sockets. */
 	h2o_evloop_run(soak.loop.h2o, 0);
 	if (stop_requested)
 		return 2;
