--- a/soak/check.c
+++ b/soak/check.c
@@ -71,8 +71,9 @@
 		    ledger_was_rolled_back(ledger, service, commit->position, &rolled_back_at))
 			continue;
 		finding_add(PROMISE_STALE, read->id,
-			    "at %s with log %" PRIu64 ".%" PRIu64 " lacks %s, committed as %" PRIu64
-			    ".%" PRIu64 " and acknowledged %.1f ms before the read began",
+			    "read at %s with log %" PRIu64 ".%" PRIu64
+			    " lacks %s, committed as %" PRIu64 ".%" PRIu64
+			    " and acknowledged %.1f ms before the read began",
 			    run->member, run->log_position.term, run->log_position.number,
 			    write->id, commit->position.term, commit->position.number,
 			    (double)(read->attempt->began_at - acknowledged->ended_at) / MSEC);
@@ -120,7 +121,7 @@
 
 	if (write->commits == NULL) {
 		finding_add(PROMISE_LOST_WRITE, write->id,
-			    "acknowledged as %s, no member has committed it", acknowledged->id);
+			    "acknowledged as %s, but no member has committed it", acknowledged->id);
 		return;
 	}
 	for (const commit_t *commit = write->commits; commit != NULL; commit = commit->next) {
@@ -150,8 +151,9 @@
 		return;
 	}
 	if (strcmp(run->row, statement->row) != 0)
-		finding_add(PROMISE_MIXED, statement->id, "\"%s\": got row \"%s\", %s gave \"%s\"",
-			    statement->text, statement->row, run->member, run->row);
+		finding_add(PROMISE_MIXED, statement->id,
+			    "\"%s\": got row \"%s\", but %s sent \"%s\"", statement->text,
+			    statement->row, run->member, run->row);
 	if (statement->kind == KIND_READ)
 		check_read_freshness(clients->ledger, statement, run);
 }
@@ -180,7 +182,7 @@
 	usec_t rolled_back_at;
 
 	if (kept != NULL && attempt->refused)
-		finding_add(PROMISE_REFUSED, kept->id, "committed, though its caller was told %s",
+		finding_add(PROMISE_REFUSED, kept->id, "committed, although its caller received %s",
 			    attempt->last->error_code);
 	for (const statement_t *it = attempt->first; it != NULL; it = it->next) {
 		size_t count = 0;
--- a/soak/client.c
+++ b/soak/client.c
@@ -184,8 +184,8 @@
 {
 	if (session->clients->failures_are_findings &&
 	    (session->state == SESSION_CLOSED || session->state == SESSION_STARTING))
-		finding_add(PROMISE_RECOVERY, databases[session->reads], "p%u opens no session: %s",
-			    session->proxy, what);
+		finding_add(PROMISE_RECOVERY, databases[session->reads],
+			    "p%u did not open a session: %s", session->proxy, what);
 }
 
 /*
@@ -211,7 +211,7 @@
 		return;
 	finding_add(
 		PROMISE_SHUTDOWN, session->pending->id,
-		"\"%s\" sent %.0f ms before %s closed, which got SIGTERM %.0f ms before the close",
+		"\"%s\" sent %.0f ms before %s closed, which received SIGTERM %.0f ms before the close",
 		session->pending->text, (double)(now - sent) / MSEC, proxy->name,
 		(double)(now - proxy->sigterm_at) / MSEC);
 }
@@ -525,7 +525,7 @@
 		on_answer(session, &answer);
 	else
 		finding_add(PROMISE_MIXED, databases[session->reads],
-			    "p%u sent an answer to nothing", session->proxy);
+			    "p%u sent an answer without a request", session->proxy);
 	return used;
 }
 
--- a/soak/fleet.c
+++ b/soak/fleet.c
@@ -251,12 +251,13 @@
 {
 	if (!proxy->killed && !fleet->stopping && !is_requested_exit(proxy, status) &&
 	    !was_signalled_while_loading(proxy, status, now))
-		finding_add(PROMISE_PROCESS, proxy->name,
-			    "ended by itself, exit %d, signal %d, %.1f ms after its start, %s",
-			    WIFEXITED(status) ? WEXITSTATUS(status) : -1,
-			    WIFSIGNALED(status) ? WTERMSIG(status) : 0,
-			    (double)(now - proxy->started_at) / USEC_PER_MSEC,
-			    proxy->sigterm_at != 0 ? "after SIGTERM" : "without SIGTERM");
+		finding_add(
+			PROMISE_PROCESS, proxy->name,
+			"exited unexpectedly: exit status %d, signal %d, %.1f ms after its start, %s",
+			WIFEXITED(status) ? WEXITSTATUS(status) : -1,
+			WIFSIGNALED(status) ? WTERMSIG(status) : 0,
+			(double)(now - proxy->started_at) / USEC_PER_MSEC,
+			proxy->sigterm_at != 0 ? "after SIGTERM" : "without SIGTERM");
 	proxy->state = PROXY_DOWN;
 	proxy->restart_at = now + proxy->restart_delay;
 }
@@ -276,7 +277,7 @@
 	if (proxy->paused_until != 0 && now >= proxy->paused_until)
 		resume_proxy(proxy, now);
 	if (proxy->exit_deadline != 0 && now >= proxy->exit_deadline && proxy->paused_until == 0) {
-		finding_add(PROMISE_PROCESS, proxy->name, "has not ended %.1f s after SIGTERM",
+		finding_add(PROMISE_PROCESS, proxy->name, "has not exited %.1f s after SIGTERM",
 			    (double)(now - proxy->sigterm_at) / USEC_PER_SEC);
 		fleet_kill_proxy(fleet, index, RESTART_DELAY);
 		proxy->exit_deadline = 0;
@@ -324,12 +325,12 @@
 	proxy->peak_kb = MAX(proxy->peak_kb, rss);
 	proxy->peak_fds = MAX(proxy->peak_fds, fds);
 	if (CHECKS_MEMORY && rss > MEMORY_MAX_KB)
-		finding_add(PROMISE_BOUNDS, proxy->name, "%ld KB of memory", rss);
+		finding_add(PROMISE_BOUNDS, proxy->name, "uses %ld KB of memory", rss);
 	if (fds > FDS_MAX)
-		finding_add(PROMISE_BOUNDS, proxy->name, "%ld descriptors", fds);
+		finding_add(PROMISE_BOUNDS, proxy->name, "has %ld open descriptors", fds);
 	if ((usec_t)log > LOG_START_MAX + LOG_RATE_MAX * age / USEC_PER_SEC)
-		finding_add(PROMISE_BOUNDS, proxy->name, "%ld bytes of log in %.1f s", (long)log,
-			    (double)age / USEC_PER_SEC);
+		finding_add(PROMISE_BOUNDS, proxy->name, "wrote %ld bytes of log in %.1f s",
+			    (long)log, (double)age / USEC_PER_SEC);
 }
 
 void fleet_check_bounds(fleet_t *fleet, usec_t now)
@@ -361,7 +362,8 @@
 	if (written == (ssize_t)strlen(text))
 		written = write(fleet->command_fd, "\n", 1);
 	if (written != 1)
-		finding_add(PROMISE_PROCESS, "platform", "takes no commands: %s", strerror(errno));
+		finding_add(PROMISE_PROCESS, "platform", "command could not be written: %s",
+			    strerror(errno));
 	g_free(text);
 }
 
@@ -428,7 +430,7 @@
 		return;
 	loop_watch_stop(watch);
 	if (!fleet->stopping)
-		finding_add(PROMISE_PROCESS, "platform", "the stand-in has ended");
+		finding_add(PROMISE_PROCESS, "platform", "the stand-in has exited");
 }
 
 static int start_standin(fleet_t *fleet)
--- a/soak/ledger.c
+++ b/soak/ledger.c
@@ -240,19 +240,20 @@
 	if (!attempt->in_tx || tx_number == 0) {
 		if (attempt->in_tx != (tx_number != 0))
 			finding_add(PROMISE_PINNED, statement->id,
-				    "in transaction %" PRIu64 " of member %s", tx_number, member);
+				    "ran in transaction %" PRIu64 " of member %s", tx_number,
+				    member);
 		return;
 	}
 	if (attempt->tx_number != 0 && attempt->tx_number != tx_number)
 		finding_add(PROMISE_PINNED, statement->id,
-			    "in transaction %" PRIu64 " of member %s, begun in %" PRIu64, tx_number,
-			    member, attempt->tx_number);
+			    "ran in transaction %" PRIu64 " of member %s, but began in %" PRIu64,
+			    tx_number, member, attempt->tx_number);
 	attempt->tx_number = tx_number;
 	key = g_strdup_printf("%u %" PRIu64, attempt->service, tx_number);
 	known_attempt = g_hash_table_lookup(ledger->transactions, key);
 	if (known_attempt != NULL && known_attempt != attempt)
 		finding_add(PROMISE_PINNED, statement->id,
-			    "in transaction %" PRIu64 " of member %s, which is that of %s",
+			    "ran in transaction %" PRIu64 " of member %s, which belongs to %s",
 			    tx_number, member, known_attempt->first->id);
 	if (known_attempt == NULL)
 		g_hash_table_insert(ledger->transactions, key, attempt);
@@ -266,16 +267,17 @@
 	const char *values = fields[7];
 
 	if (!has_same_text(statement->text, fields[10]))
-		finding_add(PROMISE_UNASKED, statement->id, "asked \"%s\", member %s ran \"%s\"",
-			    statement->text, fields[3], fields[10]);
+		finding_add(PROMISE_UNASKED, statement->id,
+			    "sent as \"%s\", but member %s ran \"%s\"", statement->text, fields[3],
+			    fields[10]);
 	if (strcmp(statement->prepared_shape, fields[8]) != 0)
-		finding_add(PROMISE_PINNED, statement->id, "prepared as %s, ran as %s at %s",
+		finding_add(PROMISE_PINNED, statement->id, "prepared as %s, but ran as %s at %s",
 			    statement->prepared_shape, fields[8], fields[3]);
 	for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
 		if (!has_same_value(statement->session_values, values, names[i]))
 			finding_add(PROMISE_PINNED, statement->id,
-				    "with the values \"%s\" at %s, its session has \"%s\"", values,
-				    fields[3], statement->session_values);
+				    "ran with the values \"%s\" at %s, but its session has \"%s\"",
+				    values, fields[3], statement->session_values);
 	}
 	check_transaction(ledger, statement, fields[3], strtoull(fields[4], NULL, 10));
 }
@@ -285,7 +287,8 @@
 	statement_t *statement = g_hash_table_lookup(ledger->statements, fields[2]);
 
 	if (statement == NULL)
-		finding_add(PROMISE_UNASKED, fields[2], "no caller sent what member %s ran",
+		finding_add(PROMISE_UNASKED, fields[2],
+			    "member %s ran or committed a statement that no caller sent",
 			    fields[3]);
 	return statement;
 }
@@ -324,7 +327,7 @@
 	statement->commits = commit;
 	if (statement->attempt->in_tx && !statement->attempt->commit_requested)
 		finding_add(PROMISE_UNASKED, statement->id,
-			    "committed at %s, its caller has not asked for that", fields[3]);
+			    "committed at %s, but its caller has not sent COMMIT", fields[3]);
 }
 
 /*
@@ -355,11 +358,11 @@
 
 	if (fencing_token < ledger->fencing_token)
 		finding_add(PROMISE_ONE_PROMOTE, fields[4],
-			    "%s promotes with fence %" PRIu64 " after %s with %" PRIu64, fields[2],
-			    fencing_token, ledger->leader, ledger->fencing_token);
+			    "%s promotes with fencing token %" PRIu64 " after %s with %" PRIu64,
+			    fields[2], fencing_token, ledger->leader, ledger->fencing_token);
 	else if (fencing_token == ledger->fencing_token && strcmp(fields[2], ledger->leader) != 0)
 		finding_add(PROMISE_ONE_PROMOTE, fields[4],
-			    "%s and %s promote with the same fence %" PRIu64, fields[2],
+			    "%s and %s promote with the same fencing token %" PRIu64, fields[2],
 			    ledger->leader, fencing_token);
 	if (fencing_token < ledger->fencing_token)
 		return;
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -116,7 +116,8 @@
 	if (clients_served_by_all(soak->clients)) {
 		enter_stage(soak, STAGE_FAULTS, now);
 	} else if (now >= soak->stage_until) {
-		finding_add(PROMISE_RECOVERY, "start", "some proxy serves nobody after %.0f s",
+		finding_add(PROMISE_RECOVERY, "start",
+			    "a proxy has served no operation after %.0f s",
 			    (double)START_TIMEOUT / USEC_PER_SEC);
 		enter_stage(soak, STAGE_RECORD, now);
 	}
@@ -131,7 +132,7 @@
 		if (soak->fleet->proxies[i].operations_done == 0 &&
 		    soak->fleet->proxies[i].statements_sent != 0)
 			finding_add(PROMISE_RECOVERY, soak->fleet->proxies[i].name,
-				    "serves nobody after the last fault");
+				    "has served no operation after the last fault");
 	}
 	enter_stage(soak, STAGE_RECORD, now);
 }
@@ -162,7 +163,8 @@
 		    soak->ledger->complete_until + USEC_PER_SEC / 2 > now)
 			loop_stop(&soak->loop);
 		else if (now >= soak->stage_until)
-			finding_add(PROMISE_PROCESS, "platform", "its record does not come"),
+			finding_add(PROMISE_PROCESS, "platform",
+				    "the end of the record has not arrived in time"),
 				loop_stop(&soak->loop);
 		break;
 	}
