--- a/soak/finding.c
+++ b/soak/finding.c
@@ -7,7 +7,7 @@
 /* Findings printed for each promise; one fault breaks the promise for many requests. */
 #define PRINTED_MAX 5
 
-static unsigned run_seed;
+static unsigned seed_of_run;
 static size_t counts[PROMISE_COUNT];
 
 static const char *const names[PROMISE_COUNT] = {
@@ -28,7 +28,7 @@
 
 void finding_start(unsigned seed)
 {
-	run_seed = seed;
+	seed_of_run = seed;
 	memset(counts, 0, sizeof(counts));
 }
 
@@ -38,7 +38,7 @@
 
 	if (counts[promise]++ >= PRINTED_MAX)
 		return;
-	printf("seed %u: broken promise %s, %s: ", run_seed, names[promise], id);
+	printf("seed %u: broken promise %s, %s: ", seed_of_run, names[promise], id);
 	va_start(args, fmt);
 	vprintf(fmt, args);
 	va_end(args);
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -73,12 +73,12 @@
 	bool only_plan;
 } options_t;
 
-static volatile sig_atomic_t stop_requested;
+static volatile sig_atomic_t stop_asked;
 
 static void on_stop_signal(int signo)
 {
 	(void)signo;
-	stop_requested = 1;
+	stop_asked = 1;
 }
 
 /* --- stages --- */
@@ -200,7 +200,7 @@
 		soak->next_check = now + CHECK_INTERVAL;
 	}
 	advance_stage(soak, now);
-	if (stop_requested)
+	if (stop_asked)
 		loop_stop(&soak->loop);
 	timers_arm(&soak->loop.timers, timer, now + TICK, on_tick);
 }
@@ -293,7 +293,7 @@
 	loop_run(&soak.loop);
 	fleet_stop(soak.fleet);
 	/* The record of an interrupted run is incomplete. */
-	if (!stop_requested)
+	if (!stop_asked)
 		check_whole_run(soak.clients);
 	print_report(&soak, options, clock_now(soak.loop.clock) - started_at);
 	keep = finding_count() != 0 || options->keep;
@@ -305,7 +305,7 @@
 	talloc_free(soak.fleet);
 	/* One more iteration of the event loop frees the closed sockets. */
 	h2o_evloop_run(soak.loop.h2o, 0);
-	if (stop_requested)
+	if (stop_asked)
 		return 2;
 	return finding_count() != 0 ? 1 : 0;
 }
