--- a/measure/paused.c
+++ b/measure/paused.c
@@ -1,7 +1,7 @@
 /*
- * Measurements in paused time, on the fakes of world.h: what ./dev/measure
- * failover, reads and load print. The same seeds give the same figures on every
- * machine. Each run also checks what must always hold.
+ * Measurements with the manual clock and the simulated processes of world.h; ./dev/measure
+ * failover, reads and load print them. The same seeds give the same figures on every machine. Each
+ * run also checks the invariants of the world.
  */
 #include <math.h>
 #include <stdio.h>
@@ -20,21 +20,22 @@
 	return x < y ? -1 : x > y;
 }
 
-static double percentile(GArray *values, double part)
+static double percentile_msec(GArray *values, double fraction)
 {
 	g_array_sort(values, compare_usec);
-	return (double)g_array_index(values, usec_t, (guint)(part * (values->len - 1))) / 1000.0;
+	return (double)g_array_index(values, usec_t, (guint)(fraction * (values->len - 1))) /
+	       1000.0;
 }
 
-static void print_spread(const char *name, GArray *values)
+static void print_percentiles(const char *name, GArray *values)
 {
 	if (values->len == 0) {
 		printf("  %-18s no run came to an end\n", name);
 		return;
 	}
 	printf("  %-18s min %8.1f  median %8.1f  p95 %8.1f  max %8.1f ms\n", name,
-	       percentile(values, 0), percentile(values, 0.5), percentile(values, 0.95),
-	       percentile(values, 1));
+	       percentile_msec(values, 0), percentile_msec(values, 0.5),
+	       percentile_msec(values, 0.95), percentile_msec(values, 1));
 }
 
 /* --- the two deployments --- */
@@ -53,7 +54,7 @@
 	{"Wales", 4, 500, 5, 55, 17},
 };
 
-static world_config_t config_for(const deployment_t *deployment, uint64_t seed)
+static world_config_t make_config(const deployment_t *deployment, uint64_t seed)
 {
 	world_config_t config = world_config_default();
 
@@ -68,23 +69,23 @@
 	return config;
 }
 
-static int failures;
+static int violation_count;
 
-static void check(world_t *world, const char *where, uint64_t seed)
+static void check_violations(world_t *world, const char *where, uint64_t seed)
 {
 	const char *violations = world_violations(world);
 
 	if (violations[0] == '\0')
 		return;
 	printf("VIOLATION %s seed %d:\n%s", where, (int)seed, violations);
-	failures++;
+	violation_count++;
 }
 
 /* --- failover --- */
 
-#define FAILOVER_RUNS 60
-#define WRITE_EVERY   (5 * USEC_PER_MSEC)
-#define FAULT_AT      (2 * USEC_PER_SEC)
+#define FAILOVER_RUNS  60
+#define WRITE_INTERVAL (5 * USEC_PER_MSEC)
+#define FAULT_AT       (2 * USEC_PER_SEC)
 
 typedef struct fault {
 	const char *name;
@@ -106,15 +107,15 @@
 	world_freeze(world, world_node("m0"), 20 * USEC_PER_SEC);
 }
 
-static void cut_primary(world_t *world)
+static void partition_primary(world_t *world)
 {
 	world_cut(world, world_node("m0"), world_node("m1"), true);
 	world_cut(world, world_node("m0"), world_node("m2"), true);
 }
 
-static void vanish_both(world_t *world)
+static void vanish_primary_and_home(world_t *world)
 {
-	/* With seven proxies and this group's name the home is p2. */
+	/* The first proxy in served_by is the home of the group. */
 	json_t *dump = world_dump(world, 0);
 	json_t *groups = json_object_get(dump, "groups");
 	json_t *ranks = json_object_get(json_object_get(groups, "callout-1"), "served_by");
@@ -128,8 +129,8 @@
 	{"process killed", kill_primary},
 	{"VM vanished", vanish_primary},
 	{"frozen", freeze_primary},
-	{"cut from its peers", cut_primary},
-	{"VM and its home proxy vanished", vanish_both},
+	{"cut from its peers", partition_primary},
+	{"VM and its home proxy vanished", vanish_primary_and_home},
 };
 
 typedef struct gaps {
@@ -137,20 +138,22 @@
 	GArray *seal;
 	GArray *promote;
 	GArray *resume;
-	GArray *whole;
+	GArray *total;
 	int unfinished;
 } gaps_t;
 
-/* Writes every few milliseconds through all proxies; the first that is sent after the fault and
- * done ends the gap. */
+/*
+ * Sends writes at a fixed interval through all proxies in turn. The gap ends with the first done
+ * write that was sent after the fault.
+ */
 static void run_failover(const deployment_t *deployment, const fault_t *fault, bool fixed,
 			 uint64_t seed, gaps_t *gaps)
 {
-	world_config_t config = config_for(deployment, seed);
+	world_config_t config = make_config(deployment, seed);
 	world_t *world;
 	usec_t fault_at = FAULT_AT + seed * 7919 % 100000;
-	usec_t first_done = 0;
-	world_marks_t marks;
+	usec_t first_done_at = 0;
+	world_marks_t phase_marks;
 	int number = 0;
 
 	config.fixed_detection = fixed;
@@ -165,9 +168,12 @@
 					   .value = name,
 					   .request_id = name,
 					   .deadline = 10 * USEC_PER_SEC};
-		usec_t next = world_now(world) + WRITE_EVERY;
+		usec_t next = world_now(world) + WRITE_INTERVAL;
 
-		/* Enough to find the moment, not so many that the queue of a gap matters. */
+		/*
+		 * After the fault only every eighth write is sent: enough to find the end of the
+		 * gap, and few enough that the writes queued during the gap do not delay it.
+		 */
 		if (number % 8 == 0 || world_now(world) < fault_at)
 			world_request(world, &request);
 		g_free(name);
@@ -180,62 +186,66 @@
 	}
 	for (int i = 1; i <= number; i++) {
 		char *name = g_strdup_printf("w%06d", i);
-		const told_t *told = world_told(world, name);
+		const told_t *answer = world_told(world, name);
 
-		if (told != NULL && told->answered && told->outcome == OUTCOME_DONE &&
-		    told->asked >= fault_at && (first_done == 0 || told->at < first_done))
-			first_done = told->at;
+		if (answer != NULL && answer->answered && answer->outcome == OUTCOME_DONE &&
+		    answer->asked >= fault_at && (first_done_at == 0 || answer->at < first_done_at))
+			first_done_at = answer->at;
 		g_free(name);
 	}
-	marks = world_marks(world);
-	if (first_done == 0 || marks.promoted == 0) {
+	phase_marks = world_marks(world);
+	if (first_done_at == 0 || phase_marks.promoted == 0) {
 		gaps->unfinished++;
 	} else {
-		usec_t parts[] = {marks.seal_sent - fault_at, marks.promote_sent - marks.seal_sent,
-				  marks.promoted - marks.promote_sent,
-				  first_done > marks.promoted ? first_done - marks.promoted : 0,
-				  first_done - fault_at};
-
-		g_array_append_val(gaps->detect, parts[0]);
-		g_array_append_val(gaps->seal, parts[1]);
-		g_array_append_val(gaps->promote, parts[2]);
-		g_array_append_val(gaps->resume, parts[3]);
-		g_array_append_val(gaps->whole, parts[4]);
+		usec_t phases[] = {phase_marks.seal_sent - fault_at,
+				   phase_marks.promote_sent - phase_marks.seal_sent,
+				   phase_marks.promoted - phase_marks.promote_sent,
+				   first_done_at > phase_marks.promoted
+					   ? first_done_at - phase_marks.promoted
+					   : 0,
+				   first_done_at - fault_at};
+
+		g_array_append_val(gaps->detect, phases[0]);
+		g_array_append_val(gaps->seal, phases[1]);
+		g_array_append_val(gaps->promote, phases[2]);
+		g_array_append_val(gaps->resume, phases[3]);
+		g_array_append_val(gaps->total, phases[4]);
 	}
-	check(world, fault->name, seed);
+	check_violations(world, fault->name, seed);
 	world_destroy(world);
 }
 
-static GArray *usecs(void)
+static GArray *usec_array_new(void)
 {
 	return g_array_new(FALSE, FALSE, sizeof(usec_t));
 }
 
 static void measure_gap(const deployment_t *deployment, const fault_t *fault, bool fixed, int runs)
 {
-	gaps_t gaps = {usecs(), usecs(), usecs(), usecs(), usecs(), 0};
+	gaps_t gaps = {usec_array_new(), usec_array_new(), usec_array_new(),
+		       usec_array_new(), usec_array_new(), 0};
 
 	for (int i = 0; i < runs; i++)
 		run_failover(deployment, fault, fixed, (uint64_t)i + 1, &gaps);
 	printf("%s, %s%s: %d runs, %d without an end\n", deployment->name, fault->name,
 	       fixed ? ", baseline (fixed 3 s time-out, one watcher)" : "", runs, gaps.unfinished);
-	print_spread("detection", gaps.detect);
-	print_spread("sealing", gaps.seal);
-	print_spread("promotion", gaps.promote);
-	print_spread("callers resumed", gaps.resume);
-	print_spread("whole gap", gaps.whole);
+	print_percentiles("detection", gaps.detect);
+	print_percentiles("sealing", gaps.seal);
+	print_percentiles("promotion", gaps.promote);
+	print_percentiles("callers resumed", gaps.resume);
+	print_percentiles("whole gap", gaps.total);
 	g_array_unref(gaps.detect);
 	g_array_unref(gaps.seal);
 	g_array_unref(gaps.promote);
 	g_array_unref(gaps.resume);
-	g_array_unref(gaps.whole);
+	g_array_unref(gaps.total);
 }
 
 static void measure_failover(int runs)
 {
-	printf("Gap: from the fault to the first write asked after it that is done; a caller asks "
-	       "every %d ms.\n",
-	       (int)(8 * WRITE_EVERY / USEC_PER_MSEC));
+	printf("Gap: from the fault to the first done write that was sent after it; a caller sends "
+	       "one every %d ms.\n",
+	       (int)(8 * WRITE_INTERVAL / USEC_PER_MSEC));
 	for (gsize d = 0; d < G_N_ELEMENTS(deployments); d++) {
 		for (gsize f = 0; f < G_N_ELEMENTS(faults); f++) {
 			measure_gap(&deployments[d], &faults[f], false, runs);
@@ -250,7 +260,7 @@
 
 typedef struct variant {
 	const char *name;
-	int replica_lean;
+	int replica_share;
 	bool zone_blind;
 } variant_t;
 
@@ -261,12 +271,12 @@
 };
 
 typedef struct mix {
-	int asked;
+	int sent;
 	int done;
 	GArray *read_times;
 } mix_t;
 
-static void ask_mixed(world_t *world, int number, const char *token)
+static void send_mixed_request(world_t *world, int number, const char *token)
 {
 	static const char *const classes[] = {"status", "status", "status", "status", "assignment",
 					      "status", "status", "status", "assign", "assign"};
@@ -288,58 +298,61 @@
 	g_free(name);
 }
 
-static void collect(world_t *world, int number, mix_t *mix)
+static void collect_answers(world_t *world, int number, mix_t *mix)
 {
 	for (int i = 1; i <= number; i++) {
 		char *name = g_strdup_printf("r%06d", i);
-		const told_t *told = world_told(world, name);
-		usec_t took = told->at - told->asked;
+		const told_t *answer = world_told(world, name);
+		usec_t took = answer->at - answer->asked;
 
-		mix->asked++;
-		if (told->answered && told->outcome == OUTCOME_DONE) {
+		mix->sent++;
+		if (answer->answered && answer->outcome == OUTCOME_DONE) {
 			mix->done++;
-			if (told->written == NULL)
+			if (answer->written == NULL)
 				g_array_append_val(mix->read_times, took);
 		}
 		g_free(name);
 	}
 }
 
-/* Each session carries the token of its last write or read along, as callers do. */
-static void measure_reads_one(const deployment_t *deployment, usec_t lag, const variant_t *variant,
-			      usec_t every)
+/*
+ * Measures the reads of one variant. Each request carries the session token of the request 200
+ * before it, as the requests of a caller's session do.
+ */
+static void measure_reads_case(const deployment_t *deployment, usec_t lag, const variant_t *variant,
+			       usec_t interval)
 {
-	world_config_t config = config_for(deployment, 1);
+	world_config_t config = make_config(deployment, 1);
 	world_counts_t counts;
-	mix_t mix = {.read_times = usecs()};
+	mix_t mix = {.read_times = usec_array_new()};
 	int number = 0;
 	uint64_t reads;
 	world_t *world;
 
 	config.replication_lag = lag;
-	config.replica_lean = variant->replica_lean;
+	config.replica_lean = variant->replica_share;
 	config.zone_blind = variant->zone_blind;
 	world = world_create(&config);
 	world_run(world, 3 * USEC_PER_SEC);
 	while (world_now(world) < (3 + READ_SECONDS) * USEC_PER_SEC) {
-		char *before = g_strdup_printf("r%06d", number - 200);
-		const told_t *told = number > 200 ? world_told(world, before) : NULL;
+		char *earlier = g_strdup_printf("r%06d", number - 200);
+		const told_t *answer = number > 200 ? world_told(world, earlier) : NULL;
 
-		ask_mixed(world, ++number, told != NULL ? told->token : NULL);
-		g_free(before);
-		world_run(world, world_now(world) + every);
+		send_mixed_request(world, ++number, answer != NULL ? answer->token : NULL);
+		g_free(earlier);
+		world_run(world, world_now(world) + interval);
 	}
 	world_run(world, world_now(world) + 5 * USEC_PER_SEC);
-	collect(world, number, &mix);
+	collect_answers(world, number, &mix);
 	counts = world_counts(world);
 	reads = counts.reads_replica + counts.reads_primary;
 	printf("%-6s lag %5.0f ms  %-13s replica share %5.1f%%  done %5.1f%%  read median %6.2f p95 "
 	       "%7.2f ms\n",
 	       deployment->name, (double)lag / 1000.0, variant->name,
 	       reads > 0 ? 100.0 * (double)counts.reads_replica / (double)reads : 0,
-	       100.0 * mix.done / mix.asked, percentile(mix.read_times, 0.5),
-	       percentile(mix.read_times, 0.95));
-	check(world, variant->name, 1);
+	       100.0 * mix.done / mix.sent, percentile_msec(mix.read_times, 0.5),
+	       percentile_msec(mix.read_times, 0.95));
+	check_violations(world, variant->name, 1);
 	g_array_unref(mix.read_times);
 	world_destroy(world);
 }
@@ -349,70 +362,71 @@
 	static const usec_t lags[] = {1000, 50000, 250000, 800000, 2000000};
 
 	printf("Mix: 70%% reads of at most 1 s of age with session tokens 200 requests old, 10%% "
-	       "strict reads, 20%% writes; seven proxies; %d s.\n",
+	       "linearizable reads, 20%% writes; seven proxies; %d s.\n",
 	       READ_SECONDS);
 	for (gsize d = 0; d < G_N_ELEMENTS(deployments); d++) {
-		usec_t every = d == 0 ? 5000 : 2500;
+		usec_t interval = d == 0 ? 5000 : 2500;
 
 		for (gsize l = 0; l < G_N_ELEMENTS(lags); l++) {
 			for (gsize v = 0; v < G_N_ELEMENTS(variants); v++)
-				measure_reads_one(&deployments[d], lags[l], &variants[v], every);
+				measure_reads_case(&deployments[d], lags[l], &variants[v],
+						   interval);
 		}
 	}
 }
 
 /* --- load --- */
 
-#define LOAD_SECONDS  10
-#define LOAD_DEADLINE (300 * USEC_PER_MSEC)
-#define LOAD_SERVICE  (5 * USEC_PER_MSEC)
+#define LOAD_SECONDS	  10
+#define LOAD_DEADLINE	  (300 * USEC_PER_MSEC)
+#define LOAD_SERVICE_TIME (5 * USEC_PER_MSEC)
 
 typedef struct load_result {
-	int asked;
-	int in_time;
+	int sent;
+	int within_deadline;
 	int refused;
 	int unknown;
 	int late;
 	int writes;
-	int writes_in_time;
+	int writes_within_deadline;
 } load_result_t;
 
 static void count_load(world_t *world, int number, load_result_t *result)
 {
 	for (int i = 1; i <= number; i++) {
 		char *name = g_strdup_printf("r%06d", i);
-		const told_t *told = world_told(world, name);
-		bool in_time = told->answered && told->outcome == OUTCOME_DONE &&
-			       told->at - told->asked <= LOAD_DEADLINE;
-
-		result->asked++;
-		result->in_time += in_time;
-		result->late += !told->answered || told->at - told->asked > LOAD_DEADLINE;
-		result->refused += told->answered && told->outcome == OUTCOME_NOT_RUN;
-		result->unknown += told->answered && told->outcome == OUTCOME_UNKNOWN;
-		if (told->written != NULL) {
+		const told_t *answer = world_told(world, name);
+		bool within_deadline = answer->answered && answer->outcome == OUTCOME_DONE &&
+				       answer->at - answer->asked <= LOAD_DEADLINE;
+
+		result->sent++;
+		result->within_deadline += within_deadline;
+		result->late += !answer->answered || answer->at - answer->asked > LOAD_DEADLINE;
+		result->refused += answer->answered && answer->outcome == OUTCOME_NOT_RUN;
+		result->unknown += answer->answered && answer->outcome == OUTCOME_UNKNOWN;
+		if (answer->written != NULL) {
 			result->writes++;
-			result->writes_in_time += in_time;
+			result->writes_within_deadline += within_deadline;
 		}
 		g_free(name);
 	}
 }
 
-/* Callers come through the balancer unevenly: most through two proxies. */
-static int uneven_proxy(GRand *rand)
+/* Distributes callers unevenly, as a load balancer may: 70 percent go to two of seven proxies. */
+static int pick_proxy(GRand *rand)
 {
 	int draw = g_rand_int_range(rand, 0, 10);
 
 	return draw < 4 ? 0 : draw < 7 ? 1 : g_rand_int_range(rand, 2, 7);
 }
 
-static void ask_load(world_t *world, GRand *rand, int number, int searches)
+static void send_load_request(world_t *world, GRand *rand, int number, int search_percent)
 {
-	bool is_search = g_rand_int_range(rand, 0, 100) < searches;
+	bool is_search = g_rand_int_range(rand, 0, 100) < search_percent;
 	char *name = g_strdup_printf("r%06d", number);
 	char *key = g_strdup_printf("job-%d", number % 500);
 	world_request_t request = {.name = name,
-				   .proxy = uneven_proxy(rand),
+				   .proxy = pick_proxy(rand),
 				   .class_name = is_search ? "status" : "assign",
 				   .key = key,
 				   .value = is_search ? NULL : name,
@@ -424,12 +438,15 @@
 	g_free(name);
 }
 
-/* Capacity: every slot of every member busy with searches; writes use the primary twice. */
-static void measure_load_one(const deployment_t *deployment, bool equal_shares, double load,
-			     int searches)
+/*
+ * Measures one load. The load is relative to the capacity, at which every slot of every member runs
+ * searches; a write uses the primary twice.
+ */
+static void measure_load_case(const deployment_t *deployment, bool equal_shares, double load,
+			      int search_percent)
 {
-	world_config_t config = config_for(deployment, 1);
-	double capacity = 3.0 * deployment->slots / ((double)LOAD_SERVICE / USEC_PER_SEC);
+	world_config_t config = make_config(deployment, 1);
+	double capacity = 3.0 * deployment->slots / ((double)LOAD_SERVICE_TIME / USEC_PER_SEC);
 	GRand *rand = g_rand_new_with_seed(42);
 	load_result_t result = {0};
 	world_counts_t counts;
@@ -437,13 +454,13 @@
 	int number = 0;
 
 	config.equal_shares = equal_shares;
-	config.service_time = LOAD_SERVICE;
+	config.service_time = LOAD_SERVICE_TIME;
 	world = world_create(&config);
 	world_run(world, 2 * USEC_PER_SEC);
 	while (world_now(world) < (2 + LOAD_SECONDS) * USEC_PER_SEC) {
 		double gap = -log(1.0 - g_rand_double(rand)) * USEC_PER_SEC / (capacity * load);
 
-		ask_load(world, rand, ++number, searches);
+		send_load_request(world, rand, ++number, search_percent);
 		world_run(world, world_now(world) + (usec_t)gap + 1);
 	}
 	world_run(world, world_now(world) + 3 * USEC_PER_SEC);
@@ -452,12 +469,12 @@
 	printf("%-6s load %3.0f%%  %-12s in time %5.1f%%  writes in time %5.1f%%  refused %5.1f%%  in "
 	       "doubt %4.1f%%  late %4.1f%%  peak connections %d of %d, over the limit %d\n",
 	       deployment->name, load * 100, equal_shares ? "equal shares" : "cyclamenspan",
-	       100.0 * result.in_time / result.asked,
-	       100.0 * result.writes_in_time / MAX(result.writes, 1),
-	       100.0 * result.refused / result.asked, 100.0 * result.unknown / result.asked,
-	       100.0 * result.late / result.asked, counts.peak_conns, deployment->max_conns,
+	       100.0 * result.within_deadline / result.sent,
+	       100.0 * result.writes_within_deadline / MAX(result.writes, 1),
+	       100.0 * result.refused / result.sent, 100.0 * result.unknown / result.sent,
+	       100.0 * result.late / result.sent, counts.peak_conns, deployment->max_conns,
 	       MAX(counts.peak_conns - deployment->max_conns, 0));
-	check(world, "load", 1);
+	check_violations(world, "load", 1);
 	g_rand_free(rand);
 	world_destroy(world);
 }
@@ -468,30 +485,30 @@
 
 	printf("Open load, 85%% searches (age 1 s) and 15%% writes, deadline %d ms, service %d ms; "
 	       "seven proxies, two of which get 70%% of the callers; %d s.\n",
-	       (int)(LOAD_DEADLINE / USEC_PER_MSEC), (int)(LOAD_SERVICE / USEC_PER_MSEC),
+	       (int)(LOAD_DEADLINE / USEC_PER_MSEC), (int)(LOAD_SERVICE_TIME / USEC_PER_MSEC),
 	       LOAD_SECONDS);
 	for (gsize d = 0; d < G_N_ELEMENTS(deployments); d++) {
 		for (gsize l = 0; l < G_N_ELEMENTS(loads); l++) {
-			measure_load_one(&deployments[d], false, loads[l], 85);
-			measure_load_one(&deployments[d], true, loads[l], 85);
+			measure_load_case(&deployments[d], false, loads[l], 85);
+			measure_load_case(&deployments[d], true, loads[l], 85);
 		}
 	}
 }
 
 int main(int argc, char **argv)
 {
-	const char *what = argc > 1 ? argv[1] : "";
+	const char *measurement = argc > 1 ? argv[1] : "";
 	int runs = argc > 2 ? atoi(argv[2]) : FAILOVER_RUNS;
 
-	if (strcmp(what, "failover") == 0) {
+	if (strcmp(measurement, "failover") == 0) {
 		measure_failover(runs);
-	} else if (strcmp(what, "reads") == 0) {
+	} else if (strcmp(measurement, "reads") == 0) {
 		measure_reads();
-	} else if (strcmp(what, "load") == 0) {
+	} else if (strcmp(measurement, "load") == 0) {
 		measure_load();
 	} else {
 		fprintf(stderr, "usage: measure failover [RUNS] | reads | load\n");
 		return 2;
 	}
-	return failures > 0;
+	return violation_count > 0;
 }
--- a/measure/pooler.c
+++ b/measure/pooler.c
@@ -1,7 +1,8 @@
 /*
- * What ./dev/measure pooler prints: poolers in paused time under the shape of load of the users'
- * platform, through its faults, with and without the order by lateness and the help of other
- * proxies. The same seeds give the same figures on every machine.
+ * Measurement with the manual clock and the simulated members of pool_world.h; ./dev/measure pooler
+ * prints it. Poolers run under the load of two deployments and through a fault, with and without
+ * the ordering of callers by lateness and the forwarding to other proxies. The same seeds give the
+ * same figures on every machine.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,35 +14,41 @@
 
 #define MSEC USEC_PER_MSEC
 #define SEC  USEC_PER_SEC
-/* Until the load begins to count, until the fault, and the whole. */
+/*
+ * Times since the start of a run: when the load begins to count, when the fault begins, and when
+ * the run ends.
+ */
 #define WARM_UP	 (1 * SEC)
 #define FAULT_AT (3 * SEC)
-#define LENGTH	 (9 * SEC)
-/* How long machines without power are away, and killed processes. */
-#define DOWN_TIME (700 * MSEC)
-/* Between the statements of a transaction. */
-#define PAUSE (30 * MSEC)
-#define STEPS 4
+#define RUN_TIME (9 * SEC)
+/* Time from a power loss or the kill of all processes to their restart. */
+#define RESTART_DELAY (700 * MSEC)
+/* Pause between two statements of a transaction. */
+#define STATEMENT_PAUSE (30 * MSEC)
+#define STEPS_MAX	4
 
 /* --- the deployments --- */
 
-typedef struct kind {
-	const char *database; /* of the world, by its kind of reads */
-	double share;
-	double writes; /* of the lone statements */
-	double transactions;
+typedef struct workload {
+	const char *database; /* name of a database in the world; one for each kind of reads */
+	double traffic_share;
+	double write_share; /* share of writes among the statements outside transactions */
+	double transaction_share;
 	usec_t objective;
-} kind_t;
+} workload_t;
 
 typedef struct deployment {
 	const char *name;
 	size_t proxies;
-	double rate; /* operations a second at one service */
+	double rate; /* operations a second at the measured service */
 	fake_db_config_t db;
-	kind_t kinds[3];
+	workload_t workloads[3];
 } deployment_t;
 
-/* A third of each site's traffic, since it has three services; the work is the mean over kinds. */
+/*
+ * The rate is a third of a deployment's traffic, since the deployment has three services; the work
+ * of a statement is the mean over the workloads.
+ */
 static const deployment_t deployments[] = {
 	{.name = "Dakar",
 	 .proxies = 12,
@@ -55,9 +62,9 @@
 		.lag = 60 * MSEC,
 		.promote = 1000 * MSEC,
 		.open = 12 * MSEC},
-	 .kinds = {{"strict", 0.15, 0.35, 0.25, 100 * MSEC},
-		   {"bounded", 0.15, 0, 0.10, 300 * MSEC},
-		   {"session", 0.70, 0.12, 0.12, 200 * MSEC}}},
+	 .workloads = {{"strict", 0.15, 0.35, 0.25, 100 * MSEC},
+		       {"bounded", 0.15, 0, 0.10, 300 * MSEC},
+		       {"session", 0.70, 0.12, 0.12, 200 * MSEC}}},
 	{.name = "Wales",
 	 .proxies = 7,
 	 .rate = 150,
@@ -70,9 +77,9 @@
 		.lag = 8 * MSEC,
 		.promote = 1000 * MSEC,
 		.open = 12 * MSEC},
-	 .kinds = {{"strict", 0.15, 0.35, 0.40, 200 * MSEC},
-		   {"bounded", 0.15, 0, 0.10, 800 * MSEC},
-		   {"session", 0.70, 0.12, 0.12, 400 * MSEC}}},
+	 .workloads = {{"strict", 0.15, 0.35, 0.40, 200 * MSEC},
+		       {"bounded", 0.15, 0, 0.10, 800 * MSEC},
+		       {"session", 0.70, 0.12, 0.12, 400 * MSEC}}},
 };
 
 typedef enum { FAULT_NONE, FAULT_KILL, FAULT_POWER, FAULT_LAG, FAULT_CRASH, FAULT_COUNT } fault_t;
@@ -89,139 +96,147 @@
 
 typedef struct operation {
 	world_caller_t *caller;
-	const kind_t *kind;
-	char texts[STEPS][32];
+	const workload_t *workload;
+	char texts[STEPS_MAX][32];
 	size_t steps;
 	size_t step;
-	size_t replies; /* before the statement in progress */
-	bool asked;
-	usec_t next; /* statement */
+	size_t replies; /* number of replies before the statement in progress */
+	bool pending;
+	usec_t next_at; /* earliest time of the next statement */
 	usec_t sent_at;
-	usec_t took; /* without the pauses */
+	usec_t response_time; /* sum of the response times of the statements */
 	bool ended;
 } operation_t;
 
-typedef enum { IN_AIM, LATE, REFUSED, UNSURE, NO_PROXY, OUTCOME_COUNT } outcome_kind_t;
+typedef enum {
+	OPERATION_IN_TIME,
+	OPERATION_LATE,
+	OPERATION_REFUSED,
+	OPERATION_UNKNOWN,
+	OPERATION_NO_PROXY,
+	OPERATION_OUTCOME_COUNT
+} operation_outcome_t;
 
 typedef struct run {
 	pool_world_t *world;
 	GRand *rand;
-	GPtrArray *operations; /* open ones */
-	size_t asked;
-	size_t outcomes[OUTCOME_COUNT];
+	GPtrArray *operations; /* operations in progress */
+	size_t started;
+	size_t outcomes[OPERATION_OUTCOME_COUNT];
 } run_t;
 
-static usec_t now_in(const run_t *run)
+static usec_t run_now(const run_t *run)
 {
 	return clock_now(&run->world->clock.base);
 }
 
-static bool chance(run_t *run, double part)
+static bool random_chance(run_t *run, double probability)
 {
-	return g_rand_double(run->rand) < part;
+	return g_rand_double(run->rand) < probability;
 }
 
-static void plan_steps(run_t *run, operation_t *operation)
+static void choose_steps(run_t *run, operation_t *operation)
 {
-	static const char *const transaction[STEPS] = {"BEGIN", "READ i%d", "WRITE i%d a",
-						       "COMMIT"};
-	const kind_t *kind = operation->kind;
+	static const char *const transaction[STEPS_MAX] = {"BEGIN", "READ i%d", "WRITE i%d a",
+							   "COMMIT"};
+	const workload_t *workload = operation->workload;
 	int item = g_rand_int_range(run->rand, 0, 2000);
-	bool writes = chance(run, kind->writes);
+	bool is_write = random_chance(run, workload->write_share);
 
-	operation->steps = chance(run, kind->transactions) ? STEPS : 1;
+	operation->steps = random_chance(run, workload->transaction_share) ? STEPS_MAX : 1;
 	for (size_t i = 0; i < operation->steps; i++) {
-		const char *format = operation->steps == STEPS ? transaction[i]
-				     : writes		       ? "WRITE i%d a"
-							       : "READ i%d";
+		const char *format = operation->steps == STEPS_MAX ? transaction[i]
+				     : is_write			   ? "WRITE i%d a"
+								   : "READ i%d";
 
 		g_snprintf(operation->texts[i], sizeof(operation->texts[i]), format, item);
 	}
 }
 
-static const kind_t *pick_kind(run_t *run, const deployment_t *deployment)
+static const workload_t *pick_workload(run_t *run, const deployment_t *deployment)
 {
 	double at = g_rand_double(run->rand);
 
-	for (size_t i = 0; i < G_N_ELEMENTS(deployment->kinds); i++) {
-		at -= deployment->kinds[i].share;
+	for (size_t i = 0; i < G_N_ELEMENTS(deployment->workloads); i++) {
+		at -= deployment->workloads[i].traffic_share;
 		if (at < 0)
-			return &deployment->kinds[i];
+			return &deployment->workloads[i];
 	}
-	return &deployment->kinds[0];
+	return &deployment->workloads[0];
 }
 
-static void begin(run_t *run, const deployment_t *deployment)
+static void start_operation(run_t *run, const deployment_t *deployment)
 {
 	size_t node = (size_t)g_rand_int_range(run->rand, 0, (gint32)deployment->proxies);
 	operation_t *operation;
 
-	run->asked++;
+	run->started++;
 	if (run->world->nodes[node].pooler == NULL) {
-		run->outcomes[NO_PROXY]++;
+		run->outcomes[OPERATION_NO_PROXY]++;
 		return;
 	}
 	operation = g_new0(operation_t, 1);
-	operation->kind = pick_kind(run, deployment);
-	operation->caller = world_open_database(run->world, node, operation->kind->database);
-	operation->next = now_in(run);
-	plan_steps(run, operation);
+	operation->workload = pick_workload(run, deployment);
+	operation->caller = world_open_database(run->world, node, operation->workload->database);
+	operation->next_at = run_now(run);
+	choose_steps(run, operation);
 	g_ptr_array_add(run->operations, operation);
 }
 
-static outcome_kind_t judge(const operation_t *operation)
+static operation_outcome_t operation_outcome(const operation_t *operation)
 {
 	const char *reply = operation->caller->reply;
 
 	if (operation->caller->caller == NULL || g_str_has_prefix(reply, "ERR INDOUBT") ||
 	    g_str_has_prefix(reply, "ERR TIMEOUT"))
-		return UNSURE;
+		return OPERATION_UNKNOWN;
 	if (g_str_has_prefix(reply, "ERR"))
-		return REFUSED;
-	return operation->took <= operation->kind->objective ? IN_AIM : LATE;
+		return OPERATION_REFUSED;
+	return operation->response_time <= operation->workload->objective ? OPERATION_IN_TIME
+									  : OPERATION_LATE;
 }
 
-static void end(run_t *run, operation_t *operation)
+static void end_operation(run_t *run, operation_t *operation)
 {
 	operation->ended = true;
-	run->outcomes[judge(operation)]++;
+	run->outcomes[operation_outcome(operation)]++;
 	world_leave(operation->caller);
 }
 
-/* Takes a reply that has come; true if the operation is over. */
-static bool take_reply(operation_t *operation, usec_t now)
+/* Applies the reply of a statement. Returns true if the operation is over. */
+static bool apply_reply(operation_t *operation, usec_t now)
 {
-	operation->asked = false;
-	operation->took += now - operation->sent_at;
-	operation->next = now + PAUSE;
+	operation->pending = false;
+	operation->response_time += now - operation->sent_at;
+	operation->next_at = now + STATEMENT_PAUSE;
 	operation->step++;
 	return g_str_has_prefix(operation->caller->reply, "ERR") ||
 	       operation->step == operation->steps;
 }
 
-static void go_on(run_t *run, operation_t *operation)
+static void advance_operation(run_t *run, operation_t *operation)
 {
-	usec_t now = now_in(run);
-	bool replied = operation->asked && operation->caller->replies != operation->replies;
+	usec_t now = run_now(run);
+	bool replied = operation->pending && operation->caller->replies != operation->replies;
 
-	if (operation->caller->caller == NULL || (replied && take_reply(operation, now))) {
-		end(run, operation);
+	if (operation->caller->caller == NULL || (replied && apply_reply(operation, now))) {
+		end_operation(run, operation);
 		return;
 	}
-	if (operation->asked || now < operation->next)
+	if (operation->pending || now < operation->next_at)
 		return;
 	operation->replies = operation->caller->replies;
 	operation->sent_at = now;
-	operation->asked = true;
+	operation->pending = true;
 	world_send(operation->caller, operation->texts[operation->step]);
 }
 
-static void go_on_all(run_t *run)
+static void advance_operations(run_t *run)
 {
 	for (guint i = run->operations->len; i > 0; i--) {
 		operation_t *operation = g_ptr_array_index(run->operations, i - 1);
 
-		go_on(run, operation);
+		advance_operation(run, operation);
 		if (operation->ended)
 			g_ptr_array_remove_index_fast(run->operations, i - 1);
 	}
@@ -229,33 +244,34 @@
 
 /* --- faults --- */
 
-static void stop_all(pool_world_t *world, void (*stop)(pool_world_t *world, size_t node))
+static void call_for_all_nodes(pool_world_t *world,
+			       void (*action)(pool_world_t *world, size_t node))
 {
 	for (size_t i = 0; i < world->node_count; i++)
-		stop(world, i);
+		action(world, i);
 }
 
-static void strike(pool_world_t *world, fault_t fault)
+static void inject_fault(pool_world_t *world, fault_t fault)
 {
 	if (fault == FAULT_KILL)
-		stop_all(world, world_kill);
+		call_for_all_nodes(world, world_kill);
 	else if (fault == FAULT_POWER)
-		stop_all(world, world_power_off);
+		call_for_all_nodes(world, world_power_off);
 	else if (fault == FAULT_LAG)
-		world->db->config.lag = LENGTH;
+		world->db->config.lag = RUN_TIME;
 	else if (fault == FAULT_CRASH)
 		world_crash_member(world, 0);
 }
 
-static void restart(pool_world_t *world, fault_t fault)
+static void restart_nodes(pool_world_t *world, fault_t fault)
 {
 	if (fault == FAULT_KILL || fault == FAULT_POWER)
-		stop_all(world, world_start);
+		call_for_all_nodes(world, world_start);
 }
 
 /* --- runs --- */
 
-static size_t opened(const pool_world_t *world)
+static size_t count_opened_connections(const pool_world_t *world)
 {
 	size_t sum = 0;
 
@@ -264,31 +280,31 @@
 	return sum;
 }
 
-static void play(run_t *run, const deployment_t *deployment, fault_t fault)
+static void run_load(run_t *run, const deployment_t *deployment, fault_t fault)
 {
-	usec_t start = now_in(run);
+	usec_t start = run_now(run);
 	double due = 0;
 
-	for (usec_t at = 0; at < LENGTH; at += MSEC) {
+	for (usec_t at = 0; at < RUN_TIME; at += MSEC) {
 		if (at == WARM_UP) {
-			run->asked = 0;
+			run->started = 0;
 			memset(run->outcomes, 0, sizeof(run->outcomes));
 		}
 		if (at == FAULT_AT)
-			strike(run->world, fault);
-		if (at == FAULT_AT + DOWN_TIME)
-			restart(run->world, fault);
+			inject_fault(run->world, fault);
+		if (at == FAULT_AT + RESTART_DELAY)
+			restart_nodes(run->world, fault);
 		due += deployment->rate / 1000;
 		while (due >= 1) {
-			begin(run, deployment);
+			start_operation(run, deployment);
 			due--;
 		}
-		world_run(run->world, start + at + MSEC - now_in(run));
-		go_on_all(run);
+		world_run(run->world, start + at + MSEC - run_now(run));
+		advance_operations(run);
 	}
 }
 
-static void measure(const deployment_t *deployment, fault_t fault, bool plain)
+static void measure_case(const deployment_t *deployment, fault_t fault, bool baseline)
 {
 	run_t run = {
 		.world = world_create(deployment->proxies, &deployment->db),
@@ -297,16 +313,16 @@
 	};
 	size_t before;
 
-	run.world->plain = plain;
-	stop_all(run.world, world_kill);
-	stop_all(run.world, world_start);
+	run.world->plain = baseline;
+	call_for_all_nodes(run.world, world_kill);
+	call_for_all_nodes(run.world, world_start);
 	world_settle(run.world);
-	before = opened(run.world);
-	play(&run, deployment, fault);
-	printf("%-6s %-16s %-6s", deployment->name, fault_names[fault], plain ? "plain" : "");
-	for (size_t i = 0; i < OUTCOME_COUNT; i++)
-		printf(" %9.1f", 100.0 * (double)run.outcomes[i] / (double)run.asked);
-	printf(" %9zu\n", opened(run.world) - before);
+	before = count_opened_connections(run.world);
+	run_load(&run, deployment, fault);
+	printf("%-6s %-16s %-6s", deployment->name, fault_names[fault], baseline ? "plain" : "");
+	for (size_t i = 0; i < OPERATION_OUTCOME_COUNT; i++)
+		printf(" %9.1f", 100.0 * (double)run.outcomes[i] / (double)run.started);
+	printf(" %9zu\n", count_opened_connections(run.world) - before);
 	g_ptr_array_free(run.operations, TRUE);
 	g_rand_free(run.rand);
 	world_destroy(run.world);
@@ -314,17 +330,17 @@
 
 int main(void)
 {
-	/* The poolers' own log. */
+	/* Discards the poolers' log, which goes to standard error. */
 	if (freopen("/dev/null", "w", stderr) == NULL)
 		return 1;
 	printf("Percent of operations in 8 s, the fault after 2 s. plain: in order of arrival, no\n"
-	       "statement handed to another proxy. conns: connections made.\n\n");
+	       "statement forwarded to another proxy. conns: connections opened.\n\n");
 	printf("%-6s %-16s %-6s %9s %9s %9s %9s %9s %9s\n", "site", "fault", "", "in aim", "late",
 	       "refused", "in doubt", "no proxy", "conns");
 	for (size_t d = 0; d < G_N_ELEMENTS(deployments); d++) {
 		for (fault_t fault = 0; fault < FAULT_COUNT; fault++) {
-			measure(&deployments[d], fault, false);
-			measure(&deployments[d], fault, true);
+			measure_case(&deployments[d], fault, false);
+			measure_case(&deployments[d], fault, true);
 		}
 	}
 	return 0;
--- a/measure/real.c
+++ b/measure/real.c
@@ -1,6 +1,6 @@
 /*
- * Measurements on real processes: what ./dev/measure capacity and path print.
- * Absolute figures are this machine's; compare them within one run.
+ * Measurements on real processes; ./dev/measure capacity and path print them. Absolute figures
+ * depend on the machine; compare the figures of one run.
  */
 #include <math.h>
 #include <signal.h>
@@ -19,11 +19,14 @@
 #include "state.h"
 #include "table.h"
 
-#define WINDOW_SEC     6
-#define NODES_AT_SIZE  2500
-#define GROUPS_AT_SIZE 3500
-#define ROWS_PER_GROUP 2
-#define WATCHERS       3
+/* Time over which an idle fleet is measured. */
+#define WINDOW_SEC 6
+/* Size of the full deployment to which the measured slopes are extrapolated. */
+#define DEPLOYMENT_PROXIES 2500
+#define DEPLOYMENT_GROUPS  3500
+#define ROWS_PER_GROUP	   2
+/* Proxies that watch each group. */
+#define WATCHERS 3
 
 /* --- one process --- */
 
@@ -32,7 +35,7 @@
 	double rss_kb;
 } usage_t;
 
-static usage_t usage_of(pid_t pid)
+static usage_t read_usage(pid_t pid)
 {
 	usage_t usage = {0};
 	char *path = g_strdup_printf("/proc/%d/schedstat", pid);
@@ -42,7 +45,7 @@
 		usage.cpu_sec = g_ascii_strtod(text, NULL) / 1e9;
 	g_free(text);
 	g_free(path);
-	/* Without the pages of libraries, which are files that processes share. */
+	/* RssAnon leaves out the pages of libraries, which are files that processes share. */
 	path = g_strdup_printf("/proc/%d/status", pid);
 	if (g_file_get_contents(path, &text, NULL, NULL))
 		usage.rss_kb = g_ascii_strtod(strstr(text, "RssAnon:") + strlen("RssAnon:"), NULL);
@@ -53,15 +56,15 @@
 
 /* --- one fleet, idle --- */
 
-typedef struct sample_run {
-	double cpu_percent; /* of a core, a proxy */
+typedef struct fleet_load {
+	double cpu_percent; /* of one core, mean of the proxies */
 	double rss_kb;
-	double peer_bytes;    /* a second, sent and received, a proxy */
-	double control_bytes; /* a second, a proxy */
-	double store_calls;   /* a second, the whole fleet */
-} sample_run_t;
+	double peer_bytes;    /* sent and received a second, mean of the proxies */
+	double control_bytes; /* exchanged with members a second, mean of the proxies */
+	double store_calls;   /* calls a second of the whole fleet */
+} fleet_load_t;
 
-static double metric(const harness_t *h, int proxy, const char *name)
+static double read_metric(const harness_t *h, int proxy, const char *name)
 {
 	char *text = NULL;
 	char *line;
@@ -77,7 +80,7 @@
 	return value;
 }
 
-static double member_bytes(const harness_t *h)
+static double count_member_bytes(const harness_t *h)
 {
 	double sum = 0;
 
@@ -90,7 +93,7 @@
 	return sum;
 }
 
-static double store_calls(const harness_t *h)
+static double count_store_calls(const harness_t *h)
 {
 	json_t *counts = harness_call(h->ports.first, "/control", NULL, NULL);
 	double calls = (double)json_integer_value(json_object_get(counts, "calls"));
@@ -99,42 +102,42 @@
 	return calls;
 }
 
-static double peer_bytes(const harness_t *h)
+static double count_peer_bytes(const harness_t *h)
 {
 	double sum = 0;
 
 	for (int i = 0; i < h->proxy_count; i++)
-		sum += metric(h, i, "cyclamenspan_peer_bytes_sent_total");
+		sum += read_metric(h, i, "cyclamenspan_peer_bytes_sent_total");
 	return sum;
 }
 
-static sample_run_t observe(const harness_t *h)
+static fleet_load_t measure_idle_fleet(const harness_t *h)
 {
-	sample_run_t run = {0};
+	fleet_load_t load = {0};
 	double cpu = 0;
-	double bytes = member_bytes(h);
-	double peers = peer_bytes(h);
-	double calls = store_calls(h);
-	int n = h->proxy_count;
+	double bytes = count_member_bytes(h);
+	double peers = count_peer_bytes(h);
+	double calls = count_store_calls(h);
+	int count = h->proxy_count;
 
-	for (int i = 0; i < n; i++)
-		cpu -= usage_of(h->proxies[i]).cpu_sec;
+	for (int i = 0; i < count; i++)
+		cpu -= read_usage(h->proxies[i]).cpu_sec;
 	g_usleep(WINDOW_SEC * G_USEC_PER_SEC);
-	for (int i = 0; i < n; i++) {
-		usage_t usage = usage_of(h->proxies[i]);
+	for (int i = 0; i < count; i++) {
+		usage_t usage = read_usage(h->proxies[i]);
 
 		cpu += usage.cpu_sec;
-		run.rss_kb += usage.rss_kb / n;
+		load.rss_kb += usage.rss_kb / count;
 	}
-	run.cpu_percent = 100.0 * cpu / n / WINDOW_SEC;
-	run.store_calls = (store_calls(h) - calls) / WINDOW_SEC;
-	/* What one sends another receives. */
-	run.peer_bytes = 2.0 * (peer_bytes(h) - peers) / n / WINDOW_SEC;
-	run.control_bytes = (member_bytes(h) - bytes) / n / WINDOW_SEC;
-	return run;
+	load.cpu_percent = 100.0 * cpu / count / WINDOW_SEC;
+	load.store_calls = (count_store_calls(h) - calls) / WINDOW_SEC;
+	/* Each byte sent by one proxy is received by another, hence the factor 2. */
+	load.peer_bytes = 2.0 * (count_peer_bytes(h) - peers) / count / WINDOW_SEC;
+	load.control_bytes = (count_member_bytes(h) - bytes) / count / WINDOW_SEC;
+	return load;
 }
 
-static json_t *group_value(const harness_t *h)
+static json_t *make_group(const harness_t *h)
 {
 	json_t *members = json_array();
 
@@ -151,7 +154,7 @@
 	return json_pack("{s:o}", "members", members);
 }
 
-/* More groups on the same three members: each is watched and polled on its own. */
+/* Adds groups with the same three members; the proxies watch and poll each group separately. */
 static void add_groups(const harness_t *h, int groups, int rows_per_group)
 {
 	json_t *entries = json_object();
@@ -160,7 +163,7 @@
 	for (int g = 0; g < groups; g++) {
 		char *key = g_strdup_printf("group/extra-%d", g);
 
-		json_object_set_new(entries, key, group_value(h));
+		json_object_set_new(entries, key, make_group(h));
 		g_free(key);
 		for (int r = 0; r < rows_per_group; r++) {
 			char *group = g_strdup_printf("extra-%d", g);
@@ -181,139 +184,143 @@
 	g_usleep(2 * G_USEC_PER_SEC);
 }
 
-static sample_run_t run_fleet(int proxies, int groups)
+static fleet_load_t measure_fleet(int proxies, int groups)
 {
 	harness_t *h;
-	sample_run_t run;
+	fleet_load_t load;
 
 	harness_member_conns = 10000;
 	h = harness_start_fleet(proxies, 5);
 	add_groups(h, groups - 1, 1);
-	run = observe(h);
+	load = measure_idle_fleet(h);
 	printf("  %d proxies, %3d groups: %6.3f%% of a core, %7.0f KB, %8.0f B/s to peers, %8.0f "
 	       "B/s to members a proxy; %5.1f calls/s on the store in all\n",
-	       proxies, groups, run.cpu_percent, run.rss_kb, run.peer_bytes, run.control_bytes,
-	       run.store_calls);
+	       proxies, groups, load.cpu_percent, load.rss_kb, load.peer_bytes, load.control_bytes,
+	       load.store_calls);
 	harness_stop(h);
-	return run;
+	return load;
 }
 
-/* Least squares: y = a + b x. */
-static void fit(int n, const double *x, const double *y, double *a, double *b)
+/* Fits y = a + b x by least squares. */
+static void fit_line(int count, const double *x, const double *y, double *a, double *b)
 {
 	double sx = 0;
 	double sy = 0;
 	double sxx = 0;
 	double sxy = 0;
 
-	for (int i = 0; i < n; i++) {
+	for (int i = 0; i < count; i++) {
 		sx += x[i];
 		sy += y[i];
 		sxx += x[i] * x[i];
 		sxy += x[i] * y[i];
 	}
-	*b = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-	*a = (sy - *b * sx) / n;
+	*b = (count * sxy - sx * sy) / (count * sxx - sx * sx);
+	*a = (sy - *b * sx) / count;
 }
 
-#define SIZES 3
+#define SIZE_COUNT 3
 
-typedef double (*field_t)(const sample_run_t *run);
+typedef double (*field_getter_t)(const fleet_load_t *load);
 
-static double cpu_field(const sample_run_t *run)
+static double get_cpu(const fleet_load_t *load)
 {
-	return run->cpu_percent;
+	return load->cpu_percent;
 }
 
-static double rss_field(const sample_run_t *run)
+static double get_rss(const fleet_load_t *load)
 {
-	return run->rss_kb;
+	return load->rss_kb;
 }
 
-static double peer_field(const sample_run_t *run)
+static double get_peer_bytes(const fleet_load_t *load)
 {
-	return run->peer_bytes;
+	return load->peer_bytes;
 }
 
-static double control_field(const sample_run_t *run)
+static double get_control_bytes(const fleet_load_t *load)
 {
-	return run->control_bytes;
+	return load->control_bytes;
 }
 
-static double store_field(const sample_run_t *run)
+static double get_store_calls(const fleet_load_t *load)
 {
-	return run->store_calls;
+	return load->store_calls;
 }
 
-static void print_slope(const char *what, const char *per, const double *x,
-			const sample_run_t *runs, field_t field, double at)
+static void print_slope(const char *label, const char *per, const double *x,
+			const fleet_load_t *loads, field_getter_t get_field, double deployment_x)
 {
-	double y[SIZES];
+	double y[SIZE_COUNT];
 	double a;
 	double b;
 
-	for (int i = 0; i < SIZES; i++)
-		y[i] = field(&runs[i]);
-	fit(SIZES, x, y, &a, &b);
-	printf("    %-24s %10.3f + %9.4f for each %s; at %.1f: %.2f\n", what, a, b, per, at,
-	       a + b * at);
+	for (int i = 0; i < SIZE_COUNT; i++)
+		y[i] = get_field(&loads[i]);
+	fit_line(SIZE_COUNT, x, y, &a, &b);
+	printf("    %-24s %10.3f + %9.4f for each %s; at %.1f: %.2f\n", label, a, b, per,
+	       deployment_x, a + b * deployment_x);
 }
 
-static void capacity_of_groups(void)
+static void measure_groups(void)
 {
-	static const int sizes[SIZES] = {1, 12, 36};
-	double x[SIZES];
-	sample_run_t runs[SIZES];
-	double at = (double)GROUPS_AT_SIZE * WATCHERS / NODES_AT_SIZE;
+	static const int sizes[SIZE_COUNT] = {1, 12, 36};
+	double x[SIZE_COUNT];
+	fleet_load_t loads[SIZE_COUNT];
+	double deployment_x = (double)DEPLOYMENT_GROUPS * WATCHERS / DEPLOYMENT_PROXIES;
 
-	printf("Control against groups watched (three proxies watch every group, as three do at "
-	       "size; a node then watches %.1f):\n",
-	       at);
-	for (int i = 0; i < SIZES; i++) {
+	printf("Idle fleet, by number of watched groups (three proxies watch each group; a proxy "
+	       "of the full deployment watches %.1f groups):\n",
+	       deployment_x);
+	for (int i = 0; i < SIZE_COUNT; i++) {
 		x[i] = sizes[i];
-		runs[i] = run_fleet(3, sizes[i]);
+		loads[i] = measure_fleet(3, sizes[i]);
 	}
-	print_slope("CPU, % of a core", "group", x, runs, cpu_field, at);
-	print_slope("memory, KB", "group", x, runs, rss_field, at);
-	print_slope("bytes/s to peers", "group", x, runs, peer_field, at);
-	print_slope("bytes/s to members", "group", x, runs, control_field, at);
-	print_slope("store calls/s, all", "group", x, runs, store_field, at);
-}
-
-static void capacity_of_proxies(void)
-{
-	static const int sizes[SIZES] = {3, 6, 9};
-	double x[SIZES];
-	sample_run_t runs[SIZES];
-	/* Two others in each watched group, both ways, and three by hash: the degree at size. */
-	double at = 2 * (double)GROUPS_AT_SIZE * WATCHERS / NODES_AT_SIZE + WATCHERS;
-
-	printf("Control against proxies (one group; everybody is everybody's neighbour; at size a "
-	       "node has %.1f neighbours):\n",
-	       at);
-	for (int i = 0; i < SIZES; i++) {
+	print_slope("CPU, % of a core", "group", x, loads, get_cpu, deployment_x);
+	print_slope("memory, KB", "group", x, loads, get_rss, deployment_x);
+	print_slope("bytes/s to peers", "group", x, loads, get_peer_bytes, deployment_x);
+	print_slope("bytes/s to members", "group", x, loads, get_control_bytes, deployment_x);
+	print_slope("store calls/s, all", "group", x, loads, get_store_calls, deployment_x);
+}
+
+static void measure_proxies(void)
+{
+	static const int sizes[SIZE_COUNT] = {3, 6, 9};
+	double x[SIZE_COUNT];
+	fleet_load_t loads[SIZE_COUNT];
+	/*
+	 * Neighbours of a proxy in the full deployment: for each watched group two other watchers,
+	 * counted in both directions, and three proxies by hash.
+	 */
+	double deployment_x =
+		2 * (double)DEPLOYMENT_GROUPS * WATCHERS / DEPLOYMENT_PROXIES + WATCHERS;
+
+	printf("Idle fleet, by number of proxies (one group; all proxies are neighbours; a proxy "
+	       "of the full deployment has %.1f neighbours):\n",
+	       deployment_x);
+	for (int i = 0; i < SIZE_COUNT; i++) {
 		x[i] = sizes[i] - 1;
-		runs[i] = run_fleet(sizes[i], 1);
+		loads[i] = measure_fleet(sizes[i], 1);
 	}
-	print_slope("CPU, % of a core", "neighbour", x, runs, cpu_field, at);
-	print_slope("memory, KB", "neighbour", x, runs, rss_field, at);
-	print_slope("bytes/s to peers", "neighbour", x, runs, peer_field, at);
-	print_slope("store calls/s, all", "neighbour", x, runs, store_field, at);
+	print_slope("CPU, % of a core", "neighbour", x, loads, get_cpu, deployment_x);
+	print_slope("memory, KB", "neighbour", x, loads, get_rss, deployment_x);
+	print_slope("bytes/s to peers", "neighbour", x, loads, get_peer_bytes, deployment_x);
+	print_slope("store calls/s, all", "neighbour", x, loads, get_store_calls, deployment_x);
 }
 
-static void capacity_of_table(void)
+static void measure_table(void)
 {
-	static const int sizes[SIZES] = {100, 400, 1600};
-	double entries[SIZES];
-	double memory[SIZES];
-	double cpu[SIZES];
+	static const int sizes[SIZE_COUNT] = {100, 400, 1600};
+	double entries[SIZE_COUNT];
+	double memory[SIZE_COUNT];
+	double cpu[SIZE_COUNT];
 	double a;
 	double b;
-	double at = GROUPS_AT_SIZE * (1 + ROWS_PER_GROUP);
+	double deployment_x = DEPLOYMENT_GROUPS * (1 + ROWS_PER_GROUP);
 
-	printf("The table, held in process (groups with %d rows each; edits one after the other):\n",
+	printf("Operators' table, in process (groups with %d rows each; edits one after the other):\n",
 	       ROWS_PER_GROUP);
-	for (int i = 0; i < SIZES; i++) {
+	for (int i = 0; i < SIZE_COUNT; i++) {
 		void *parent = talloc_new(NULL);
 		table_t *table = table_create(parent);
 		gint64 start;
@@ -354,17 +361,17 @@
 		       memory[i], cpu[i]);
 		talloc_free(parent);
 	}
-	fit(SIZES, entries, memory, &a, &b);
+	fit_line(SIZE_COUNT, entries, memory, &a, &b);
 	printf("    memory, KB               %10.3f + %9.4f for each entry; at %.0f: %.0f\n", a, b,
-	       at, a + b * at);
-	fit(SIZES, entries, cpu, &a, &b);
+	       deployment_x, a + b * deployment_x);
+	fit_line(SIZE_COUNT, entries, cpu, &a, &b);
 	printf("    check of an edit, ms     %10.3f + %9.4f for each entry; at %.0f: %.1f\n", a, b,
-	       at, a + b * at);
+	       deployment_x, a + b * deployment_x);
 }
 
-static void rank_all(const fleet_t *fleet, ranks_t *ranks)
+static void rank_all_groups(const fleet_t *fleet, ranks_t *ranks)
 {
-	for (int g = 0; g < GROUPS_AT_SIZE; g++) {
+	for (int g = 0; g < DEPLOYMENT_GROUPS; g++) {
 		char key[32];
 
 		snprintf(key, sizeof(key), "group-%d", g);
@@ -392,48 +399,48 @@
 	return fleet;
 }
 
-static void capacity_of_ranks(void)
+static void measure_ranks(void)
 {
-	static const int sizes[SIZES] = {100, 500, NODES_AT_SIZE};
-	double x[SIZES];
-	double whole[SIZES];
-	double change[SIZES];
-	double memory[SIZES];
+	static const int sizes[SIZE_COUNT] = {100, 500, DEPLOYMENT_PROXIES};
+	double x[SIZE_COUNT];
+	double initial[SIZE_COUNT];
+	double replacement[SIZE_COUNT];
+	double memory[SIZE_COUNT];
 	double a;
 	double b;
 
-	printf("Ranks of %d groups, in process: worked out from nothing, and after one proxy left "
-	       "and one came:\n",
-	       GROUPS_AT_SIZE);
-	for (int i = 0; i < SIZES; i++) {
+	printf("Ranks of %d groups, in process: computed from nothing, and again after one proxy "
+	       "left and one joined:\n",
+	       DEPLOYMENT_GROUPS);
+	for (int i = 0; i < SIZE_COUNT; i++) {
 		fleet_t *fleet = make_fleet(sizes[i]);
-		ranks_t *ranks = g_new0(ranks_t, GROUPS_AT_SIZE);
+		ranks_t *ranks = g_new0(ranks_t, DEPLOYMENT_GROUPS);
 		gint64 start = g_get_monotonic_time();
 
-		rank_all(fleet, ranks);
-		whole[i] = msec_since(start);
+		rank_all_groups(fleet, ranks);
+		initial[i] = msec_since(start);
 		memory[i] = (double)talloc_total_size(fleet) / 1024;
 		start = g_get_monotonic_time();
 		fleet_set_leaving(fleet, fleet_find(fleet, "p7"));
-		rank_all(fleet, ranks);
+		rank_all_groups(fleet, ranks);
 		fleet_add(fleet, 2, "newcomer", "z3", "10.0.0.0:9000", true);
-		rank_all(fleet, ranks);
-		change[i] = msec_since(start);
+		rank_all_groups(fleet, ranks);
+		replacement[i] = msec_since(start);
 		x[i] = sizes[i];
 		printf("  %5d proxies: %8.1f ms, after a replacement %6.2f ms, fleet %6.0f KB\n",
-		       sizes[i], whole[i], change[i], memory[i]);
+		       sizes[i], initial[i], replacement[i], memory[i]);
 		g_free(ranks);
 		talloc_free(fleet);
 	}
-	fit(SIZES, x, whole, &a, &b);
+	fit_line(SIZE_COUNT, x, initial, &a, &b);
 	printf("    from nothing, ms         %10.3f + %9.4f for each proxy\n", a, b);
-	fit(SIZES, x, change, &a, &b);
+	fit_line(SIZE_COUNT, x, replacement, &a, &b);
 	printf("    a replacement, ms        %10.3f + %9.4f for each proxy\n", a, b);
-	fit(SIZES, x, memory, &a, &b);
+	fit_line(SIZE_COUNT, x, memory, &a, &b);
 	printf("    fleet, KB                %10.3f + %9.4f for each proxy\n", a, b);
 }
 
-static void capacity_of_records(void)
+static void print_record_sizes(void)
 {
 	printf("Records in memory, bytes: group not watched %zu, member of a watched one %zu and %zu "
 	       "of samples, proxy %zu, request %zu, pooled connection %zu\n",
@@ -443,21 +450,21 @@
 
 static void measure_capacity(void)
 {
-	capacity_of_records();
-	capacity_of_table();
-	capacity_of_ranks();
-	capacity_of_groups();
-	capacity_of_proxies();
+	print_record_sizes();
+	measure_table();
+	measure_ranks();
+	measure_groups();
+	measure_proxies();
 }
 
-/* --- the path --- */
+/* --- the path of a statement --- */
 
 #define PATH_SEC     4
 #define PATH_CLIENTS 16
 
 typedef struct path_case {
 	const char *name;
-	const char *class_name; /* NULL: straight to the member */
+	const char *class_name; /* NULL: directly to the member */
 	const char *statement;
 	bool write;
 } path_case_t;
@@ -487,8 +494,8 @@
 	gint64 usec;
 } tally_t;
 
-static void through_proxy(const harness_t *h, const path_case_t *what, int client, gint64 end,
-			  tally_t *tally)
+static void run_through_proxy(const harness_t *h, const path_case_t *path, int client, gint64 end,
+			      tally_t *tally)
 {
 	CURL *easy = curl_easy_init();
 	char *url = g_strdup_printf("http://127.0.0.1:%d/v1/statement",
@@ -501,8 +508,8 @@
 		char *body = g_strdup_printf(
 			"{\"service\":\"dispatch\",\"class\":\"%s\",\"statement\":\"%s\","
 			"\"params\":[\"job-%d\"%s]%s%d-%d-%d%s}",
-			what->class_name, what->statement, client, what->write ? ",\"v\"" : "",
-			what->write ? ",\"request_id\":\""
+			path->class_name, path->statement, client, path->write ? ",\"v\"" : "",
+			path->write ? ",\"request_id\":\""
 				    : ",\"deadline_ms\":5000,\"session\":\"new"
 				      "\",\"request_id\":\"",
 			getpid(), client, (int)tally->count, "\"");
@@ -521,8 +528,8 @@
 	g_free(url);
 }
 
-static void straight(const harness_t *h, const path_case_t *what, int client, gint64 end,
-		     tally_t *tally)
+static void run_directly(const harness_t *h, const path_case_t *path, int client, gint64 end,
+			 tally_t *tally)
 {
 	char *info = g_strdup_printf("hostaddr=127.0.0.1 port=%d user=t dbname=t sslmode=disable",
 				     harness_member_port(h, 0));
@@ -533,7 +540,7 @@
 	snprintf(key, sizeof(key), "job-%d", client);
 	while (g_get_monotonic_time() < end) {
 		gint64 start = g_get_monotonic_time();
-		PGresult *result = PQexecParams(pg, what->statement, what->write ? 2 : 1, NULL,
+		PGresult *result = PQexecParams(pg, path->statement, path->write ? 2 : 1, NULL,
 						params, NULL, NULL, 0);
 
 		tally->usec += g_get_monotonic_time() - start;
@@ -546,7 +553,7 @@
 	g_free(info);
 }
 
-static pid_t start_client(const harness_t *h, const path_case_t *what, int client, gint64 end,
+static pid_t start_client(const harness_t *h, const path_case_t *path, int client, gint64 end,
 			  int out)
 {
 	pid_t pid = fork();
@@ -554,33 +561,33 @@
 
 	if (pid != 0)
 		return pid;
-	if (what->class_name != NULL)
-		through_proxy(h, what, client, end, &tally);
+	if (path->class_name != NULL)
+		run_through_proxy(h, path, client, end, &tally);
 	else
-		straight(h, what, client, end, &tally);
+		run_directly(h, path, client, end, &tally);
 	_exit(write(out, &tally, sizeof(tally)) == sizeof(tally) ? 0 : 1);
 }
 
-static double proxies_cpu(const harness_t *h)
+static double sum_proxies_cpu(const harness_t *h)
 {
 	double cpu = 0;
 
 	for (int i = 0; i < h->proxy_count; i++)
-		cpu += usage_of(h->proxies[i]).cpu_sec;
+		cpu += read_usage(h->proxies[i]).cpu_sec;
 	return cpu;
 }
 
-static void run_path(const harness_t *h, const path_case_t *what, int clients)
+static void run_path(const harness_t *h, const path_case_t *path, int clients)
 {
 	gint64 end = g_get_monotonic_time() + PATH_SEC * G_USEC_PER_SEC;
-	double cpu = proxies_cpu(h);
+	double cpu = sum_proxies_cpu(h);
 	pid_t pids[PATH_CLIENTS];
 	tally_t sum = {0};
 	int fds[2];
 
 	g_assert_cmpint(pipe(fds), ==, 0);
 	for (int i = 0; i < clients; i++)
-		pids[i] = start_client(h, what, i, end, fds[1]);
+		pids[i] = start_client(h, path, i, end, fds[1]);
 	for (int i = 0; i < clients; i++) {
 		tally_t one = {0};
 
@@ -590,11 +597,11 @@
 		sum.failed += one.failed;
 		sum.usec += one.usec;
 	}
-	cpu = proxies_cpu(h) - cpu;
-	printf("%-22s %2d clients: %8.0f statements/s, mean %8.0f us, failed %d", what->name,
+	cpu = sum_proxies_cpu(h) - cpu;
+	printf("%-22s %2d clients: %8.0f statements/s, mean %8.0f us, failed %d", path->name,
 	       clients, (double)sum.count / PATH_SEC, (double)sum.usec / (double)sum.count,
 	       (int)sum.failed);
-	if (what->class_name != NULL)
+	if (path->class_name != NULL)
 		printf(", %8.0f statements/s per core of proxy", (double)sum.count / cpu);
 	printf("\n");
 	close(fds[0]);
@@ -619,12 +626,12 @@
 
 int main(int argc, char **argv)
 {
-	const char *what = argc > 1 ? argv[1] : "";
+	const char *measurement = argc > 1 ? argv[1] : "";
 
 	setvbuf(stdout, NULL, _IOLBF, 0);
-	if (strcmp(what, "capacity") == 0) {
+	if (strcmp(measurement, "capacity") == 0) {
 		measure_capacity();
-	} else if (strcmp(what, "path") == 0) {
+	} else if (strcmp(measurement, "path") == 0) {
 		measure_path();
 	} else {
 		fprintf(stderr, "usage: measure_real capacity | path\n");
