--- a/ctl/changes.c
+++ b/ctl/changes.c
@@ -33,8 +33,9 @@
 } phase_t;
 
 static const char *const phase_names[PHASE_COUNT] = {
-	[PHASE_DETECT] = "detect",   /* from the first sign at any proxy to the decision */
-	[PHASE_DECIDE] = "decide",   /* mark, release and query the members, to the promote call */
+	[PHASE_DETECT] = "detect", /* from the first sign at any proxy to the decision */
+	/* release of the old primary and query of the members, until the promote call */
+	[PHASE_DECIDE] = "decide",
 	[PHASE_PROMOTE] = "promote", /* until the new primary is seen to lead */
 	[PHASE_RESUME] = "resume",   /* until the last proxy within RESUME_WINDOW_MSEC uses it */
 	[PHASE_TOTAL] = "whole",
@@ -50,7 +51,7 @@
 	int64_t promote_called_at;
 	int64_t leads_at;
 	int64_t resumed_at;
-	json_int_t roster_version; /* roster by which the proxies use the new primary */
+	json_int_t roster_version; /* version of the roster that announced the new primary */
 } primary_change_t;
 
 typedef struct change_list {
--- a/measure/paused.c
+++ b/measure/paused.c
@@ -69,7 +69,7 @@
 	return config;
 }
 
-static int violation_count;
+static int failures;
 
 static void check_violations(world_t *world, const char *where, uint64_t seed)
 {
@@ -78,7 +78,7 @@
 	if (violations[0] == '\0')
 		return;
 	printf("VIOLATION %s seed %d:\n%s", where, (int)seed, violations);
-	violation_count++;
+	failures++;
 }
 
 /* --- failover --- */
@@ -510,5 +510,5 @@
 		fprintf(stderr, "usage: measure failover [RUNS] | reads | load\n");
 		return 2;
 	}
-	return violation_count > 0;
+	return failures > 0;
 }
--- a/soak/client.c
+++ b/soak/client.c
@@ -308,7 +308,7 @@
 		 writes ? " " : "", data);
 }
 
-static void send_next(session_t *session, statement_kind_t kind)
+static void send_new_statement(session_t *session, statement_kind_t kind)
 {
 	statement_t *statement =
 		ledger_add_statement(session->clients->ledger, session->attempt, kind);
@@ -327,16 +327,16 @@
 	send_statement(session, statement);
 }
 
-static void on_step(run_timer_t *timer, usec_t now);
-static void on_idle_over(run_timer_t *timer, usec_t now);
+static void on_next_statement_due(run_timer_t *timer, usec_t now);
+static void on_operation_due(run_timer_t *timer, usec_t now);
 
-static void start_idle(session_t *session)
+static void wait_for_next_operation(session_t *session)
 {
 	unsigned mean_ms = (unsigned)(session->clients->options.mean_idle_time / MSEC);
 
 	session->state = SESSION_IDLE;
 	session->attempt = NULL;
-	arm_timer(session, random_between(session, 1, 2 * mean_ms) * MSEC, on_idle_over);
+	arm_timer(session, random_between(session, 1, 2 * mean_ms) * MSEC, on_operation_due);
 }
 
 /*
@@ -372,7 +372,7 @@
 			random_between(session, 0, 9) < 6 ? KIND_READ : KIND_WRITE;
 }
 
-static void on_step(run_timer_t *timer, usec_t now)
+static void on_next_statement_due(run_timer_t *timer, usec_t now)
 {
 	session_t *session = list_entry(timer, session_t, timer);
 
@@ -382,7 +382,7 @@
 		reconnect_elsewhere(session);
 		return;
 	}
-	send_next(session, session->steps[session->step++]);
+	send_new_statement(session, session->steps[session->step++]);
 }
 
 /* --- the values and prepared statements of a session --- */
@@ -427,7 +427,7 @@
 	snprintf(session->values + len, sizeof(session->values) - len, "%s;", statement->text + 4);
 }
 
-static void on_idle_over(run_timer_t *timer, usec_t now)
+static void on_operation_due(run_timer_t *timer, usec_t now)
 {
 	session_t *session = list_entry(timer, session_t, timer);
 
@@ -440,7 +440,7 @@
 	} else {
 		session->phase = PHASE_OPERATIONS;
 		choose_operation(session);
-		send_next(session, session->steps[session->step++]);
+		send_new_statement(session, session->steps[session->step++]);
 	}
 }
 
@@ -451,18 +451,19 @@
 	if (statement->kind == KIND_SETUP) {
 		record_setting(session, statement);
 		if (session->state != SESSION_CLOSED)
-			start_idle(session);
+			wait_for_next_operation(session);
 		return;
 	}
 	if (session->step < session->step_count) {
 		session->state = SESSION_IDLE;
-		arm_timer(session, random_between(session, 0, TX_PAUSE_MAX_MS) * MSEC, on_step);
+		arm_timer(session, random_between(session, 0, TX_PAUSE_MAX_MS) * MSEC,
+			  on_next_statement_due);
 		return;
 	}
 	session->clients->fleet->proxies[session->proxy].operations_done++;
 	if (statement->kind == KIND_COMMIT || statement->kind == KIND_WRITE)
 		session->last_commit = statement;
-	start_idle(session);
+	wait_for_next_operation(session);
 }
 
 static void continue_after_failure(session_t *session, const statement_t *statement, char state)
@@ -472,9 +473,9 @@
 	} else if (state != 'I') {
 		session->phase = PHASE_ABANDON;
 		session->step = session->step_count;
-		send_next(session, KIND_ROLLBACK);
+		send_new_statement(session, KIND_ROLLBACK);
 	} else {
-		start_idle(session);
+		wait_for_next_operation(session);
 	}
 }
 
@@ -490,7 +491,7 @@
 	finish_statement(session, answer_status(answer));
 	if (session->phase == PHASE_ABANDON)
 		/* ROLLBACK must succeed and end the failed transaction. */
-		answer->ok && answer->state == 'I' ? start_idle(session)
+		answer->ok && answer->state == 'I' ? wait_for_next_operation(session)
 						   : reconnect_elsewhere(session);
 	else if (answer->ok)
 		continue_after_success(session, statement);
--- a/soak/inject.c
+++ b/soak/inject.c
@@ -152,12 +152,12 @@
 	link_silence(store_link(inject, fault));
 }
 
-static void begin_store_turns_away(inject_t *inject, const fault_t *fault)
+static void begin_store_refuses_calls(inject_t *inject, const fault_t *fault)
 {
 	link_redirect(store_link(inject, fault), fleet_refusing_port(inject->fleet));
 }
 
-static void end_store_turns_away(inject_t *inject, const fault_t *fault)
+static void end_store_refuses_calls(inject_t *inject, const fault_t *fault)
 {
 	link_redirect(store_link(inject, &(fault_t){.target = fault->target}),
 		      fleet_store_port(inject->fleet));
@@ -188,13 +188,13 @@
 	fleet_send_command(inject->fleet, "store delay 4");
 }
 
-static void begin_store_loses(inject_t *inject, const fault_t *fault)
+static void begin_store_answers_lost(inject_t *inject, const fault_t *fault)
 {
 	fleet_send_command(inject->fleet, "store %s %u",
 			   fault->target % 3 == 0 ? "lose-keeps" : "lose", fault->amount);
 }
 
-static void begin_store_forgets(inject_t *inject, const fault_t *fault)
+static void begin_store_compacted(inject_t *inject, const fault_t *fault)
 {
 	(void)fault;
 	fleet_send_command(inject->fleet, "store compact");
@@ -212,13 +212,13 @@
 	fleet_send_command(inject->fleet, "store restore");
 }
 
-static void begin_store_deaf(inject_t *inject, const fault_t *fault)
+static void begin_store_watches_stalled(inject_t *inject, const fault_t *fault)
 {
 	(void)fault;
 	fleet_send_command(inject->fleet, "store deaf 1");
 }
 
-static void end_store_deaf(inject_t *inject, const fault_t *fault)
+static void end_store_watches_stalled(inject_t *inject, const fault_t *fault)
 {
 	(void)fault;
 	fleet_send_command(inject->fleet, "store deaf 0");
@@ -234,13 +234,13 @@
 	fleet_pause_platform(fleet, inject_now(inject) + fault->duration);
 }
 
-static void begin_promote_loses(inject_t *inject, const fault_t *fault)
+static void begin_promote_answers_lost(inject_t *inject, const fault_t *fault)
 {
 	(void)fault;
 	fleet_send_command(inject->fleet, "cloud loses");
 }
 
-static void begin_promote_refuses(inject_t *inject, const fault_t *fault)
+static void begin_promote_refused(inject_t *inject, const fault_t *fault)
 {
 	(void)fault;
 	fleet_send_command(inject->fleet, "cloud refuses");
@@ -365,29 +365,29 @@
 	send_member_command(inject, fault, "lag", 0);
 }
 
-static void begin_member_loses(inject_t *inject, const fault_t *fault)
+static void begin_member_answers_lost(inject_t *inject, const fault_t *fault)
 {
 	add_member_fault(inject, fault, COUNTED_FAULT_TIME);
 	send_member_command(inject, fault, "lose", fault->amount);
 }
 
-static void begin_member_resets(inject_t *inject, const fault_t *fault)
+static void begin_member_connections_reset(inject_t *inject, const fault_t *fault)
 {
 	add_member_fault(inject, fault, COUNTED_FAULT_TIME);
 	send_member_command(inject, fault, "reset", fault->amount);
 }
 
-static void begin_member_grey(inject_t *inject, const fault_t *fault)
+static void begin_member_refuses_statements(inject_t *inject, const fault_t *fault)
 {
 	send_member_command(inject, fault, "grey", fault->amount);
 }
 
-static void begin_member_deaf(inject_t *inject, const fault_t *fault)
+static void begin_member_replication_stalled(inject_t *inject, const fault_t *fault)
 {
 	send_member_command(inject, fault, "deaf", 1);
 }
 
-static void end_member_deaf(inject_t *inject, const fault_t *fault)
+static void end_member_replication_stalled(inject_t *inject, const fault_t *fault)
 {
 	send_member_command(inject, fault, "deaf", 0);
 }
@@ -453,16 +453,16 @@
 	[FAULT_STORE_LINK_DELAY] = {begin_store_link_delay, heal_store_link},
 	[FAULT_STORE_LINK_RESET] = {begin_store_link_reset, NULL},
 	[FAULT_STORE_LINK_SILENCE] = {begin_store_link_silence, NULL},
-	[FAULT_STORE_TURNS_AWAY] = {begin_store_turns_away, end_store_turns_away},
+	[FAULT_STORE_REFUSES_CALLS] = {begin_store_refuses_calls, end_store_refuses_calls},
 	[FAULT_STORE_DOWN] = {begin_store_down, end_store_down},
 	[FAULT_STORE_SLOW] = {begin_store_slow, end_store_slow},
-	[FAULT_STORE_LOSES] = {begin_store_loses, NULL},
-	[FAULT_STORE_FORGETS] = {begin_store_forgets, NULL},
-	[FAULT_STORE_DEAF] = {begin_store_deaf, end_store_deaf},
+	[FAULT_STORE_ANSWERS_LOST] = {begin_store_answers_lost, NULL},
+	[FAULT_STORE_COMPACTED] = {begin_store_compacted, NULL},
+	[FAULT_STORE_WATCHES_STALLED] = {begin_store_watches_stalled, end_store_watches_stalled},
 	[FAULT_STORE_RESTORED] = {begin_store_restored, end_store_restored},
 	[FAULT_PLATFORM_PAUSE] = {begin_platform_pause, NULL},
-	[FAULT_PROMOTE_LOSES] = {begin_promote_loses, end_promote_fault},
-	[FAULT_PROMOTE_REFUSES] = {begin_promote_refuses, end_promote_fault},
+	[FAULT_PROMOTE_ANSWERS_LOST] = {begin_promote_answers_lost, end_promote_fault},
+	[FAULT_PROMOTE_REFUSED] = {begin_promote_refused, end_promote_fault},
 	[FAULT_CONFIG] = {begin_config, NULL},
 	[FAULT_MEMBER_CRASH] = {begin_member_crash, end_member_crash},
 	[FAULT_LEADER_CRASH] = {begin_leader_crash, start_service_members},
@@ -470,10 +470,11 @@
 	[FAULT_LEADER_REPLACE] = {begin_leader_replace, end_leader_replace},
 	[FAULT_MEMBER_SLOW] = {begin_member_slow, end_member_slow},
 	[FAULT_MEMBER_LAG] = {begin_member_lag, end_member_lag},
-	[FAULT_MEMBER_LOSES] = {begin_member_loses, NULL},
-	[FAULT_MEMBER_RESETS] = {begin_member_resets, NULL},
-	[FAULT_MEMBER_GREY] = {begin_member_grey, NULL},
-	[FAULT_MEMBER_DEAF] = {begin_member_deaf, end_member_deaf},
+	[FAULT_MEMBER_ANSWERS_LOST] = {begin_member_answers_lost, NULL},
+	[FAULT_MEMBER_CONNECTIONS_RESET] = {begin_member_connections_reset, NULL},
+	[FAULT_MEMBER_REFUSES_STATEMENTS] = {begin_member_refuses_statements, NULL},
+	[FAULT_MEMBER_REPLICATION_STALLED] = {begin_member_replication_stalled,
+					      end_member_replication_stalled},
 	[FAULT_MEMBER_LINK_CUT] = {begin_member_link_cut, heal_member_link},
 	[FAULT_MEMBER_LINK_ONE_WAY] = {begin_member_link_one_way, heal_member_link},
 	[FAULT_MEMBER_LINK_DELAY] = {begin_member_link_delay, heal_member_link},
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -24,16 +24,16 @@
 	FAULT_STORE_LINK_DELAY,
 	FAULT_STORE_LINK_RESET,
 	FAULT_STORE_LINK_SILENCE,
-	FAULT_STORE_TURNS_AWAY, /* calls reach a port that refuses them */
+	FAULT_STORE_REFUSES_CALLS, /* calls reach a port that refuses them */
 	/* The store, the promote call and the configuration, for all proxies. */
 	FAULT_STORE_DOWN,
 	FAULT_STORE_SLOW,
-	FAULT_STORE_LOSES,   /* answers to writes, or to lease renewals, are lost */
-	FAULT_STORE_FORGETS, /* the history of changes is compacted */
-	FAULT_STORE_DEAF,    /* watches receive no events */
+	FAULT_STORE_ANSWERS_LOST,    /* answers to writes, or to lease renewals, are lost */
+	FAULT_STORE_COMPACTED,	     /* the store discards its history of changes */
+	FAULT_STORE_WATCHES_STALLED, /* watches receive no events */
 	FAULT_PLATFORM_PAUSE,
-	FAULT_PROMOTE_LOSES, /* answers of the promote call are lost */
-	FAULT_PROMOTE_REFUSES,
+	FAULT_PROMOTE_ANSWERS_LOST, /* answers of the promote call are lost */
+	FAULT_PROMOTE_REFUSED,
 	FAULT_CONFIG,
 	/* Members. */
 	FAULT_MEMBER_CRASH,
@@ -42,10 +42,10 @@
 	FAULT_LEADER_REPLACE,
 	FAULT_MEMBER_SLOW,
 	FAULT_MEMBER_LAG,
-	FAULT_MEMBER_LOSES,  /* answers are lost */
-	FAULT_MEMBER_RESETS, /* connections are reset in place of answers */
-	FAULT_MEMBER_GREY,   /* a number of statements is refused */
-	FAULT_MEMBER_DEAF,   /* receives nothing from the leader and is not demoted */
+	FAULT_MEMBER_ANSWERS_LOST,	  /* answers are lost */
+	FAULT_MEMBER_CONNECTIONS_RESET,	  /* connections are reset in place of answers */
+	FAULT_MEMBER_REFUSES_STATEMENTS,  /* a number of statements is refused */
+	FAULT_MEMBER_REPLICATION_STALLED, /* receives nothing from the leader and is not demoted */
 	/* The link of all proxies to a member. */
 	FAULT_MEMBER_LINK_CUT,
 	FAULT_MEMBER_LINK_ONE_WAY,
