--- a/soak/check.c
+++ b/soak/check.c
@@ -47,7 +47,7 @@
 	if (acknowledged->kind != KIND_COMMIT)
 		return write;
 	for (const statement_t *it = acknowledged->attempt->first; it != NULL; it = it->next) {
-		if (it->kind == KIND_WRITE && it->status == STATEMENT_DONE)
+		if (it->kind == KIND_WRITE && it->status == STATUS_DONE)
 			write = it;
 	}
 	return write;
@@ -96,7 +96,7 @@
 		check_read_includes(ledger, read, run, acknowledged);
 	}
 	if (attempt->reads == READS_OWN_WRITES && attempt->previous_commit != NULL &&
-	    attempt->previous_commit->status == STATEMENT_DONE)
+	    attempt->previous_commit->status == STATUS_DONE)
 		check_read_includes(ledger, read, run, attempt->previous_commit);
 }
 
@@ -202,7 +202,7 @@
 		return;
 	}
 	for (const statement_t *it = acknowledged->attempt->first; it != NULL; it = it->next) {
-		if (it->kind == KIND_WRITE && it->status == STATEMENT_DONE)
+		if (it->kind == KIND_WRITE && it->status == STATUS_DONE)
 			check_write_kept(clients, acknowledged, it);
 	}
 }
--- a/soak/client.c
+++ b/soak/client.c
@@ -152,8 +152,8 @@
 static statement_status_t answer_status(const answer_t *answer)
 {
 	if (answer->ok)
-		return STATEMENT_DONE;
-	return is_refusal_code(answer->error_code) ? STATEMENT_REFUSED : STATEMENT_UNKNOWN;
+		return STATUS_DONE;
+	return is_refusal_code(answer->error_code) ? STATUS_REFUSED : STATUS_UNKNOWN;
 }
 
 /* --- the end of a session --- */
@@ -167,12 +167,12 @@
 	ledger_record_answer(session->clients->ledger, session->pending, status,
 			     session_now(session));
 	clients->status_counts[status]++;
-	if (status == STATEMENT_DONE)
+	if (status == STATUS_DONE)
 		g_ptr_array_add(clients->unchecked, session->pending);
 	session->pending = NULL;
 }
 
-static void report_failure(session_t *session, const char *what)
+static void report_not_served(session_t *session, const char *what)
 {
 	if (session->clients->failures_are_findings)
 		finding_add(PROMISE_RECOVERY, session->pending->id, "%s at p%u, \"%s\"", what,
@@ -220,7 +220,7 @@
 {
 	stream_close(&session->stream);
 	if (session->pending != NULL)
-		finish_statement(session, STATEMENT_UNKNOWN);
+		finish_statement(session, STATUS_UNKNOWN);
 	session->state = SESSION_CLOSED;
 	session->attempt = NULL;
 	session->last_commit = NULL;
@@ -240,7 +240,7 @@
 	report_not_opened(session, reason);
 	if (session->pending != NULL) {
 		check_shutdown(session);
-		report_failure(session, "connection closed");
+		report_not_served(session, "connection closed");
 	}
 	reconnect_elsewhere(session);
 }
@@ -252,7 +252,7 @@
 	(void)now;
 	report_not_opened(session, "no answer");
 	if (session->pending != NULL)
-		report_failure(session, "no answer");
+		report_not_served(session, "no answer");
 	reconnect_elsewhere(session);
 }
 
@@ -487,7 +487,7 @@
 	memcpy(statement->signature, answer->signature, sizeof(statement->signature));
 	memcpy(statement->error_code, answer->error_code, sizeof(statement->error_code));
 	if (!answer->ok)
-		report_failure(session, answer->error_code);
+		report_not_served(session, answer->error_code);
 	finish_statement(session, answer_status(answer));
 	if (session->phase == PHASE_ABANDON)
 		/* ROLLBACK must succeed and end the failed transaction. */
@@ -625,7 +625,7 @@
 
 		stream_close(&session->stream);
 		if (session->pending != NULL)
-			finish_statement(session, STATEMENT_UNKNOWN);
+			finish_statement(session, STATUS_UNKNOWN);
 		timers_cancel(&clients->fleet->loop->timers, &session->timer);
 	}
 }
--- a/soak/client.h
+++ b/soak/client.h
@@ -24,7 +24,7 @@
 	/* the soak itself was delayed; its time stamps are not used for findings until then */
 	usec_t clock_unreliable_until;
 	size_t statements_sent;
-	size_t status_counts[STATEMENT_UNKNOWN + 1];
+	size_t status_counts[STATUS_UNKNOWN + 1];
 	size_t sessions_opened;
 	GPtrArray *unchecked; /* statement_t that were answered and are not checked yet */
 } clients_t;
--- a/soak/ledger.c
+++ b/soak/ledger.c
@@ -98,7 +98,7 @@
 	if (statement->kind != KIND_COMMIT)
 		return false;
 	for (const statement_t *it = attempt->first; it != NULL; it = it->next) {
-		if (it->kind == KIND_WRITE && it->status == STATEMENT_DONE)
+		if (it->kind == KIND_WRITE && it->status == STATUS_DONE)
 			return true;
 	}
 	return false;
@@ -109,9 +109,9 @@
 {
 	statement->status = status;
 	statement->ended_at = now;
-	if (status == STATEMENT_REFUSED)
+	if (status == STATUS_REFUSED)
 		statement->attempt->refused = true;
-	if (status == STATEMENT_DONE && acknowledges_writes(statement))
+	if (status == STATUS_DONE && acknowledges_writes(statement))
 		g_ptr_array_add(ledger->services[statement->attempt->service].acknowledged_writes,
 				statement);
 }
--- a/soak/ledger.h
+++ b/soak/ledger.h
@@ -30,10 +30,10 @@
  * write may be kept, the status is unknown.
  */
 typedef enum {
-	STATEMENT_PENDING,
-	STATEMENT_DONE,
-	STATEMENT_REFUSED, /* an error that promises that nothing of the attempt is kept */
-	STATEMENT_UNKNOWN,
+	STATUS_PENDING,
+	STATUS_DONE,
+	STATUS_REFUSED, /* an error that promises that nothing of the attempt is kept */
+	STATUS_UNKNOWN,
 } statement_status_t;
 
 /* A position in a member's log; 0.0 is before the first entry. */
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -224,9 +224,9 @@
 	       "soak late %zu times, by %.0f ms at most, last %.1f s before its end\n",
 	       options->seed, options->proxies, (double)duration / USEC_PER_SEC, names,
 	       soak->inject->next, soak->ledger->promote_count, clients->sessions_opened,
-	       clients->statements_sent, clients->status_counts[STATEMENT_DONE],
-	       clients->status_counts[STATEMENT_REFUSED], clients->status_counts[STATEMENT_UNKNOWN],
-	       kb, fds, soak->late_ticks, (double)soak->longest_tick / USEC_PER_MSEC,
+	       clients->statements_sent, clients->status_counts[STATUS_DONE],
+	       clients->status_counts[STATUS_REFUSED], clients->status_counts[STATUS_UNKNOWN], kb,
+	       fds, soak->late_ticks, (double)soak->longest_tick / USEC_PER_MSEC,
 	       soak->late_ticks != 0
 		       ? (double)(clock_now(soak->loop.clock) - soak->last_late_at) / USEC_PER_SEC
 		       : 0.0);
