--- a/soak/finding.c
+++ b/soak/finding.c
@@ -4,8 +4,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Told in full of each promise; one broken promise shows in many requests. */
-#define TOLD_MAX 5
+/* Findings printed for each promise; one fault breaks the promise for many requests. */
+#define PRINTED_MAX 5
 
 static unsigned seed_of_run;
 static size_t counts[PROMISE_COUNT];
@@ -36,7 +36,7 @@
 {
 	va_list args;
 
-	if (counts[promise]++ >= TOLD_MAX)
+	if (counts[promise]++ >= PRINTED_MAX)
 		return;
 	printf("seed %u: broken promise %s, %s: ", seed_of_run, names[promise], id);
 	va_start(args, fmt);
@@ -55,7 +55,7 @@
 	return sum;
 }
 
-void finding_names(char *text, size_t size)
+void finding_summary(char *text, size_t size)
 {
 	size_t len = 0;
 
--- a/tests/pool_callers.c
+++ b/tests/pool_callers.c
@@ -8,7 +8,7 @@
 #include "pool_parts.h"
 #include "protocol.h"
 
-/* Ids for which there is room at a time. */
+/* Number of ids by which the array of senders grows. */
 #define SENDERS_STEP 4096
 
 void callers_reply(env_t *env, void *data, const caller_reply_t *reply)
@@ -19,7 +19,7 @@
 	(void)env;
 	protocol_encode_reply(&buffer, reply);
 	snprintf(caller->reply, sizeof(caller->reply), "%.*s", (int)buffer.len, buffer.data);
-	caller->replies++;
+	caller->reply_count++;
 	protocol_buffer_free(&buffer);
 }
 
@@ -33,47 +33,47 @@
 {
 	const world_caller_t *caller = data;
 
-	if (caller->unread)
+	if (caller->has_unread_input)
 		return CLOSE_INPUT_UNREAD;
-	if (caller->unsent)
+	if (caller->has_unsent_output)
 		return CLOSE_OUTPUT_UNSENT;
 	callers_abort(env, data);
 	return CLOSE_DONE;
 }
 
-world_caller_t *world_open(pool_world_t *world, size_t at)
+world_caller_t *world_open_session(pool_world_t *world, size_t at)
 {
-	return world_open_database(world, at, WORLD_DATABASE);
+	return world_open_session_on(world, at, WORLD_DATABASE);
 }
 
-world_caller_t *world_open_key(pool_world_t *world, size_t at, const char *database,
-			       const char *key)
+world_caller_t *world_open_session_with_key(pool_world_t *world, size_t at, const char *database,
+					    const char *key)
 {
 	world_node_t *node = &world->nodes[at];
 	world_caller_t *caller = talloc_zero(world, world_caller_t);
 
-	caller->at = node;
-	/* Of a key that names nobody nothing is kept. */
+	caller->proxy = node;
+	/* For a key of another form the customer stays empty. */
 	sscanf(key, "key-%15s", caller->customer);
 	list_add_tail(&node->callers, &caller->node);
 	caller->caller = pooler_caller_open(node->pooler, database, slice_of(key, strlen(key)),
-					    caller, &caller->refused);
+					    caller, &caller->refusal_code);
 	return caller;
 }
 
-world_caller_t *world_open_database(pool_world_t *world, size_t at, const char *database)
+world_caller_t *world_open_session_on(pool_world_t *world, size_t at, const char *database)
 {
-	return world_open_key(world, at, database, "");
+	return world_open_session_with_key(world, at, database, "");
 }
 
-static void note_sender(const world_caller_t *caller)
+static void record_sender(const world_caller_t *caller)
 {
-	pool_world_t *world = caller->at->world;
+	pool_world_t *world = caller->proxy->world;
 
 	if (world->next_id % SENDERS_STEP == 0)
-		world->senders = talloc_realloc(world, world->senders, const char *,
-						world->next_id + SENDERS_STEP);
-	world->senders[world->next_id] = talloc_strdup(world->senders, caller->customer);
+		world->sender_of_id = talloc_realloc(world, world->sender_of_id, const char *,
+						     world->next_id + SENDERS_STEP);
+	world->sender_of_id[world->next_id] = talloc_strdup(world->sender_of_id, caller->customer);
 }
 
 void world_send(world_caller_t *caller, const char *text)
@@ -83,21 +83,21 @@
 
 	g_assert_nonnull(caller->caller);
 	g_assert_false(caller_is_busy(caller->caller));
-	note_sender(caller);
-	snprintf(caller->id, sizeof(caller->id), "q%zu", caller->at->world->next_id++);
+	record_sender(caller);
+	snprintf(caller->id, sizeof(caller->id), "q%zu", caller->proxy->world->next_id++);
 	snprintf(line, sizeof(line), "QUERY %s %s", caller->id, text);
-	protocol_decode_caller(line, strlen(line), &message);
+	protocol_decode_caller_message(line, strlen(line), &message);
 	caller->reply[0] = '\0';
 	caller_on_statement(caller->caller, &message.statement);
 }
 
-const char *world_ask(world_caller_t *caller, const char *text)
+const char *world_send_and_wait(world_caller_t *caller, const char *text)
 {
-	size_t before = caller->replies;
+	size_t before = caller->reply_count;
 
 	world_send(caller, text);
-	for (int i = 0; i < 2000 && caller->replies == before; i++)
-		world_run(caller->at->world, USEC_PER_MSEC);
+	for (int i = 0; i < 2000 && caller->reply_count == before; i++)
+		world_run(caller->proxy->world, USEC_PER_MSEC);
 	return caller->reply;
 }
 
@@ -110,7 +110,7 @@
 		caller_on_session_end(gone);
 }
 
-bool world_state_is(const world_caller_t *caller, const char *ready)
+bool world_reply_has_state(const world_caller_t *caller, const char *ready)
 {
 	const char *last = strstr(caller->reply, "READY ");
 
@@ -125,9 +125,9 @@
 
 		if (run->id[0] != 'q')
 			continue;
-		sender = world->senders[strtoul(run->id + 1, NULL, 10)];
-		if (strcmp(run->who, sender) != 0)
-			g_error("%s of %s was run for %s: %s", run->id, sender, run->who,
+		sender = world->sender_of_id[strtoul(run->id + 1, NULL, 10)];
+		if (strcmp(run->customer, sender) != 0)
+			g_error("%s of %s was run for %s: %s", run->id, sender, run->customer,
 				run->text);
 	}
 }
--- a/tests/pool_world.c
+++ b/tests/pool_world.c
@@ -11,8 +11,8 @@
 #include "permit.h"
 #include "pool_parts.h"
 
-/* How long members keep the connections of VMs without power. */
-#define DEAD_KEPT (3 * USEC_PER_SEC)
+/* Time after which members close the connections of a VM that has lost power. */
+#define DEAD_CONN_TIMEOUT (3 * USEC_PER_SEC)
 
 /* --- the platform --- */
 
@@ -22,7 +22,7 @@
 	promote_status_t status;
 } promote_answer_t;
 
-static void on_answer(run_timer_t *timer, usec_t now)
+static void on_promote_answer(run_timer_t *timer, usec_t now)
 {
 	promote_answer_t *answer = list_entry(timer, promote_answer_t, timer);
 
@@ -44,25 +44,27 @@
 	world->promotes =
 		talloc_realloc(world, world->promotes, promote_call_t, world->promote_count + 1);
 	call = &world->promotes[world->promote_count++];
-	call->at = world_now(world);
-	call->fence = fence;
+	call->called_at = world_now(world);
+	call->fencing_token = fence;
 	snprintf(call->member, sizeof(call->member), "%s", member);
-	snprintf(call->holder, sizeof(call->holder), "%s", holder);
+	snprintf(call->leader, sizeof(call->leader), "%s", holder);
 	answer->node = node;
-	answer->status = fake_promote(world->db, fake_find(world->db, member)) ? PROMOTE_OK
-									       : PROMOTE_REFUSED;
-	if (world->lose_promotes != 0) {
-		world->lose_promotes--;
+	answer->status = fake_db_promote(world->db, fake_db_find_member(world->db, member))
+				 ? PROMOTE_OK
+				 : PROMOTE_REFUSED;
+	if (world->lose_promote_answers != 0) {
+		world->lose_promote_answers--;
 		answer->status = PROMOTE_OUTCOME_UNKNOWN;
 	}
-	timers_arm(&node->timers, &answer->timer, world_now(world) + 2 * LINK_DELAY, on_answer);
+	timers_arm(&node->timers, &answer->timer, world_now(world) + 2 * LINK_DELAY,
+		   on_promote_answer);
 }
 
 static void refresh_config(env_t *env)
 {
 	world_node_t *node = (world_node_t *)env;
 
-	node->refreshes++;
+	node->refresh_requests++;
 	directory_refresh(node, &node->config);
 }
 
@@ -70,7 +72,7 @@
 {
 	world_node_t *node = (world_node_t *)env;
 
-	node->refreshes++;
+	node->refresh_requests++;
 	directory_refresh(node, &node->members);
 }
 
@@ -79,7 +81,7 @@
 	(void)env;
 }
 
-static void drained(env_t *env)
+static void record_drained(env_t *env)
 {
 	((world_node_t *)env)->drained = true;
 }
@@ -96,7 +98,7 @@
 	.refresh_config = refresh_config,
 	.refresh_members = refresh_members,
 	.stop_accepting = stop_accepting,
-	.drained = drained,
+	.drained = record_drained,
 };
 
 static void add_route(routes_t *routes, const pool_world_t *world, const char *database,
@@ -109,7 +111,7 @@
 	route->statement_timeout = 800 * USEC_PER_MSEC;
 	route->objective = WORLD_OBJECTIVE;
 	route->keyless = world->customer_count == 0 || strcmp(database, "open") == 0 ||
-			 strcmp(database, WORLD_ADDED) == 0;
+			 strcmp(database, WORLD_ADDED_DATABASE) == 0;
 }
 
 static void add_customers(routes_t *routes, const pool_world_t *world)
@@ -125,7 +127,7 @@
 	}
 }
 
-routes_t *world_routes(const pool_world_t *world, int64_t version)
+routes_t *world_create_routes(const pool_world_t *world, int64_t version)
 {
 	routes_t *routes = routes_create(NULL);
 	service_limits_t *limits = routes_add_service(routes, WORLD_SERVICE);
@@ -137,8 +139,8 @@
 	add_route(routes, world, "bounded", READS_BOUNDED);
 	add_route(routes, world, "session", READS_SESSION);
 	add_route(routes, world, "open", READS_BOUNDED);
-	if (world->added_by != 0 && version >= world->added_by)
-		add_route(routes, world, WORLD_ADDED, READS_BOUNDED);
+	if (world->added_in_version != 0 && version >= world->added_in_version)
+		add_route(routes, world, WORLD_ADDED_DATABASE, READS_BOUNDED);
 	add_customers(routes, world);
 	limits->max_connections = (int64_t)world->db->config.max_connections;
 	limits->sync_replicas = world->sync_replicas;
@@ -168,15 +170,16 @@
 	}
 }
 
-void world_publish(pool_world_t *world)
+void world_publish_directory(pool_world_t *world)
 {
 	for (size_t i = 0; i < world->node_count; i++) {
 		world_node_t *node = &world->nodes[i];
 
-		if (node->pooler == NULL || node->kv.cut || node->frozen)
+		if (node->pooler == NULL || node->kv.unreachable || node->frozen)
 			continue;
 		if (world->config_bytes == 0) {
-			pooler_on_routes(node->pooler, world_routes(world, world->config_version));
+			pooler_on_routes(node->pooler,
+					 world_create_routes(world, world->config_version));
 			pooler_on_config_confirmed(node->pooler, world_now(world));
 		}
 		publish_members(world, node);
@@ -185,7 +188,7 @@
 
 /* --- time --- */
 
-static usec_t next_time(const pool_world_t *world)
+static usec_t next_due_time(const pool_world_t *world)
 {
 	usec_t next = timers_next_due(&world->timers);
 
@@ -198,14 +201,14 @@
 	return next;
 }
 
-/* The list of members as the store's watchers see it, a little late. */
-static void publish_sometimes(pool_world_t *world)
+/* Sends the list of members to the proxies every 50 ms, which stands for the delay of a watch. */
+static void publish_periodically(pool_world_t *world)
 {
-	if (world->stale_directory || world->kv->down ||
-	    world_now(world) < world->published + 50 * USEC_PER_MSEC)
+	if (world->directory_is_frozen || world->kv->down ||
+	    world_now(world) < world->published_at + 50 * USEC_PER_MSEC)
 		return;
-	world->published = world_now(world);
-	world_publish(world);
+	world->published_at = world_now(world);
+	world_publish_directory(world);
 }
 
 void world_run(pool_world_t *world, usec_t by)
@@ -213,14 +216,14 @@
 	usec_t end = world_now(world) + by;
 
 	for (;;) {
-		usec_t next = next_time(world);
+		usec_t next = next_due_time(world);
 
 		if (next > end)
 			break;
 		if (next > world_now(world))
 			manual_clock_advance(&world->clock, next - world_now(world));
 		timers_expire(&world->timers, world_now(world));
-		publish_sometimes(world);
+		publish_periodically(world);
 		for (size_t i = 0; i < world->node_count; i++) {
 			if (!world->nodes[i].frozen)
 				timers_expire(&world->nodes[i].timers, world_now(world));
@@ -229,7 +232,7 @@
 	manual_clock_advance(&world->clock, end - world_now(world));
 }
 
-size_t world_permitted(pool_world_t *world, const char *member)
+size_t world_count_permitted(pool_world_t *world, const char *member)
 {
 	size_t count = 0;
 
@@ -245,20 +248,20 @@
 	return count;
 }
 
-void world_settle(pool_world_t *world)
+void world_wait_until_ready(pool_world_t *world)
 {
-	size_t running = 0;
+	size_t running_count = 0;
 
 	for (size_t i = 0; i < world->node_count; i++)
-		running += world->nodes[i].pooler != NULL;
+		running_count += world->nodes[i].pooler != NULL;
 	for (int i = 0; i < 200; i++) {
-		const fake_member_t *leader = fake_leader(world->db);
+		const fake_member_t *leader = fake_db_primary(world->db);
 
 		world_run(world, 50 * USEC_PER_MSEC);
-		if (leader != NULL && world_permitted(world, leader->id) == running) {
+		if (leader != NULL && world_count_permitted(world, leader->id) == running_count) {
 			/*
-			 * A new holder of the duty waits for calls of earlier ones, and counts
-			 * only proxies that it has known for 12 s.
+			 * A new leader waits for calls of former leaders to end, and only counts
+			 * proxies that have been on its roster for 12 s.
 			 */
 			world_run(world, 13 * USEC_PER_SEC);
 			return;
@@ -267,9 +270,9 @@
 	g_assert_not_reached();
 }
 
-/* --- trouble --- */
+/* --- faults --- */
 
-void world_start(pool_world_t *world, size_t at)
+void world_start_proxy(pool_world_t *world, size_t at)
 {
 	world_node_t *node = &world->nodes[at];
 	pooler_config_t config = {
@@ -285,16 +288,16 @@
 		.min_lease = 1 * USEC_PER_SEC,
 		.revoke_bound = world->revoke_bound,
 		.slack = world->slack,
-		.serve_in_arrival_order = node->world->plain,
-		.no_homes = node->world->plain,
+		.serve_in_arrival_order = node->world->baseline,
+		.no_homes = node->world->baseline,
 	};
 
 	node->drained = false;
 	node->pooler = pooler_create(NULL, &config, &node->env, &world->clock.base, &node->timers);
 	if (world->config_bytes != 0)
-		directory_start(node);
+		directory_start_followers(node);
 	else
-		pooler_on_routes(node->pooler, world_routes(world, world->config_version));
+		pooler_on_routes(node->pooler, world_create_routes(world, world->config_version));
 	publish_members(world, node);
 	pooler_start(node->pooler);
 }
@@ -306,15 +309,15 @@
 	links_close_all(node);
 	list_for_each (it, &node->callers)
 		list_entry(it, world_caller_t, node)->caller = NULL;
-	fake_kv_client_gone(&node->kv);
-	directory_stop(node);
+	fake_kv_client_abandon(&node->kv);
+	directory_stop_followers(node);
 	talloc_free(node->pooler);
 	node->pooler = NULL;
 }
 
 void world_power_off(pool_world_t *world, size_t at)
 {
-	links_delay(&world->nodes[at], DEAD_KEPT);
+	links_delay_delivery(&world->nodes[at], DEAD_CONN_TIMEOUT);
 	world_kill(world, at);
 }
 
@@ -328,39 +331,39 @@
 	world->nodes[at].frozen = false;
 }
 
-void world_cut_members(pool_world_t *world, size_t at, bool cut)
+void world_set_members_unreachable(pool_world_t *world, size_t at, bool cut)
 {
 	world->nodes[at].cut_from_members = cut;
 }
 
 /* --- start and end --- */
 
-static pool_world_t *make_world(size_t nodes, const fake_db_config_t *config)
+static pool_world_t *allocate_world(size_t nodes, const fake_db_config_t *config)
 {
-	static const fake_db_config_t usual = {
+	static const fake_db_config_t default_config = {
 		.service = WORLD_SERVICE,
 		.members = 3,
 		.slots = 2,
 		.max_connections = 16,
-		.work = 4 * USEC_PER_MSEC,
-		.receive = 2 * USEC_PER_MSEC,
+		.service_time = 4 * USEC_PER_MSEC,
+		.receive_delay = 2 * USEC_PER_MSEC,
 		.lag = 60 * USEC_PER_MSEC,
-		.promote = 1000 * USEC_PER_MSEC,
+		.promote_delay = 1000 * USEC_PER_MSEC,
 	};
 	pool_world_t *world = talloc_zero(NULL, pool_world_t);
 
 	manual_clock_init(&world->clock, 100 * USEC_PER_SEC);
 	timers_init(&world->timers);
 	world->kv = fake_kv_create(world, &world->clock.base, &world->timers);
-	world->db = fake_db_create(world, config != NULL ? config : &usual, &world->clock.base,
-				   &world->timers);
+	world->db = fake_db_create(world, config != NULL ? config : &default_config,
+				   &world->clock.base, &world->timers);
 	world->node_count = nodes;
 	world->config_version = 1;
 	world->max_age = 1500 * USEC_PER_MSEC;
 	return world;
 }
 
-static pool_world_t *start_nodes(pool_world_t *world)
+static pool_world_t *start_all_proxies(pool_world_t *world)
 {
 	static const char *const zones[] = {"a", "b", "c"};
 
@@ -377,47 +380,47 @@
 		snprintf(node->name, sizeof(node->name), "p%zu", i);
 		snprintf(node->zone, sizeof(node->zone), "%s", zones[i % 3]);
 		snprintf(node->address, sizeof(node->address), "10.0.1.%zu:1", i);
-		world_start(world, i);
+		world_start_proxy(world, i);
 	}
 	return world;
 }
 
 pool_world_t *world_create(size_t nodes, const fake_db_config_t *config)
 {
-	return start_nodes(make_world(nodes, config));
+	return start_all_proxies(allocate_world(nodes, config));
 }
 
-static void add_customers_to(pool_world_t *world, const world_customer_t *customers, size_t count)
+static void set_customers(pool_world_t *world, const world_customer_t *customers, size_t count)
 {
 	g_assert_cmpuint(count, <=, WORLD_CUSTOMERS_MAX);
 	memcpy(world->customers, customers, count * sizeof(*customers));
 	world->customer_count = count;
-	world->revoke_bound = WORLD_REVOKE;
+	world->revoke_bound = WORLD_REVOKE_BOUND;
 	world->slack = (limit_slack_t){.fraction = 0.1, .operations = 20};
 	for (size_t i = 0; i < count; i++)
 		snprintf(world->customers[i].key, WORLD_KEY_MAX, "key-%s", customers[i].name);
 }
 
-pool_world_t *world_create_keyed(size_t nodes, const fake_db_config_t *config,
-				 const world_customer_t *customers, size_t count)
+pool_world_t *world_create_with_customers(size_t nodes, const fake_db_config_t *config,
+					  const world_customer_t *customers, size_t count)
 {
-	pool_world_t *world = make_world(nodes, config);
+	pool_world_t *world = allocate_world(nodes, config);
 
-	add_customers_to(world, customers, count);
-	return start_nodes(world);
+	set_customers(world, customers, count);
+	return start_all_proxies(world);
 }
 
-pool_world_t *world_create_following(size_t nodes, const world_customer_t *customers, size_t count,
-				     size_t bytes)
+pool_world_t *world_create_with_store_config(size_t nodes, const world_customer_t *customers,
+					     size_t count, size_t bytes)
 {
-	pool_world_t *world = make_world(nodes, NULL);
+	pool_world_t *world = allocate_world(nodes, NULL);
 
 	if (count != 0)
-		add_customers_to(world, customers, count);
+		set_customers(world, customers, count);
 	world->config_bytes = bytes;
 	world->config_version = 0;
 	world_write_config(world);
-	return start_nodes(world);
+	return start_all_proxies(world);
 }
 
 void world_destroy(pool_world_t *world)
@@ -429,7 +432,7 @@
 	for (size_t i = 0; i < world->node_count; i++)
 		timers_destroy(&world->nodes[i].timers);
 	timers_destroy(&world->timers);
-	/* What is still under way points into what is freed here. */
+	/* The destructors would use timers and clocks that are freed before them. */
 	talloc_set_destructor(world->kv, NULL);
 	talloc_set_destructor(world->db, NULL);
 	talloc_free(world);
--- a/tests/site.c
+++ b/tests/site.c
@@ -16,8 +16,8 @@
 
 #include "harness.h"
 
-#define READY_TIMEOUT	20000
-#define RECEIVE_TIMEOUT 10000
+#define READY_TIMEOUT_MS   20000
+#define RECEIVE_TIMEOUT_MS 10000
 
 static int caller_port(const site_harness_t *site, int proxy)
 {
@@ -68,11 +68,11 @@
 	return path;
 }
 
-static void launch(site_harness_t *site, int proxy, int stdout_fd)
+static void spawn_proxy(site_harness_t *site, int proxy, int stdout_fd)
 {
 	char *config = settings_path(site, proxy);
 	char *log = log_path(site, proxy);
-	char *program = harness_program("proxy/cyclamenspan");
+	char *program = harness_program_path("proxy/cyclamenspan");
 	char *argv[] = {program, "--pooler", "--config", config, NULL};
 	int fd = stdout_fd >= 0 ? stdout_fd : g_open(log, O_WRONLY | O_CREAT | O_APPEND, 0600);
 
@@ -89,19 +89,19 @@
 	char *config = settings_path(site, proxy);
 
 	write_settings(site, proxy, config);
-	launch(site, proxy, stdout_fd);
+	spawn_proxy(site, proxy, stdout_fd);
 	g_free(config);
 }
 
 void site_restart_proxy(site_harness_t *site, int proxy)
 {
-	launch(site, proxy, -1);
+	spawn_proxy(site, proxy, -1);
 }
 
 site_harness_t *site_start(int proxies)
 {
 	site_harness_t *site = g_new0(site_harness_t, 1);
-	char *program = harness_program("tests/standin_site");
+	char *program = harness_program_path("tests/standin_site");
 	char *port;
 	char *argv[3] = {program};
 
@@ -113,7 +113,7 @@
 	for (int i = 0; i < proxies; i++)
 		site_start_proxy(site, i, -1);
 	for (int i = 0; i < proxies; i++)
-		site_wait_ready(site, i);
+		site_wait_until_ready(site, i);
 	g_free(port);
 	g_free(program);
 	return site;
@@ -140,14 +140,15 @@
 	g_free(site);
 }
 
-static size_t on_body(char *data, size_t size, size_t count, void *ptr)
+static size_t append_body(char *data, size_t size, size_t count, void *ptr)
 {
 	if (ptr != NULL)
 		g_string_append_len(ptr, data, (gssize)(size * count));
 	return size * count;
 }
 
-long site_get(const site_harness_t *site, int proxy, bool probe, const char *path, GString *body)
+long site_http_get(const site_harness_t *site, int proxy, bool probe, const char *path,
+		   GString *body)
 {
 	CURL *curl = curl_easy_init();
 	char *url = g_strdup_printf("http://127.0.0.1:%d%s",
@@ -156,7 +157,7 @@
 
 	curl_easy_setopt(curl, CURLOPT_URL, url);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, 5000L);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_body);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, body);
 	if (curl_easy_perform(curl) == CURLE_OK)
 		curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
@@ -165,7 +166,7 @@
 	return status;
 }
 
-char *site_log(const site_harness_t *site, int proxy)
+char *site_read_log(const site_harness_t *site, int proxy)
 {
 	char *path = log_path(site, proxy);
 	char *text = NULL;
@@ -201,13 +202,13 @@
 		ssize_t n = send(caller->fd, bytes, len, MSG_NOSIGNAL);
 
 		if (n <= 0)
-			return; /* the other side has closed; receiving shows it */
+			return; /* the proxy has closed; the next receive returns that */
 		bytes += n;
 		len -= (size_t)n;
 	}
 }
 
-/* Length of the buffer up to the end of the first READY line, 0 if it is not there yet. */
+/* Length of the first reply, up to the end of its READY line; 0 if it is incomplete. */
 static size_t reply_length(const site_caller_t *caller)
 {
 	const char *at = caller->buffer;
@@ -225,7 +226,7 @@
 	return 0;
 }
 
-static char *take(site_caller_t *caller, size_t len)
+static char *consume_bytes(site_caller_t *caller, size_t len)
 {
 	char *text = g_strndup(caller->buffer, len);
 
@@ -234,7 +235,7 @@
 	return text;
 }
 
-char *site_receive(site_caller_t *caller)
+char *site_receive_reply(site_caller_t *caller)
 {
 	struct pollfd ready = {.fd = caller->fd, .events = POLLIN};
 
@@ -243,45 +244,48 @@
 		ssize_t n;
 
 		if (len != 0)
-			return take(caller, len);
-		g_assert_cmpint(poll(&ready, 1, RECEIVE_TIMEOUT), ==, 1);
+			return consume_bytes(caller, len);
+		g_assert_cmpint(poll(&ready, 1, RECEIVE_TIMEOUT_MS), ==, 1);
 		n = recv(caller->fd, caller->buffer + caller->len,
 			 sizeof(caller->buffer) - caller->len, 0);
 		if (n <= 0)
-			return take(caller, caller->len);
+			return consume_bytes(caller, caller->len);
 		caller->len += (size_t)n;
 	}
 }
 
-site_caller_t *site_open(const site_harness_t *site, int proxy, const char *database)
+site_caller_t *site_open_session(const site_harness_t *site, int proxy, const char *database)
 {
 	site_caller_t *caller = site_connect(site, proxy);
 	char *line = g_strdup_printf("START %s tester\r\n", database);
 	char *reply;
 
 	site_send(caller, line, strlen(line));
-	reply = site_receive(caller);
+	reply = site_receive_reply(caller);
 	g_assert_cmpstr(reply, ==, "READY I -\r\n");
 	g_free(line);
 	g_free(reply);
 	return caller;
 }
 
-char *site_ask(site_caller_t *caller, const char *text)
+char *site_query(site_caller_t *caller, const char *text)
 {
 	static unsigned next;
 	char *line = g_strdup_printf("QUERY t%u %s\r\n", next++, text);
 
 	site_send(caller, line, strlen(line));
 	g_free(line);
-	return site_receive(caller);
+	return site_receive_reply(caller);
 }
 
-/* A fleet that starts for the first time has no primary on its roster yet. */
-static bool takes_writes(const site_harness_t *site, int proxy)
+/*
+ * A proxy can be ready before writes succeed: the roster of a fleet that starts for the first time
+ * names no primary yet.
+ */
+static bool accepts_writes(const site_harness_t *site, int proxy)
 {
-	site_caller_t *caller = site_open(site, proxy, "jobs");
-	char *reply = site_ask(caller, "WRITE warm up");
+	site_caller_t *caller = site_open_session(site, proxy, "jobs");
+	char *reply = site_query(caller, "WRITE warm up");
 	bool taken = g_str_has_prefix(reply, "DONE");
 
 	g_free(reply);
@@ -289,11 +293,12 @@
 	return taken;
 }
 
-void site_wait_ready(const site_harness_t *site, int proxy)
+void site_wait_until_ready(const site_harness_t *site, int proxy)
 {
-	gint64 end = g_get_monotonic_time() + READY_TIMEOUT * 1000;
+	gint64 end = g_get_monotonic_time() + READY_TIMEOUT_MS * 1000;
 
-	while (site_get(site, proxy, true, "/ready", NULL) != 200 || !takes_writes(site, proxy)) {
+	while (site_http_get(site, proxy, true, "/ready", NULL) != 200 ||
+	       !accepts_writes(site, proxy)) {
 		g_assert_cmpint(g_get_monotonic_time(), <, end);
 		g_usleep(50000);
 	}
--- a/tests/standin_control.c
+++ b/tests/standin_control.c
@@ -10,7 +10,7 @@
 #include "names.h"
 #include "standin_command.h"
 
-/* Longest command: a configuration of a few routes. */
+/* Length of the longest command: a configuration with a few routes. */
 #define LINE_MAX_BYTES 16384
 
 typedef struct command {
@@ -33,8 +33,8 @@
 	(void)events;
 	printf("R\t%" PRIu64 "\t%s\t%s\t%" PRIu64 "\t%" PRIu64 "\t%" PRIu64 ".%" PRIu64
 	       "\t%s\t%s\t%s\t%s\n",
-	       run->at, run->id, run->member, run->tx, run->number, run->log_term, run->log_number,
-	       run->values, run->shape, run->row, run->text);
+	       run->at, run->id, run->member, run->tx_number, run->run_number, run->log_term,
+	       run->log_number, run->values, run->shape, run->row, run->text);
 }
 
 static void on_committed(fake_events_t *events, const fake_member_t *member,
@@ -50,7 +50,7 @@
 	(void)events;
 	printf("P\t%" PRIu64 "\t%s\t%s\t%" PRIu64 "\t%zu\t%" PRIu64 "\n",
 	       clock_now(member->db->clock), member->db->config.service, member->id, member->term,
-	       member->len, member->len != 0 ? member->log[member->len - 1].term : 0);
+	       member->log_len, member->log_len != 0 ? member->log[member->log_len - 1].term : 0);
 }
 
 static const fake_events_ops_t events_ops = {
@@ -59,13 +59,13 @@
 	.promoted = on_promoted,
 };
 
-void control_record_promote(const char *holder, const char *fence, const char *service,
+void control_record_promote(const char *leader, const char *fencing_token, const char *service,
 			    const char *id, bool done)
 {
 	if (controlled == NULL)
 		return;
-	printf("K\t%" PRIu64 "\t%s\t%s\t%s\t%s\t%d\n", clock_now(controlled->loop.clock), holder,
-	       fence, service, id != NULL ? id : "", done);
+	printf("K\t%" PRIu64 "\t%s\t%s\t%s\t%s\t%d\n", clock_now(controlled->loop.clock), leader,
+	       fencing_token, service, id != NULL ? id : "", done);
 }
 
 void control_flush(void)
@@ -84,30 +84,32 @@
 	if (strcmp(word, "down") == 0)
 		site->kv->down = number != 0;
 	else if (strcmp(word, "delay") == 0)
-		site->kv->delay = number * USEC_PER_MSEC;
+		site->kv->answer_delay = number * USEC_PER_MSEC;
 	else if (strcmp(word, "lose") == 0)
-		site->kv->lose_answers = number;
+		site->kv->lose_commit_answers = number;
 	else if (strcmp(word, "lose-keeps") == 0)
-		site->kv->lose_keeps = number;
+		site->kv->lose_lease_keep_answers = number;
 	else if (strcmp(word, "deaf") == 0)
-		site->kv->deaf_watches = number != 0;
+		site->kv->watches_stalled = number != 0;
 	else if (strcmp(word, "compact") == 0)
 		fake_kv_compact(site->kv);
 	else if (strcmp(word, "copy") == 0)
-		fake_kv_copy(site->kv);
+		fake_kv_make_backup(site->kv);
 	else if (strcmp(word, "restore") == 0)
 		site_restore(site);
 }
 
-static void run_cloud(site_t *site, char *rest)
+static void run_promotion(site_t *site, char *rest)
 {
 	if (strcmp(rest, "loses") == 0)
-		site->cloud_state = CLOUD_LOSES;
+		site->promotion_state = PROMOTION_LOSE_REPLIES;
 	else
-		site->cloud_state = strcmp(rest, "refuses") == 0 ? CLOUD_REFUSES : CLOUD_UP;
+		site->promotion_state =
+			strcmp(rest, "refuses") == 0 ? PROMOTION_REFUSE : PROMOTION_NORMAL;
 }
 
-static void change_member(site_t *site, fake_member_t *member, const char *word, unsigned number)
+static void apply_member_command(site_t *site, fake_member_t *member, const char *word,
+				 unsigned number)
 {
 	char id[48];
 
@@ -115,18 +117,18 @@
 		members_crash(site, member);
 	} else if (strcmp(word, "start") == 0) {
 		if (member->stopped)
-			fake_start(member);
+			fake_member_start(member);
 	} else if (strcmp(word, "replace") == 0) {
 		members_crash(site, member);
 		snprintf(id, sizeof(id), "%.32s-n%u%c", member->db->config.service, number,
 			 (char)('a' + (member - member->db->members)));
-		fake_replace(member, id);
+		fake_member_replace(member, id);
 	} else if (strcmp(word, "leave") == 0) {
 		member->leaving = true;
 	} else if (strcmp(word, "slow") == 0) {
-		member->slow = number * USEC_PER_MSEC;
+		member->extra_service_time = number * USEC_PER_MSEC;
 	} else if (strcmp(word, "lag") == 0) {
-		member->lag = number * USEC_PER_MSEC;
+		member->extra_lag = number * USEC_PER_MSEC;
 	} else if (strcmp(word, "lose") == 0) {
 		member->lose_answers = number;
 	} else if (strcmp(word, "reset") == 0) {
@@ -134,11 +136,11 @@
 	} else if (strcmp(word, "grey") == 0) {
 		member->refuse_runs = number;
 	} else if (strcmp(word, "deaf") == 0) {
-		member->deaf = number != 0;
+		member->isolated = number != 0;
 	}
 }
 
-/* "member INDEX WORD [NUMBER]"; an index of 100 and more: the leader of service INDEX - 100. */
+/* "member INDEX WORD [NUMBER]"; an INDEX from 100 on is the primary of service INDEX - 100. */
 static void run_member(site_t *site, char *rest)
 {
 	char word[16] = "";
@@ -147,17 +149,17 @@
 	fake_member_t *member;
 
 	sscanf(rest, "%u %15s %u", &index, word, &number);
-	if (index >= STANDIN_LEADER_OF)
-		member = fake_leader(
-			site->services[(index - STANDIN_LEADER_OF) % site->service_count]);
+	if (index >= STANDIN_PRIMARY_OF)
+		member = fake_db_primary(
+			site->services[(index - STANDIN_PRIMARY_OF) % site->service_count]);
 	else
 		member = site->listeners[index % (site->service_count * SITE_MEMBERS)].member;
 	if (member != NULL)
-		change_member(site, member, word, number);
+		apply_member_command(site, member, word, number);
 }
 
-/* "leavers SERVICE WORD NUMBER": each member of the service that is leaving. */
-static void run_leavers(site_t *site, char *rest)
+/* "leavers SERVICE WORD NUMBER": applies WORD to each member of the service that is leaving. */
+static void run_leaving_members(site_t *site, char *rest)
 {
 	char word[16] = "";
 	unsigned service = 0;
@@ -168,7 +170,7 @@
 	db = site->services[service % site->service_count];
 	for (size_t i = 0; i < db->config.members; i++) {
 		if (db->members[i].leaving)
-			change_member(site, &db->members[i], word, number);
+			apply_member_command(site, &db->members[i], word, number);
 	}
 }
 
@@ -177,6 +179,7 @@
 	fake_kv_put(site->kv, KEY_CONFIG, rest);
 }
 
+/* "sync TEXT": marks a point in the record and flushes it. */
 static void run_sync(site_t *site, char *rest)
 {
 	printf("S\t%" PRIu64 "\t%s\n", clock_now(site->loop.clock), rest);
@@ -184,11 +187,12 @@
 }
 
 static const command_t commands[] = {
-	{"store ", run_store},	   {"cloud ", run_cloud},   {"member ", run_member},
-	{"leavers ", run_leavers}, {"config ", run_config}, {"sync ", run_sync},
+	{"store ", run_store},	 {"cloud ", run_promotion},
+	{"member ", run_member}, {"leavers ", run_leaving_members},
+	{"config ", run_config}, {"sync ", run_sync},
 };
 
-static void run_line(char *line)
+static void run_command(char *line)
 {
 	for (size_t i = 0; i < sizeof(commands) / sizeof(commands[0]); i++) {
 		size_t len = strlen(commands[i].name);
@@ -200,12 +204,12 @@
 
 /* --- standard input --- */
 
-static void on_control(loop_watch_t *watch)
+static void on_command_input(loop_watch_t *watch)
 {
 	ssize_t n = read(STDIN_FILENO, input.line + input.len, sizeof(input.line) - input.len - 1);
 	char *lf;
 
-	/* Who gives the commands is gone, or has sent a line longer than the buffer. */
+	/* End of input, or a line that does not fit in the buffer: the stand-in stops. */
 	if (n <= 0) {
 		loop_watch_stop(watch);
 		loop_stop(&controlled->loop);
@@ -215,7 +219,7 @@
 	input.line[input.len] = '\0';
 	while ((lf = strchr(input.line, '\n')) != NULL) {
 		*lf = '\0';
-		run_line(input.line);
+		run_command(input.line);
 		input.len -= (size_t)(lf + 1 - input.line);
 		memmove(input.line, lf + 1, input.len + 1);
 	}
@@ -227,5 +231,5 @@
 	site->events.ops = &events_ops;
 	for (size_t i = 0; i < site->service_count; i++)
 		site->services[i]->events = &site->events;
-	return loop_watch_start(&site->loop, &site->control, STDIN_FILENO, on_control);
+	return loop_watch_start(&site->loop, &site->control, STDIN_FILENO, on_command_input);
 }
--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -24,11 +24,11 @@
 	.members = 3,
 	.slots = 2,
 	.max_connections = 8,
-	.work = 4 * MSEC,
-	.receive = 2 * MSEC,
+	.service_time = 4 * MSEC,
+	.receive_delay = 2 * MSEC,
 	.lag = 20 * MSEC,
-	.promote = 1000 * MSEC,
-	.open = 12 * MSEC,
+	.promote_delay = 1000 * MSEC,
+	.connect_time = 12 * MSEC,
 };
 
 static usec_t current_time(const pool_world_t *world)
@@ -38,10 +38,10 @@
 
 static pool_world_t *start_fleet(size_t nodes, const fake_db_config_t *config)
 {
-	pool_world_t *world =
-		world_create_keyed(nodes, config, two_customers, G_N_ELEMENTS(two_customers));
+	pool_world_t *world = world_create_with_customers(nodes, config, two_customers,
+							  G_N_ELEMENTS(two_customers));
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	return world;
 }
 
@@ -52,32 +52,32 @@
 
 	for (size_t i = db->run_count; i > 0; i--) {
 		if (strcmp(db->runs[i - 1].id, id) == 0)
-			return db->runs[i - 1].who;
+			return db->runs[i - 1].customer;
 	}
 	return NULL;
 }
 
 static void expect_run(world_caller_t *caller, const char *text, const char *customer)
 {
-	const char *reply = world_ask(caller, text);
+	const char *reply = world_send_and_wait(caller, text);
 
 	g_assert_false(g_str_has_prefix(reply, "ERR"));
-	g_assert_cmpstr(customer_of_run(caller->at->world, caller->id), ==, customer);
+	g_assert_cmpstr(customer_of_run(caller->proxy->world, caller->id), ==, customer);
 }
 
 static void expect_refused(world_caller_t *caller, const char *text, const char *error)
 {
-	const char *reply = world_ask(caller, text);
+	const char *reply = world_send_and_wait(caller, text);
 
 	if (!g_str_has_prefix(reply, error))
 		g_error("%s: %s, expected %s", text, reply, error);
-	g_assert_null(customer_of_run(caller->at->world, caller->id));
+	g_assert_null(customer_of_run(caller->proxy->world, caller->id));
 }
 
 static void publish_new_version(pool_world_t *world)
 {
 	world->config_version++;
-	world_publish(world);
+	world_publish_directory(world);
 }
 
 /* --- the customer of a statement --- */
@@ -92,18 +92,18 @@
 	pool_world_t *world = start_fleet(nodes, config);
 
 	for (size_t i = 0; i < nodes; i++) {
-		world_caller_t *ada = world_open_key(world, i, "session", "key-ada");
-		world_caller_t *ben = world_open_key(world, i, "strict", "key-ben");
-		world_caller_t *keyless = world_open_key(world, i, "open", "");
+		world_caller_t *ada = world_open_session_with_key(world, i, "session", "key-ada");
+		world_caller_t *ben = world_open_session_with_key(world, i, "strict", "key-ben");
+		world_caller_t *keyless = world_open_session_with_key(world, i, "open", "");
 
 		expect_run(ada, "READ a", "ada");
 		expect_run(ben, "WRITE a 1", "ben");
-		world_ask(ada, "BEGIN");
+		world_send_and_wait(ada, "BEGIN");
 		expect_run(ada, "WRITE a 2", "ada");
 		expect_run(keyless, "READ a", "public");
 		expect_run(ben, "READ a", "ben");
 		expect_run(ada, "COMMIT", "ada");
-		world_ask(ben, "PREPARE p READ shape");
+		world_send_and_wait(ben, "PREPARE p READ shape");
 		expect_run(ben, "EXEC p a", "ben");
 	}
 	world_destroy(world);
@@ -130,20 +130,20 @@
 		.members = 1,
 		.slots = 2,
 		.max_connections = 2,
-		.work = 4 * MSEC,
-		.receive = 2 * MSEC,
+		.service_time = 4 * MSEC,
+		.receive_delay = 2 * MSEC,
 		.lag = 20 * MSEC,
-		.promote = 1000 * MSEC,
-		.open = 12 * MSEC,
+		.promote_delay = 1000 * MSEC,
+		.connect_time = 12 * MSEC,
 	};
 	pool_world_t *world = start_fleet(1, &one_member);
 	world_caller_t *flooding[6];
-	world_caller_t *ben = world_open_key(world, 0, "strict", "key-ben");
-	size_t replies = ben->replies;
+	world_caller_t *ben = world_open_session_with_key(world, 0, "strict", "key-ben");
+	size_t replies = ben->reply_count;
 	usec_t began;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(flooding); i++)
-		flooding[i] = world_open_key(world, 0, "strict", "key-ada");
+		flooding[i] = world_open_session_with_key(world, 0, "strict", "key-ada");
 	for (int step = 0; step < 500; step++) {
 		for (size_t i = 0; i < G_N_ELEMENTS(flooding); i++) {
 			if (!caller_is_busy(flooding[i]->caller))
@@ -154,10 +154,10 @@
 			world_send(ben, "READ a");
 		}
 		world_run(world, MSEC);
-		if (ben->replies != replies)
+		if (ben->reply_count != replies)
 			break;
 	}
-	g_assert_cmpuint(ben->replies, ==, replies + 1);
+	g_assert_cmpuint(ben->reply_count, ==, replies + 1);
 	g_assert_cmpstr(customer_of_run(world, ben->id), ==, "ben");
 	g_assert_cmpuint(current_time(world) - began, <, 150 * MSEC);
 	world_destroy(world);
@@ -169,11 +169,13 @@
 {
 	pool_world_t *world = start_fleet(2, NULL);
 
-	g_assert_cmpint(world_open_key(world, 0, "strict", "key-eve")->refused, ==, CODE_NO_AUTH);
-	g_assert_cmpint(world_open_key(world, 0, "strict", "")->refused, ==, CODE_NO_AUTH);
-	g_assert_cmpint(world_open_key(world, 0, "nowhere", "key-ada")->refused, ==,
-			CODE_NO_DATABASE);
-	g_assert_nonnull(world_open_key(world, 0, "open", "key-eve")->caller);
+	g_assert_cmpint(world_open_session_with_key(world, 0, "strict", "key-eve")->refusal_code,
+			==, CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 0, "strict", "")->refusal_code, ==,
+			CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 0, "nowhere", "key-ada")->refusal_code,
+			==, CODE_NO_DATABASE);
+	g_assert_nonnull(world_open_session_with_key(world, 0, "open", "key-eve")->caller);
 	world_destroy(world);
 }
 
@@ -184,26 +186,27 @@
 static void test_key_revoked(void)
 {
 	pool_world_t *world = start_fleet(2, NULL);
-	world_caller_t *single = world_open_key(world, 0, "strict", "key-ada");
-	world_caller_t *in_transaction = world_open_key(world, 0, "strict", "key-ada");
-	world_caller_t *other = world_open_key(world, 0, "strict", "key-ben");
+	world_caller_t *single = world_open_session_with_key(world, 0, "strict", "key-ada");
+	world_caller_t *in_transaction = world_open_session_with_key(world, 0, "strict", "key-ada");
+	world_caller_t *other = world_open_session_with_key(world, 0, "strict", "key-ben");
 
 	expect_run(single, "WRITE a 1", "ada");
-	world_ask(in_transaction, "BEGIN");
+	world_send_and_wait(in_transaction, "BEGIN");
 	expect_run(in_transaction, "WRITE a 2", "ada");
 	world->customers[0].key[0] = '\0';
 	publish_new_version(world);
 	world_run(world, 10 * MSEC);
-	g_assert_false(world_in_transaction(world));
+	g_assert_false(world_has_transaction(world));
 	expect_refused(in_transaction, "WRITE a 3", "ERR ABORTED");
 	expect_refused(single, "READ a", "ERR NOAUTH");
 	expect_run(other, "READ a", "ben");
-	g_assert_cmpstr(fake_value(fake_leader(world->db), "a"), ==, "1");
+	g_assert_cmpstr(fake_member_last_value(fake_db_primary(world->db), "a"), ==, "1");
 	/* The sessions of the revoked key are closed. */
 	world_run(world, SEC);
 	g_assert_null(single->caller);
 	g_assert_nonnull(other->caller);
-	g_assert_cmpint(world_open_key(world, 1, "strict", "key-ada")->refused, ==, CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 1, "strict", "key-ada")->refusal_code,
+			==, CODE_NO_AUTH);
 	world_destroy(world);
 }
 
@@ -214,9 +217,9 @@
 static void test_key_revoked_while_busy(void)
 {
 	pool_world_t *world = start_fleet(2, NULL);
-	world_caller_t *caller = world_open_key(world, 0, "strict", "key-ada");
+	world_caller_t *caller = world_open_session_with_key(world, 0, "strict", "key-ada");
 
-	world_ask(caller, "BEGIN");
+	world_send_and_wait(caller, "BEGIN");
 	world_send(caller, "WRITE a 1");
 	world_run(world, MSEC);
 	world->customers[0].key[0] = '\0';
@@ -224,7 +227,7 @@
 	world_run(world, 50 * MSEC);
 	g_assert_true(g_str_has_prefix(caller->reply, "DONE"));
 	expect_refused(caller, "COMMIT", "ERR ABORTED");
-	g_assert_null(fake_value(fake_leader(world->db), "a"));
+	g_assert_null(fake_member_last_value(fake_db_primary(world->db), "a"));
 	world_destroy(world);
 }
 
@@ -236,11 +239,11 @@
 static void test_key_reassigned(void)
 {
 	pool_world_t *world = start_fleet(2, NULL);
-	world_caller_t *single = world_open_key(world, 0, "strict", "key-ada");
-	world_caller_t *in_transaction = world_open_key(world, 0, "strict", "key-ada");
+	world_caller_t *single = world_open_session_with_key(world, 0, "strict", "key-ada");
+	world_caller_t *in_transaction = world_open_session_with_key(world, 0, "strict", "key-ada");
 
 	expect_run(single, "READ a", "ada");
-	world_ask(in_transaction, "BEGIN");
+	world_send_and_wait(in_transaction, "BEGIN");
 	expect_run(in_transaction, "WRITE a 1", "ada");
 	snprintf(world->customers[0].key, WORLD_KEY_MAX, "key-new");
 	snprintf(world->customers[1].key, WORLD_KEY_MAX, "key-ada");
@@ -254,7 +257,7 @@
 
 static void set_cut_off(pool_world_t *world, size_t node, bool cut)
 {
-	world->nodes[node].kv.cut = cut;
+	world->nodes[node].kv.unreachable = cut;
 	world->nodes[node].cut_from_peers = cut;
 }
 
@@ -266,14 +269,14 @@
 static void test_cut_off_proxy_expires(void)
 {
 	pool_world_t *world = start_fleet(3, NULL);
-	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
+	world_caller_t *caller = world_open_session_with_key(world, 2, "bounded", "key-ada");
 	usec_t cut_at = current_time(world);
 
 	set_cut_off(world, 2, true);
 	while (current_time(world) < cut_at + 8 * SEC) {
-		const char *reply = world_ask(caller, "READ a");
+		const char *reply = world_send_and_wait(caller, "READ a");
 
-		if (current_time(world) > cut_at + WORLD_REVOKE)
+		if (current_time(world) > cut_at + WORLD_REVOKE_BOUND)
 			g_assert_true(g_str_has_prefix(reply, "ERR"));
 		else if (current_time(world) < cut_at + SEC)
 			g_assert_false(g_str_has_prefix(reply, "ERR"));
@@ -283,10 +286,11 @@
 	g_assert_false(pooler_is_ready(world->nodes[2].pooler));
 	world_run(world, SEC);
 	g_assert_null(caller->caller);
-	g_assert_cmpint(world_open_key(world, 2, "bounded", "key-ada")->refused, ==, CODE_BUSY);
+	g_assert_cmpint(world_open_session_with_key(world, 2, "bounded", "key-ada")->refusal_code,
+			==, CODE_BUSY);
 	set_cut_off(world, 2, false);
 	world_run(world, 3 * SEC);
-	expect_run(world_open_key(world, 2, "bounded", "key-ada"), "READ a", "ada");
+	expect_run(world_open_session_with_key(world, 2, "bounded", "key-ada"), "READ a", "ada");
 	world_destroy(world);
 }
 
@@ -299,7 +303,7 @@
 static void test_frozen_proxy_expires(void)
 {
 	pool_world_t *world = start_fleet(3, NULL);
-	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
+	world_caller_t *caller = world_open_session_with_key(world, 2, "bounded", "key-ada");
 
 	expect_run(caller, "READ a", "ada");
 	world_freeze(world, 2);
@@ -321,10 +325,10 @@
 static void test_confirmed_by_peers(void)
 {
 	pool_world_t *world = start_fleet(3, NULL);
-	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
+	world_caller_t *caller = world_open_session_with_key(world, 2, "bounded", "key-ada");
 	usec_t end = current_time(world) + 12 * SEC;
 
-	world->nodes[2].kv.cut = true;
+	world->nodes[2].kv.unreachable = true;
 	while (current_time(world) < end) {
 		expect_run(caller, "READ a", "ada");
 		world_run(world, 100 * MSEC);
@@ -340,15 +344,15 @@
 static void test_confirmed_by_nobody(void)
 {
 	pool_world_t *world = start_fleet(3, NULL);
-	world_caller_t *caller = world_open_key(world, 2, "bounded", "key-ada");
+	world_caller_t *caller = world_open_session_with_key(world, 2, "bounded", "key-ada");
 	usec_t cut_at = current_time(world);
 
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = true;
+		world->nodes[i].kv.unreachable = true;
 	while (current_time(world) < cut_at + 8 * SEC) {
-		bool served = !g_str_has_prefix(world_ask(caller, "READ a"), "ERR");
+		bool served = !g_str_has_prefix(world_send_and_wait(caller, "READ a"), "ERR");
 
-		g_assert_false(served && current_time(world) > cut_at + WORLD_REVOKE);
+		g_assert_false(served && current_time(world) > cut_at + WORLD_REVOKE_BOUND);
 		g_assert_true(served || current_time(world) > cut_at + 4 * SEC);
 		world_run(world, 100 * MSEC);
 	}
@@ -380,7 +384,7 @@
 
 		for (size_t j = i; j < db->run_count && db->runs[j].at < db->runs[i].at + WINDOW;
 		     j++)
-			count += strcmp(db->runs[j].who, customer) == 0;
+			count += strcmp(db->runs[j].customer, customer) == 0;
 		if (count > max)
 			max = count;
 	}
@@ -399,7 +403,7 @@
 {
 	for (size_t i = 0; i < world->node_count * each; i++)
 		flood->callers[flood->count++] =
-			world_open_key(world, i % world->node_count, "bounded", key);
+			world_open_session_with_key(world, i % world->node_count, "bounded", key);
 }
 
 /* Each idle caller sends another statement with a probability of 1/pause per millisecond. */
@@ -432,9 +436,10 @@
 
 static pool_world_t *start_limited(size_t nodes)
 {
-	pool_world_t *world = world_create_keyed(nodes, NULL, limited, G_N_ELEMENTS(limited));
+	pool_world_t *world =
+		world_create_with_customers(nodes, NULL, limited, G_N_ELEMENTS(limited));
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	return world;
 }
 
@@ -494,10 +499,10 @@
 	open_flood(world, &flood, "key-ada", 3);
 	run_flood(world, &flood, rand, 50, 2 * SEC);
 	for (size_t i = 0; i < 3; i++)
-		world->nodes[i].island = 1;
+		world->nodes[i].partition = 1;
 	run_flood(world, &flood, rand, 50, 8 * SEC);
 	for (size_t i = 0; i < 3; i++)
-		world->nodes[i].island = 0;
+		world->nodes[i].partition = 0;
 	run_flood(world, &flood, rand, 50, 8 * SEC);
 	g_assert_cmpuint(max_runs_in_window(world, "ada"), <=, (size_t)WINDOW_MAX_RUNS);
 	g_assert_cmpuint(flood.served, >=, 10 * LIMIT_RATE);
@@ -521,7 +526,7 @@
 		world_kill(world, i);
 	run_flood(world, &flood, rand, 50, SEC);
 	for (size_t i = 1; i < 6; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 500 * MSEC);
 	flood = (flood_t){0};
 	open_flood(world, &flood, "key-ada", 3);
@@ -537,13 +542,13 @@
 {
 	pool_world_t *world = start_limited(3);
 	GRand *rand = g_rand_new_with_seed(5);
-	world_caller_t *in_transaction = world_open_key(world, 0, "strict", "key-ada");
+	world_caller_t *in_transaction = world_open_session_with_key(world, 0, "strict", "key-ada");
 	flood_t flood = {0};
 	size_t served;
 
 	open_flood(world, &flood, "key-ada", 3);
 	run_flood(world, &flood, rand, 50, SEC);
-	while (!g_str_has_prefix(world_ask(in_transaction, "BEGIN"), "DONE"))
+	while (!g_str_has_prefix(world_send_and_wait(in_transaction, "BEGIN"), "DONE"))
 		world_run(world, 20 * MSEC);
 	world->customers[0].rate = 2;
 	world->customers[0].burst = 2;
--- a/tests/test_pooler_config.c
+++ b/tests/test_pooler_config.c
@@ -15,7 +15,7 @@
 #include "state.h"
 #include "upstream.h"
 
-/* The bounds that world_start() sets. */
+/* The bounds that world_start_proxy() sets. */
 #define CONFIG_BOUND  (3 * SEC)
 #define LEAVING_BOUND (7 * SEC)
 /* This fleet has two hubs in each of three zones. */
@@ -26,9 +26,9 @@
 
 static pool_world_t *start(size_t bytes)
 {
-	pool_world_t *world = world_create_following(FLEET, NULL, 0, bytes);
+	pool_world_t *world = world_create_with_store_config(FLEET, NULL, 0, bytes);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	return world;
 }
 
@@ -44,7 +44,7 @@
 static void refuse_zone(pool_world_t *world, bool away)
 {
 	for (size_t i = 0; i < world->node_count; i += 3)
-		world->nodes[i].kv.refused = away;
+		world->nodes[i].kv.calls_refused = away;
 }
 
 /* True if all proxies that are reachable for others have the newest configuration in force. */
@@ -54,7 +54,7 @@
 		const world_node_t *node = &world->nodes[i];
 
 		if (!node->cut_from_peers && !node->frozen &&
-		    world_version_at(world, i) < world->config_version)
+		    world_config_version_at(world, i) < world->config_version)
 			return false;
 	}
 	return true;
@@ -69,7 +69,7 @@
 		world_run(world, 10 * MSEC);
 	}
 	for (size_t i = 0; i < world->node_count; i++)
-		g_test_message("p%zu: version %d of %d", i, (int)world_version_at(world, i),
+		g_test_message("p%zu: version %d of %d", i, (int)world_config_version_at(world, i),
 			       (int)world->config_version);
 	g_error("the configuration is not in force everywhere");
 }
@@ -128,7 +128,7 @@
 static size_t find_ordinary_proxy(const pool_world_t *world)
 {
 	for (size_t i = 0; i < world->node_count; i++) {
-		if (!is_hub(world, i) && !holds_duty(world, i))
+		if (!is_hub(world, i) && !is_leader(world, i))
 			return i;
 	}
 	g_assert_not_reached();
@@ -150,7 +150,7 @@
 	world_run(world, CONFIG_BOUND / 2);
 	world->kv->down = true;
 	for (size_t i = 0; i < FLEET; i++) {
-		if (is_hub(world, i) || holds_duty(world, i))
+		if (is_hub(world, i) || is_leader(world, i))
 			world_freeze(world, i);
 	}
 	world_thaw(world, plain);
@@ -169,14 +169,14 @@
 		size_t plain = find_ordinary_proxy(world);
 
 		world->nodes[plain].cut_from_peers = true;
-		world->nodes[plain].kv.refused = true;
+		world->nodes[plain].kv.calls_refused = true;
 		world_run(world, refused);
 		world_write_config(world);
 		/* The history is dropped, so that the watch does not bring the change. */
 		fake_kv_compact(world->kv);
-		world->nodes[plain].kv.refused = false;
+		world->nodes[plain].kv.calls_refused = false;
 		world_run(world, CONFIG_BOUND);
-		g_assert_cmpint(world_version_at(world, plain), ==, world->config_version);
+		g_assert_cmpint(world_config_version_at(world, plain), ==, world->config_version);
 		world_destroy(world);
 	}
 }
@@ -191,14 +191,14 @@
 		size_t plain = find_ordinary_proxy(world);
 
 		world_kill(world, plain);
-		world->nodes[plain].kv.refused = true;
+		world->nodes[plain].kv.calls_refused = true;
 		/* Run until its hub no longer sends changes to the previous process. */
 		world_run(world, 2 * UPSTREAM_DOWNSTREAM_TIMEOUT);
-		world_start(world, plain);
+		world_start_proxy(world, plain);
 		world_write_config(world);
 		expect_in_force(world, CONFIG_BOUND);
 		world_run(world, CONFIG_BOUND);
-		g_assert_cmpuint(world_permitted(world, "core-0"), ==, FLEET);
+		g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, FLEET);
 		world_destroy(world);
 	}
 }
@@ -210,7 +210,7 @@
 {
 	pool_world_t *world = start(SMALL);
 	size_t plain = find_ordinary_proxy(world);
-	size_t leader = find_holder(world);
+	size_t leader = find_leader(world);
 	const pooler_t *pooler;
 	const kv_item_t item = {.key = "op/config", .value = "1 ", .len = 2, .revision = 1};
 	const follow_changes_t changes = {.as_of = 1, .items = &item, .count = 1};
@@ -230,9 +230,9 @@
 
 	world_kill(world, plain);
 	world_run(world, 1 * SEC);
-	world->nodes[plain].kv.cut = true;
+	world->nodes[plain].kv.unreachable = true;
 	world->nodes[plain].cut_from_peers = true;
-	world_start(world, plain);
+	world_start_proxy(world, plain);
 	pooler = world->nodes[plain].pooler;
 	exchange_on_message(world->nodes[plain].pooler, &state);
 	g_assert_cmpuint(pooler->sync.directory_as_of, ==, 0);
@@ -250,8 +250,8 @@
 		pool_world_t *world = start(LARGE);
 
 		for (size_t i = 0; i < FLEET; i++) {
-			world->nodes[i].island = i % 2;
-			world->nodes[i].kv.refused = i % 6 < 2;
+			world->nodes[i].partition = i % 2;
+			world->nodes[i].kv.calls_refused = i % 6 < 2;
 		}
 		world_run(world, before);
 		world_write_config(world);
@@ -287,18 +287,20 @@
 	pool_world_t *world = start(SMALL);
 	world_node_t *node = &world->nodes[3];
 
-	g_assert_cmpint(world_open_database(world, 3, WORLD_ADDED)->refused, ==, CODE_NO_DATABASE);
-	node->kv.cut = true;
+	g_assert_cmpint(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->refusal_code, ==,
+			CODE_NO_DATABASE);
+	node->kv.unreachable = true;
 	node->cut_from_peers = true;
-	world->added_by = world->config_version + 1;
+	world->added_in_version = world->config_version + 1;
 	world_write_config(world);
 	world_run(world, CONFIG_BOUND);
-	g_assert_cmpint(world_version_at(world, 3), <, world->config_version);
-	g_assert_cmpint(world_open_database(world, 3, WORLD_ADDED)->refused, ==, CODE_BUSY);
-	node->kv.cut = false;
+	g_assert_cmpint(world_config_version_at(world, 3), <, world->config_version);
+	g_assert_cmpint(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->refusal_code, ==,
+			CODE_BUSY);
+	node->kv.unreachable = false;
 	node->cut_from_peers = false;
 	world_run(world, CONFIG_BOUND);
-	g_assert_nonnull(world_open_database(world, 3, WORLD_ADDED)->caller);
+	g_assert_nonnull(world_open_session_on(world, 3, WORLD_ADDED_DATABASE)->caller);
 	world_destroy(world);
 }
 
@@ -309,17 +311,20 @@
 static void test_unknown_key_while_behind(void)
 {
 	static const world_customer_t one[] = {{.name = "ada"}};
-	pool_world_t *world = world_create_following(FLEET, one, G_N_ELEMENTS(one), SMALL);
+	pool_world_t *world = world_create_with_store_config(FLEET, one, G_N_ELEMENTS(one), SMALL);
 	pooler_t *pooler;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	pooler = world->nodes[3].pooler;
-	g_assert_cmpint(world_open_key(world, 3, "strict", "key-ben")->refused, ==, CODE_NO_AUTH);
+	g_assert_cmpint(world_open_session_with_key(world, 3, "strict", "key-ben")->refusal_code,
+			==, CODE_NO_AUTH);
 	/* Any message of a proxy with the newer configuration reports its version. */
 	pooler->newest_config_version = world->config_version + 1;
-	g_assert_cmpint(world_open_key(world, 3, "strict", "key-ben")->refused, ==, CODE_BUSY);
-	g_assert_cmpint(world_open_key(world, 3, "nowhere", "key-ada")->refused, ==, CODE_BUSY);
-	g_assert_nonnull(world_open_key(world, 3, "strict", "key-ada")->caller);
+	g_assert_cmpint(world_open_session_with_key(world, 3, "strict", "key-ben")->refusal_code,
+			==, CODE_BUSY);
+	g_assert_cmpint(world_open_session_with_key(world, 3, "nowhere", "key-ada")->refusal_code,
+			==, CODE_BUSY);
+	g_assert_nonnull(world_open_session_with_key(world, 3, "strict", "key-ada")->caller);
 	world_destroy(world);
 }
 
@@ -355,7 +360,7 @@
 static void expect_sent_if_not_read(pool_world_t *world, int64_t known, packed_t packed,
 				    usec_t later)
 {
-	size_t leader = find_holder(world);
+	size_t leader = find_leader(world);
 	void *parent = talloc_new(NULL);
 	peer_message_t state;
 
@@ -373,7 +378,7 @@
 static void test_config_sent_if_not_read(void)
 {
 	pool_world_t *world = start(LARGE);
-	int64_t known = world->nodes[find_holder(world)].config.as_of;
+	int64_t known = world->nodes[find_leader(world)].config.as_of;
 
 	world_write_config(world);
 	world_run(world, 100 * MSEC);
@@ -385,7 +390,7 @@
 static void test_members_sent_if_not_read(void)
 {
 	pool_world_t *world = start(SMALL);
-	world_node_t *leader = &world->nodes[find_holder(world)];
+	world_node_t *leader = &world->nodes[find_leader(world)];
 	int64_t known = leader->members.as_of;
 
 	/* The link is so slow that the whole list does not fit its share. */
@@ -400,12 +405,12 @@
 static void test_age_of_unread_members(void)
 {
 	pool_world_t *world = start(SMALL);
-	size_t leader = find_holder(world);
+	size_t leader = find_leader(world);
 	void *parent = talloc_new(NULL);
 	peer_message_t state;
 
 	for (size_t i = 0; i < FLEET; i++)
-		world->nodes[i].kv.cut_prefix = world->nodes[i].members.prefix;
+		world->nodes[i].kv.unanswered_prefix = world->nodes[i].members.prefix;
 	follow_refresh(&world->nodes[leader].members);
 	world_run(world, 600 * MSEC);
 	g_assert_true(world->nodes[leader].pooler->sync.leading);
@@ -422,14 +427,14 @@
 static void test_age_of_unread_config(void)
 {
 	pool_world_t *world = start(SMALL);
-	size_t leader = find_holder(world);
+	size_t leader = find_leader(world);
 	void *parent = talloc_new(NULL);
 	peer_message_t state;
 
 	make_state(world, leader, "new", 1, &state, parent);
 	g_assert_cmpuint(state.directory_age, ==, 0);
 	for (size_t i = 0; i < FLEET; i++)
-		world->nodes[i].kv.cut = true;
+		world->nodes[i].kv.unreachable = true;
 	follow_refresh(&world->nodes[leader].config);
 	world_run(world, 600 * MSEC);
 	g_assert_true(world->nodes[leader].pooler->sync.leading);
@@ -495,7 +500,7 @@
 	if (node->frozen)
 		world_thaw(run->world, i);
 	if (node->pooler == NULL)
-		world_start(run->world, i);
+		world_start_proxy(run->world, i);
 }
 
 /* The store drops the changes that deaf watches have missed from its history. */
@@ -507,9 +512,9 @@
 		return;
 	run->store_back = 0;
 	store->down = false;
-	if (store->deaf_watches)
+	if (store->watches_stalled)
 		fake_kv_compact(store);
-	store->deaf_watches = false;
+	store->watches_stalled = false;
 }
 
 static void end_faults(run_t *run, usec_t now)
@@ -520,8 +525,8 @@
 		end_disturbance(run, i, now);
 		if (now < run->served[i])
 			continue;
-		kv->refused = false;
-		kv->cut = false;
+		kv->calls_refused = false;
+		kv->unreachable = false;
 	}
 	end_store_fault(run, now);
 }
@@ -561,8 +566,8 @@
 		if (g_rand_double(run->rand) > part || now < run->served[i])
 			continue;
 		run->served[i] = until;
-		kv->refused = !silent;
-		kv->cut = silent;
+		kv->calls_refused = !silent;
+		kv->unreachable = silent;
 	}
 }
 
@@ -575,7 +580,7 @@
 	run->store_back = now + random_time(run, deaf ? 1 * SEC : FAULT_TIME_MAX);
 	if (!deaf)
 		run->store_disturbed = run->store_back + run->data->bound;
-	run->world->kv->deaf_watches = deaf;
+	run->world->kv->watches_stalled = deaf;
 	run->world->kv->down = !deaf;
 }
 
@@ -587,7 +592,7 @@
 static void disturb_leader(run_t *run, usec_t now)
 {
 	for (size_t i = 0; i < run->world->node_count; i++) {
-		if (run->world->nodes[i].pooler != NULL && holds_duty(run->world, i))
+		if (run->world->nodes[i].pooler != NULL && is_leader(run->world, i))
 			disturb(run, i, random_disturbance(run), now);
 	}
 }
@@ -671,9 +676,9 @@
 	run_t run = {.data = data, .rand = g_rand_new_with_seed(seed)};
 	usec_t end;
 
-	run.world = world_create_following(seed % 4 == 0 ? 6 : FLEET, NULL, 0,
-					   seed % 2 == 0 ? SMALL : LARGE);
-	world_settle(run.world);
+	run.world = world_create_with_store_config(seed % 4 == 0 ? 6 : FLEET, NULL, 0,
+						   seed % 2 == 0 ? SMALL : LARGE);
+	world_wait_until_ready(run.world);
 	end = clock_now(&run.world->clock.base) + 40 * SEC;
 	for (;;) {
 		usec_t now = clock_now(&run.world->clock.base);
@@ -724,7 +729,7 @@
 		.bound = CONFIG_BOUND,
 		.write = world_write_config,
 		.newest = newest_config,
-		.known = world_version_at,
+		.known = world_config_version_at,
 	};
 
 	run_seeds(&config);
--- a/tests/test_pooler_faults.c
+++ b/tests/test_pooler_faults.c
@@ -113,7 +113,7 @@
 	return at > 100 * SEC ? (double)(at - 100 * SEC) / 1e6 : 0;
 }
 
-static const fake_run_t *last_run(const play_t *play, const char *id)
+static const fake_run_t *find_last_run(const play_t *play, const char *id)
 {
 	const fake_db_t *db = play->world->db;
 
@@ -146,7 +146,7 @@
 			"%.3f, store cut %d, peers cut %d, frozen %d, holding %d, holder %s fence %lu, registered %d registering %d reading %d\n",
 			i, (long)pooler->sync.roster->revision, group->primary, group->changing,
 			to_seconds(pooler->sync.confirmed_at),
-			to_seconds(permit_expires_at(pooler)), play->world->nodes[i].kv.cut,
+			to_seconds(permit_expires_at(pooler)), play->world->nodes[i].kv.unreachable,
 			play->world->nodes[i].cut_from_peers, play->world->nodes[i].frozen,
 			pooler->sync.leading,
 			pooler->sync.leader != NULL ? pooler->sync.leader : "none",
@@ -156,15 +156,16 @@
 	for (size_t i = 0; i < play->world->promote_count; i++) {
 		const promote_call_t *call = &play->world->promotes[i];
 
-		fprintf(stderr, "promote at %.3f: %s by %s fence %lu\n", to_seconds(call->at),
-			call->member, call->holder, (unsigned long)call->fence);
+		fprintf(stderr, "promote at %.3f: %s by %s fence %lu\n",
+			to_seconds(call->called_at), call->member, call->leader,
+			(unsigned long)call->fencing_token);
 	}
 	for (size_t i = 0; i < 3; i++) {
 		const fake_member_t *member = &play->world->db->members[i];
 
 		fprintf(stderr, "%s: primary %d, term %lu, entries %zu, stopped %d, deaf %d\n",
-			member->id, member->primary, (unsigned long)member->term, member->len,
-			member->stopped, member->deaf);
+			member->id, member->primary, (unsigned long)member->term, member->log_len,
+			member->stopped, member->isolated);
 	}
 }
 
@@ -172,7 +173,7 @@
 
 static ssize_t index_in_log(const fake_member_t *member, const char *id)
 {
-	for (size_t i = 0; i < member->len; i++) {
+	for (size_t i = 0; i < member->log_len; i++) {
 		if (strcmp(member->log[i].id, id) == 0)
 			return (ssize_t)i;
 	}
@@ -181,7 +182,7 @@
 
 static void check_acknowledged(play_t *play, write_record_t *write)
 {
-	const fake_member_t *leader = fake_leader(play->world->db);
+	const fake_member_t *leader = fake_db_primary(play->world->db);
 
 	write->fate = FATE_ACKNOWLEDGED;
 	write->acked_at = now_of_play(play);
@@ -217,7 +218,7 @@
 	char item[16];
 
 	snprintf(item, sizeof(item), "i%d", client->item);
-	for (size_t i = leader->len; i > 0; i--) {
+	for (size_t i = leader->log_len; i > 0; i--) {
 		const fake_entry_t *entry = &leader->log[i - 1];
 		const write_record_t *write;
 
@@ -232,7 +233,7 @@
 
 static void check_read(play_t *play, const client_t *client, const char *reply)
 {
-	const fake_member_t *leader = fake_leader(play->world->db);
+	const fake_member_t *leader = fake_db_primary(play->world->db);
 	char data[32] = "";
 	const write_record_t *shown;
 	ssize_t index;
@@ -246,7 +247,7 @@
 		return;
 	required = required_index(play, client, leader);
 	if (index < required) {
-		const fake_run_t *run = last_run(play, client->caller->id);
+		const fake_run_t *run = find_last_run(play, client->caller->id);
 		char detail[400];
 
 		snprintf(detail, sizeof(detail),
@@ -255,7 +256,7 @@
 			 client->caller->id, client->node, databases[client->route], data, index,
 			 required, leader->log[required].id, to_seconds(client->began),
 			 run != NULL ? to_seconds(run->at) : 0,
-			 run != NULL ? run->member : "nobody", run != NULL ? run->after : "",
+			 run != NULL ? run->member : "nobody", run != NULL ? run->min_position : "",
 			 to_seconds(play->world->db->promoted_at));
 		describe_nodes(play);
 		fail_play(play, "stale read", detail);
@@ -264,11 +265,11 @@
 
 static void check_end(play_t *play)
 {
-	fake_member_t *leader = fake_leader(play->world->db);
+	fake_member_t *leader = fake_db_primary(play->world->db);
 
 	for (size_t i = 0; i < play->write_count; i++) {
 		const write_record_t *write = &play->writes[i];
-		size_t count = fake_count(leader, write->id);
+		size_t count = fake_member_count_commits(leader, write->id);
 
 		if (count > 1)
 			fail_play(play, "committed twice", write->id);
@@ -317,7 +318,7 @@
 	client->write = -1;
 	client->is_read = false;
 	client->step = 0;
-	client->replies = client->caller->replies;
+	client->replies = client->caller->reply_count;
 	client->waiting = true;
 	if (chance(play, 4)) {
 		client->step = 1;
@@ -364,10 +365,10 @@
 /* Handles a reply inside a transaction: sends its next statement or ends the operation. */
 static void continue_transaction(play_t *play, client_t *client, const char *reply)
 {
-	client->replies = client->caller->replies;
+	client->replies = client->caller->reply_count;
 	if (g_str_has_prefix(reply, "ERR ")) {
 		set_fate(play, client, reply, false);
-		if (world_state_is(client->caller, "READY I")) {
+		if (world_reply_has_state(client->caller, "READY I")) {
 			end_operation(play, client);
 		} else {
 			client->step = 4;
@@ -417,7 +418,7 @@
  */
 static void check_planned_end(play_t *play, client_t *client)
 {
-	bool answered = client->caller->replies != client->replies;
+	bool answered = client->caller->reply_count != client->replies;
 
 	if (client->read_at != 0)
 		fail_play(play, "session closed with a statement unread", client->caller->id);
@@ -446,7 +447,8 @@
 	client->node = (size_t)g_rand_int_range(play->rand, 0, (gint32)play->nodes);
 	if (world->nodes[client->node].pooler == NULL || world->nodes[client->node].frozen)
 		return;
-	client->caller = world_open_key(world, client->node, databases[client->route], client->key);
+	client->caller = world_open_session_with_key(world, client->node, databases[client->route],
+						     client->key);
 	if (client->caller->caller == NULL)
 		client->caller = NULL;
 }
@@ -457,7 +459,7 @@
 	if (!has_planned_shutdowns(play) || !chance(play, 6))
 		return false;
 	client->read_at = now_of_play(play) + random_time(play, STEP, 300 * MSEC);
-	client->caller->unread = true;
+	client->caller->has_unread_input = true;
 	return true;
 }
 
@@ -468,7 +470,7 @@
 	if (now_of_play(play) < client->read_at)
 		return;
 	client->read_at = 0;
-	client->caller->unread = false;
+	client->caller->has_unread_input = false;
 	begin_operation(play, client);
 }
 
@@ -481,7 +483,7 @@
 		return;
 	}
 	if (client->waiting) {
-		if (client->caller->replies != client->replies)
+		if (client->caller->reply_count != client->replies)
 			on_reply(play, client);
 	} else if (now_of_play(play) >= client->next && !play->world->nodes[client->node].frozen) {
 		send_next(play, client);
@@ -504,7 +506,7 @@
 		world_crash_member(play->world, at);
 		break;
 	case 2:
-		member->deaf = true;
+		member->isolated = true;
 		break;
 	case 3:
 		/* Chosen by the seed and not at random, so that earlier seeds play as before. */
@@ -551,14 +553,14 @@
 		world_freeze(play->world, at);
 		break;
 	case 2:
-		node->kv.cut = true;
+		node->kv.unreachable = true;
 		break;
 	case 3:
-		node->kv.cut = true;
+		node->kv.unreachable = true;
 		node->cut_from_peers = true;
 		break;
 	default:
-		world_cut_members(play->world, at, true);
+		world_set_members_unreachable(play->world, at, true);
 	}
 }
 
@@ -574,13 +576,13 @@
 		store->down = true;
 		break;
 	case 1:
-		store->delay = 240 * MSEC;
+		store->answer_delay = 240 * MSEC;
 		break;
 	case 2:
-		store->lose_answers = 3;
+		store->lose_commit_answers = 3;
 		break;
 	case 3:
-		fake_kv_revoke(store, "fleet/holder");
+		fake_kv_delete_key(store, "fleet/holder");
 		break;
 	default:
 		fake_kv_compact(store);
@@ -606,7 +608,7 @@
 		return;
 	if (now >= play->next_copy && play->restore_at == 0) {
 		play->next_copy = store_time(play, 300 * MSEC, 4 * SEC);
-		fake_kv_copy(store);
+		fake_kv_make_backup(store);
 	}
 	if (restores && now >= play->next_restore && play->restore_at == 0) {
 		play->restore_at = store_time(play, 50 * MSEC, 1500 * MSEC);
@@ -616,7 +618,7 @@
 	if (play->restore_at != 0 && now >= play->restore_at) {
 		play->restore_at = 0;
 		store->down = play->store_back != 0;
-		fake_kv_restore(store);
+		fake_kv_restore_backup(store);
 	}
 }
 
@@ -629,10 +631,10 @@
 		if (play->member_back[i] == 0 || (!all && now < play->member_back[i]))
 			continue;
 		play->member_back[i] = 0;
-		world->db->members[i].deaf = false;
+		world->db->members[i].isolated = false;
 		world->db->members[i].leaving = false;
 		if (world->db->members[i].stopped)
-			fake_start(&world->db->members[i]);
+			fake_member_start(&world->db->members[i]);
 	}
 	for (size_t i = 0; i < play->nodes; i++) {
 		if (play->shutting_down[i] && world->nodes[i].drained)
@@ -641,18 +643,18 @@
 		    (!all && now < play->node_back[i]))
 			continue;
 		play->node_back[i] = 0;
-		world->nodes[i].kv.cut = false;
+		world->nodes[i].kv.unreachable = false;
 		world->nodes[i].cut_from_peers = false;
-		world_cut_members(world, i, false);
+		world_set_members_unreachable(world, i, false);
 		world_thaw(world, i);
 		if (world->nodes[i].pooler == NULL)
-			world_start(world, i);
+			world_start_proxy(world, i);
 	}
 	if (play->store_back != 0 && (all || now >= play->store_back)) {
 		play->store_back = 0;
 		world->kv->down = false;
-		world->kv->delay = 4 * MSEC;
-		world->kv->lose_answers = 0;
+		world->kv->answer_delay = 4 * MSEC;
+		world->kv->lose_commit_answers = 0;
 	}
 }
 
@@ -682,11 +684,11 @@
 	.members = 3,
 	.slots = 2,
 	.max_connections = 2,
-	.work = 4 * MSEC,
-	.receive = 2 * MSEC,
+	.service_time = 4 * MSEC,
+	.receive_delay = 2 * MSEC,
 	.lag = 60 * MSEC,
-	.promote = 1000 * MSEC,
-	.open = 12 * MSEC,
+	.promote_delay = 1000 * MSEC,
+	.connect_time = 12 * MSEC,
 };
 
 /* Connections for two homes among five proxies; used by every fifth seed. */
@@ -695,11 +697,11 @@
 	.members = 3,
 	.slots = 2,
 	.max_connections = 8,
-	.work = 4 * MSEC,
-	.receive = 2 * MSEC,
+	.service_time = 4 * MSEC,
+	.receive_delay = 2 * MSEC,
 	.lag = 60 * MSEC,
-	.promote = 1000 * MSEC,
-	.open = 12 * MSEC,
+	.promote_delay = 1000 * MSEC,
+	.connect_time = 12 * MSEC,
 };
 
 static const fake_db_config_t *config_of(uint32_t seed)
@@ -731,15 +733,15 @@
 	play->nodes = seed >= LARGE_FIRST && seed < RESTORED_FIRST ? LARGE_NODES : NODES;
 	play->rand = g_rand_new_with_seed(seed);
 	play->store_rand = seed >= RESTORED_FIRST ? g_rand_new_with_seed(~seed) : NULL;
-	play->world = world_create_keyed(play->nodes, config_of(seed), customers,
-					 G_N_ELEMENTS(customers));
+	play->world = world_create_with_customers(play->nodes, config_of(seed), customers,
+						  G_N_ELEMENTS(customers));
 	play->writes = g_new0(write_record_t, WRITES_MAX);
 	for (size_t i = 0; i < CALLERS; i++) {
 		play->clients[i].route = (route_kind_t)(i % 3);
 		snprintf(play->clients[i].key, WORLD_KEY_MAX, "key-%s",
 			 customers[i / 3 % G_N_ELEMENTS(customers)].name);
 	}
-	world_settle(play->world);
+	world_wait_until_ready(play->world);
 	end = now_of_play(play) + PLAY_TIME;
 	while (now_of_play(play) < end) {
 		for (size_t i = 0; i < CALLERS; i++)
@@ -767,11 +769,11 @@
 		step_client(play, &play->clients[i]);
 	check_end(play);
 	world_check_customers(play->world);
-	if (world_permitted(play->world, fake_leader(play->world->db)->id) != play->nodes)
+	if (world_count_permitted(play->world, fake_db_primary(play->world->db)->id) != play->nodes)
 		describe_nodes(play);
 	/* All proxies may use the primary again, and operations were served during the faults. */
-	g_assert_cmpuint(world_permitted(play->world, fake_leader(play->world->db)->id), ==,
-			 play->nodes);
+	g_assert_cmpuint(world_count_permitted(play->world, fake_db_primary(play->world->db)->id),
+			 ==, play->nodes);
 	g_assert_cmpuint(play->served, >, 100);
 	g_test_message("seed %u: %zu operations, %zu writes, %zu promotes", seed, play->served,
 		       play->write_count, play->world->promote_count);
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -17,16 +17,16 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
 	world->kv->down = true;
 	for (int i = 0; i < 90; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 94 * MSEC);
 	}
 	world->kv->down = false;
 	world_run(world, 4 * SEC);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
 }
@@ -37,11 +37,11 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 1);
-	world->nodes[1].kv.cut = true;
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 1);
+	world->nodes[1].kv.unreachable = true;
 	for (int i = 0; i < 200; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 90 * MSEC);
 	}
 	world_destroy(world);
@@ -57,17 +57,17 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_kill(world, 1);
-	world->nodes[1].kv.cut = true;
-	world_start(world, 1);
+	world->nodes[1].kv.unreachable = true;
+	world_start_proxy(world, 1);
 	/* This changes the roster, which the leader sends to all proxies on it. */
 	world->db->members[0].leaving = true;
 	world_run(world, 6 * SEC);
-	world->nodes[1].kv.cut = false;
+	world->nodes[1].kv.unreachable = false;
 	world_run(world, 3 * SEC);
-	caller = world_open(world, 1);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-");
+	caller = world_open_session(world, 1);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
 	world_destroy(world);
 }
 
@@ -77,13 +77,13 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t leaders;
 
-	world_settle(world);
-	fake_kv_revoke(world->kv, "fleet/holder");
+	world_wait_until_ready(world);
+	fake_kv_delete_key(world->kv, "fleet/holder");
 	for (int i = 0; i < 100; i++) {
 		leaders = 0;
 		world_run(world, 50 * MSEC);
 		for (size_t j = 0; j < 3; j++)
-			leaders += holds_duty(world, j);
+			leaders += is_leader(world, j);
 	}
 	g_assert_cmpuint(leaders, ==, 1);
 	world_destroy(world);
@@ -100,15 +100,15 @@
 	pool_world_t *world = world_create(4, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_kill(world, 3);
 	for (size_t i = 0; i < 3; i++)
-		world->nodes[i].kv.cut = true;
+		world->nodes[i].kv.unreachable = true;
 	world_run(world, 3 * SEC);
-	caller = world_open(world, find_other(world));
-	world_start(world, 3);
+	caller = world_open_session(world, find_non_leader(world));
+	world_start_proxy(world, 3);
 	for (int i = 0; i < 200; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 2 * MSEC);
 	}
 	world_destroy(world);
@@ -125,11 +125,11 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t other;
 
-	world_settle(world);
-	other = find_other(world);
+	world_wait_until_ready(world);
+	other = find_non_leader(world);
 	world->db->members[0].unlisted = true;
 	world_kill(world, other);
-	world_start(world, other);
+	world_start_proxy(world, other);
 	world_run(world, SEC);
 	g_assert_true(permit_is_registered(world->nodes[other].pooler));
 	g_assert_false(pooler_is_ready(world->nodes[other].pooler));
@@ -139,7 +139,7 @@
 	/* The proxy does not wait forever, since another member may be promoted meanwhile. */
 	world->db->members[0].unlisted = true;
 	world_kill(world, other);
-	world_start(world, other);
+	world_start_proxy(world, other);
 	world_run(world, 4 * SEC);
 	g_assert_true(pooler_is_ready(world->nodes[other].pooler));
 	world_destroy(world);
@@ -157,13 +157,13 @@
 	size_t leaders = 0;
 	uint64_t fencing_token;
 
-	world_settle(world);
-	leader = find_holder(world);
+	world_wait_until_ready(world);
+	leader = find_leader(world);
 	fencing_token = world->nodes[leader].pooler->sync.own_token;
-	world->nodes[leader].kv.cut = true;
-	fake_kv_revoke(world->kv, "fleet/holder");
+	world->nodes[leader].kv.unreachable = true;
+	fake_kv_delete_key(world->kv, "fleet/holder");
 	world_run(world, 1500 * MSEC);
-	world->nodes[leader].kv.cut = false;
+	world->nodes[leader].kv.unreachable = false;
 	world_run(world, 3 * SEC);
 	for (size_t i = 0; i < 3; i++)
 		leaders += world->nodes[i].pooler->sync.leading;
@@ -180,8 +180,8 @@
 	pool_world_t *world = world_create(3, NULL);
 	const pooler_t *leader;
 
-	world_settle(world);
-	leader = world->nodes[find_holder(world)].pooler;
+	world_wait_until_ready(world);
+	leader = world->nodes[find_leader(world)].pooler;
 	g_assert_true(leader_is_self(leader, leader->sync.lease_until - 1));
 	g_assert_false(leader_is_self(leader, leader->sync.lease_until));
 	world_destroy(world);
@@ -199,9 +199,9 @@
 	service_t *service;
 	usec_t now;
 
-	world_settle(world);
-	pooler = world->nodes[find_other(world)].pooler;
-	other = &world->nodes[find_holder(world)];
+	world_wait_until_ready(world);
+	pooler = world->nodes[find_non_leader(world)].pooler;
+	other = &world->nodes[find_leader(world)];
 	now = clock_now(&world->clock.base);
 	service = service_get(pooler, WORLD_SERVICE);
 	service->changing_since = now;
@@ -223,9 +223,9 @@
 	pooler_t *leader;
 	peer_message_t message = {.kind = PEER_STATE, .roster_age = USEC_NEVER};
 
-	world_settle(world);
-	leader = world->nodes[find_holder(world)].pooler;
-	other = &world->nodes[find_other(world)];
+	world_wait_until_ready(world);
+	leader = world->nodes[find_leader(world)].pooler;
+	other = &world->nodes[find_non_leader(world)];
 	message.from = other->name;
 	message.address = other->address;
 	message.incarnation = other->incarnation;
@@ -249,14 +249,14 @@
 	size_t leader;
 	uint64_t fencing_token;
 
-	world_settle(world);
-	leader = find_holder(world);
+	world_wait_until_ready(world);
+	leader = find_leader(world);
 	fencing_token = world->nodes[leader].pooler->sync.own_token;
 	for (int i = 0; i < 5; i++) {
-		world->kv->lose_keeps = 3;
+		world->kv->lose_lease_keep_answers = 3;
 		world_run(world, 2 * SEC);
 	}
-	g_assert_true(holds_duty(world, leader));
+	g_assert_true(is_leader(world, leader));
 	g_assert_cmpuint(world->nodes[leader].pooler->sync.own_token, ==, fencing_token);
 	world_destroy(world);
 }
@@ -270,13 +270,13 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t leaders = 0;
 
-	world_settle(world);
-	fake_kv_revoke(world->kv, "fleet/holder");
-	world->kv->lose_answers = 1;
+	world_wait_until_ready(world);
+	fake_kv_delete_key(world->kv, "fleet/holder");
+	world->kv->lose_commit_answers = 1;
 	world_run(world, 2 * SEC);
 	for (size_t i = 0; i < 3; i++)
-		leaders += holds_duty(world, i);
-	g_assert_cmpuint(world->kv->lose_answers, ==, 0);
+		leaders += is_leader(world, i);
+	g_assert_cmpuint(world->kv->lose_commit_answers, ==, 0);
 	g_assert_cmpuint(leaders, ==, 1);
 	world_destroy(world);
 }
@@ -290,17 +290,17 @@
 	pool_world_t *world = world_create(5, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 3);
-	world->kv->delay = 400 * MSEC;
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 3);
+	world->kv->answer_delay = 400 * MSEC;
 	for (int i = 0; i < 40; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 250 * MSEC);
 	}
 	world_crash_member(world, 0);
-	world_ask(caller, "WRITE job-1 b");
+	world_send_and_wait(caller, "WRITE job-1 b");
 	world_run(world, 8 * SEC);
-	assert_begins(world_ask(caller, "WRITE job-1 c"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 c"), "DONE core-");
 	g_assert_cmpuint(world->promote_count, >=, 1);
 	world_destroy(world);
 }
@@ -318,22 +318,22 @@
 	world_caller_t *open;
 	world_caller_t *late;
 
-	world_settle(world);
-	idle = world_open(world, 0);
+	world_wait_until_ready(world);
+	idle = world_open_session(world, 0);
 	world_run(world, 500 * MSEC);
-	open = world_open(world, 0);
-	world_ask(open, "BEGIN");
-	assert_begins(world_ask(open, "WRITE job-1 a"), "DONE");
+	open = world_open_session(world, 0);
+	world_send_and_wait(open, "BEGIN");
+	assert_has_prefix(world_send_and_wait(open, "WRITE job-1 a"), "DONE");
 	pooler_drain(world->nodes[0].pooler);
 	g_assert_false(pooler_is_ready(world->nodes[0].pooler));
 	g_assert_null(idle->caller);
 	world_run(world, 500 * MSEC);
-	late = world_open(world, 0);
-	assert_begins(world_ask(late, "SET lang cy"), "DONE -");
+	late = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(late, "SET lang cy"), "DONE -");
 	world_run(world, 60 * MSEC);
-	assert_begins(world_ask(late, "READ job-1"), "ROW none");
+	assert_has_prefix(world_send_and_wait(late, "READ job-1"), "ROW none");
 	g_assert_null(late->caller);
-	assert_begins(world_ask(open, "COMMIT"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(open, "COMMIT"), "DONE core-0");
 	g_assert_null(open->caller);
 	g_assert_false(world->nodes[0].drained);
 	world_run(world, 4 * SEC);
@@ -347,16 +347,16 @@
 	pool_world_t *world = world_create(9, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 9; i++)
 		world_kill(world, i);
 	world_run(world, 500 * MSEC);
 	for (size_t i = 0; i < 9; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 500 * MSEC);
 	for (size_t i = 0; i < 9; i++) {
-		caller = world_open(world, i);
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		caller = world_open_session(world, i);
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	}
 	world_destroy(world);
 }
@@ -371,22 +371,24 @@
 	pool_world_t *world = world_create(12, NULL);
 	world_caller_t *callers[12];
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < world->node_count; i++)
-		assert_begins(world_ask(world_open(world, i), "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(
+			world_send_and_wait(world_open_session(world, i), "WRITE job-1 a"),
+			"DONE core-0");
 	for (size_t i = 0; i < world->node_count; i++)
 		world_power_off(world, i);
 	world_run(world, SEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 400 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++) {
-		callers[i] = world_open(world, i);
+		callers[i] = world_open_session(world, i);
 		world_send(callers[i], "WRITE job-1 b");
 	}
 	world_run(world, 700 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		assert_begins(callers[i]->reply, "DONE core-0");
+		assert_has_prefix(callers[i]->reply, "DONE core-0");
 	world_destroy(world);
 }
 
@@ -402,14 +404,14 @@
 	size_t other;
 	int64_t revision;
 
-	world_settle(world);
-	other = find_other(world);
+	world_wait_until_ready(world);
+	other = find_non_leader(world);
 	world->nodes[other].cut_from_peers = true;
 	world_run(world, 5 * SEC);
-	revision = world->nodes[find_holder(world)].pooler->sync.roster->revision;
+	revision = world->nodes[find_leader(world)].pooler->sync.roster->revision;
 	world_run(world, 10 * SEC);
 	/* Declared gone and back once in 4 s, a change of the roster each. */
-	g_assert_cmpint(world->nodes[find_holder(world)].pooler->sync.roster->revision, <=,
+	g_assert_cmpint(world->nodes[find_leader(world)].pooler->sync.roster->revision, <=,
 			revision + 6);
 	g_assert_true(permit_is_registered(world->nodes[other].pooler));
 	world_destroy(world);
@@ -428,21 +430,21 @@
 	usec_t crashed_at;
 	size_t other;
 
-	world_settle(world);
-	other = find_other(world);
+	world_wait_until_ready(world);
+	other = find_non_leader(world);
 	world_kill(world, other);
 	world->nodes[other].incarnation += 5000;
-	world_start(world, other);
+	world_start_proxy(world, other);
 	world_run(world, SEC);
 	world_kill(world, other);
 	world->nodes[other].incarnation -= 4000;
-	world_start(world, other);
+	world_start_proxy(world, other);
 	world_run(world, SEC);
-	caller = world_open(world, find_holder(world));
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	caller = world_open_session(world, find_leader(world));
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_crash_member(world, 0);
 	crashed_at = clock_now(&world->clock.base);
-	while (!g_str_has_prefix(world_ask(caller, "WRITE job-1 b"), "DONE"))
+	while (!g_str_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE"))
 		world_run(world, 50 * MSEC);
 	g_assert_cmpuint(clock_now(&world->clock.base) - crashed_at, <, 2500 * MSEC);
 	world_destroy(world);
@@ -460,29 +462,29 @@
 		.members = 3,
 		.slots = 2,
 		.max_connections = 6,
-		.work = 4 * MSEC,
-		.receive = 2 * MSEC,
+		.service_time = 4 * MSEC,
+		.receive_delay = 2 * MSEC,
 		.lag = 60 * MSEC,
-		.promote = 1000 * MSEC,
+		.promote_delay = 1000 * MSEC,
 	};
 	pool_world_t *world = world_create(12, &few);
 	world_caller_t *callers[12];
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 5 * SEC);
 	for (size_t i = 0; i < world->node_count; i++) {
-		callers[i] = world_open(world, i);
+		callers[i] = world_open_session(world, i);
 		world_send(callers[i], "WRITE job-1 b");
 	}
 	world_run(world, 700 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		assert_begins(callers[i]->reply, "DONE core-0");
+		assert_has_prefix(callers[i]->reply, "DONE core-0");
 	world_destroy(world);
 }
 
 static bool all_permitted(pool_world_t *world)
 {
-	return world_permitted(world, fake_leader(world->db)->id) == world->node_count;
+	return world_count_permitted(world, fake_db_primary(world->db)->id) == world->node_count;
 }
 
 /*
@@ -492,19 +494,19 @@
  */
 static void test_start_together(void)
 {
-	pool_world_t *world = world_create(WORLD_FLEET, NULL);
+	pool_world_t *world = world_create(WORLD_LARGE_FLEET, NULL);
 	usec_t start;
 	size_t calls;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < world->node_count; i++)
 		world_kill(world, i);
 	world_run(world, 500 * MSEC);
 	calls = world->kv->call_count;
 	start = clock_now(&world->clock.base);
-	world->new_links = true;
+	world->links_need_setup = true;
 	for (size_t i = 0; i < world->node_count; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	while (!all_permitted(world))
 		world_run(world, MSEC);
 	g_test_message("%zu calls, %zu ms", world->kv->call_count - calls,
@@ -535,9 +537,9 @@
 				  .roster_age = USEC_NEVER};
 	const pooler_t *pooler;
 
-	world_settle(world);
-	pooler = world->nodes[find_holder(world)].pooler;
-	pooler_on_message(world->nodes[find_holder(world)].pooler, &message);
+	world_wait_until_ready(world);
+	pooler = world->nodes[find_leader(world)].pooler;
+	pooler_on_message(world->nodes[find_leader(world)].pooler, &message);
 	world_run(world, 6 * SEC);
 	for (int i = 0; i < 40; i++) {
 		const roster_node_t *ghost = roster_find_node(pooler->sync.roster, "ghost");
@@ -559,16 +561,16 @@
 	size_t leader;
 	size_t leaders = 0;
 
-	world_settle(world);
-	leader = find_holder(world);
+	world_wait_until_ready(world);
+	leader = find_leader(world);
 	for (size_t i = 0; i < 3; i++)
 		world_kill(world, i);
 	world_run(world, 50 * MSEC);
 	for (size_t i = 0; i < 3; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 600 * MSEC);
 	for (size_t i = 0; i < 3; i++)
-		leaders += holds_duty(world, i);
+		leaders += is_leader(world, i);
 	g_assert_cmpuint(leaders, ==, 1);
 	g_assert_true(permit_is_registered(world->nodes[leader].pooler));
 	world_destroy(world);
--- a/tests/test_pooler_forward.c
+++ b/tests/test_pooler_forward.c
@@ -22,9 +22,9 @@
 	.members = 1,
 	.slots = 2,
 	.max_connections = 2,
-	.work = 4 * MSEC,
-	.open = 12 * MSEC,
-	.promote = 1000 * MSEC,
+	.service_time = 4 * MSEC,
+	.connect_time = 12 * MSEC,
+	.promote_delay = 1000 * MSEC,
 };
 
 /* Returns the home that this proxy forwards to, which may be the proxy itself. */
@@ -49,7 +49,7 @@
 {
 	pool_world_t *world = world_create(NODES, &scarce);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	return world;
 }
 
@@ -91,10 +91,10 @@
 		char text[32];
 
 		g_snprintf(item, sizeof(item), "job-%zu", i);
-		callers[i] = world_open_database(world, i, "session");
+		callers[i] = world_open_session_on(world, i, "session");
 		g_snprintf(text, sizeof(text), "SET who caller-%zu", i);
-		assert_begins(world_ask(callers[i], text), "DONE -");
-		assert_begins(world_ask(callers[i], "PREPARE s WRITE q2"), "DONE -");
+		assert_has_prefix(world_send_and_wait(callers[i], text), "DONE -");
+		assert_has_prefix(world_send_and_wait(callers[i], "PREPARE s WRITE q2"), "DONE -");
 		g_snprintf(text, sizeof(text), "EXEC s %s v%zu", item, i);
 		world_send(callers[i], text);
 	}
@@ -103,10 +103,11 @@
 		char values[32];
 		char text[32];
 
-		assert_begins(callers[i]->reply, "DONE core-0");
-		g_assert_cmpuint(run_count(world, callers[i]->id), ==, 1);
+		assert_has_prefix(callers[i]->reply, "DONE core-0");
+		g_assert_cmpuint(count_runs(world, callers[i]->id), ==, 1);
 		g_snprintf(values, sizeof(values), "who caller-%zu;", i);
-		g_assert_true(g_str_has_suffix(last_run(world, callers[i]->id)->values, values));
+		g_assert_true(
+			g_str_has_suffix(find_last_run(world, callers[i]->id)->values, values));
 		g_snprintf(text, sizeof(text), "READ job-%zu", i);
 		world_send(callers[i], text);
 	}
@@ -115,7 +116,7 @@
 		char row[16];
 
 		g_snprintf(row, sizeof(row), "ROW v%zu", i);
-		assert_begins(callers[i]->reply, row);
+		assert_has_prefix(callers[i]->reply, row);
 	}
 	world_destroy(world);
 }
@@ -128,8 +129,8 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
-	world_caller_t *reader = world_open_database(world, away, "strict");
+	world_caller_t *writer = world_open_session_on(world, away, "strict");
+	world_caller_t *reader = world_open_session_on(world, away, "strict");
 	world_node_t *helper;
 
 	world_send(writer, "WRITE job-1 a");
@@ -140,9 +141,9 @@
 	world_kill(world, (size_t)(helper - world->nodes));
 	world_send(reader, "READ job-1");
 	world_run(world, 1200 * MSEC);
-	assert_begins(writer->reply, "ERR INDOUBT");
-	g_assert_cmpuint(run_count(world, writer->id), <=, 1);
-	assert_begins(reader->reply, "ROW");
+	assert_has_prefix(writer->reply, "ERR INDOUBT");
+	g_assert_cmpuint(count_runs(world, writer->id), <=, 1);
+	assert_has_prefix(reader->reply, "ROW");
 	world_destroy(world);
 }
 
@@ -154,7 +155,7 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	world_caller_t *writer = world_open_session_on(world, away, "strict");
 
 	world_send(writer, "WRITE job-1 a");
 	world_run(world, 2 * MSEC);
@@ -163,7 +164,7 @@
 	world_run(world, 14 * SEC);
 	world_thaw(world, away);
 	world_run(world, 100 * MSEC);
-	assert_begins(writer->reply, "ERR INDOUBT");
+	assert_has_prefix(writer->reply, "ERR INDOUBT");
 	world_destroy(world);
 }
 
@@ -176,7 +177,7 @@
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
 	pooler_t *pooler = world->nodes[away].pooler;
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	world_caller_t *writer = world_open_session_on(world, away, "strict");
 	roster_t *roster;
 
 	world_send(writer, "WRITE job-1 a");
@@ -187,7 +188,7 @@
 	roster_put_group(roster, WORLD_SERVICE, "core-0", true, 1, 1);
 	adopt_roster(pooler, roster);
 	world_run(world, 400 * MSEC);
-	assert_begins(writer->reply, "ERR INDOUBT permission");
+	assert_has_prefix(writer->reply, "ERR INDOUBT permission");
 	world_destroy(world);
 }
 
@@ -199,7 +200,7 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
-	world_caller_t *reader = world_open_database(world, away, "strict");
+	world_caller_t *reader = world_open_session_on(world, away, "strict");
 	uint64_t number;
 
 	world->nodes[away].pooler->routes->version++;
@@ -224,13 +225,14 @@
 	pool_world_t *world = make_scarce();
 
 	for (size_t i = 0; i < NODES; i++) {
-		world_caller_t *caller = world_open_database(world, i, "strict");
+		world_caller_t *caller = world_open_session_on(world, i, "strict");
 		bool done = false;
 
 		for (size_t attempt = 0; attempt < 5 && !done; attempt++) {
-			assert_begins(world_ask(caller, "BEGIN"), "DONE -");
-			done = g_str_has_prefix(world_ask(caller, "WRITE job-1 a"), "DONE");
-			world_ask(caller, done ? "COMMIT" : "ROLLBACK");
+			assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE -");
+			done = g_str_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"),
+						"DONE");
+			world_send_and_wait(caller, done ? "COMMIT" : "ROLLBACK");
 		}
 		g_assert_true(done);
 	}
@@ -245,11 +247,11 @@
 /* Begins a transaction at a proxy that forwards it, and makes one write. */
 static world_caller_t *begin_forwarded_tx(pool_world_t *world, size_t away)
 {
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	world_caller_t *caller = world_open_session_on(world, away, "strict");
 
-	assert_begins(world_ask(caller, "BEGIN"), "DONE -");
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
-	g_assert_true(world_state_is(caller, "READY T"));
+	assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE -");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
+	g_assert_true(world_reply_has_state(caller, "READY T"));
 	return caller;
 }
 
@@ -267,11 +269,11 @@
 	world_kill(world, index_of(world, helper_of(world, caller)));
 	world_send(caller, "WRITE job-2 a");
 	world_run(world, 900 * MSEC);
-	assert_begins(caller->reply, "ERR ABORTED");
-	assert_begins(world_ask(caller, "COMMIT"), "ERR ABORTED");
-	g_assert_true(world_state_is(caller, "READY I"));
+	assert_has_prefix(caller->reply, "ERR ABORTED");
+	assert_has_prefix(world_send_and_wait(caller, "COMMIT"), "ERR ABORTED");
+	g_assert_true(world_reply_has_state(caller, "READY I"));
 	world_run(world, SEC);
-	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 0);
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 0);
 	world_destroy(world);
 }
 
@@ -285,8 +287,8 @@
 	world_run(world, 2 * MSEC);
 	world_kill(world, index_of(world, helper_of(world, caller)));
 	world_run(world, 900 * MSEC);
-	assert_begins(caller->reply, "ERR INDOUBT");
-	g_assert_true(world_state_is(caller, "READY I"));
+	assert_has_prefix(caller->reply, "ERR INDOUBT");
+	g_assert_true(world_reply_has_state(caller, "READY I"));
 	world_destroy(world);
 }
 
@@ -301,10 +303,10 @@
 	size_t home = index_of(world, helper_of(world, caller));
 
 	world_kill(world, home);
-	world_start(world, home);
+	world_start_proxy(world, home);
 	world_run(world, SEC);
-	assert_begins(world_ask(caller, "WRITE job-2 a"), "ERR ABORTED");
-	g_assert_cmpuint(run_count(world, caller->id), ==, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-2 a"), "ERR ABORTED");
+	g_assert_cmpuint(count_runs(world, caller->id), ==, 0);
 	world_destroy(world);
 }
 
@@ -314,10 +316,10 @@
 	pool_world_t *world = make_scarce();
 	world_caller_t *caller = begin_forwarded_tx(world, find_forwarding_proxy(world));
 
-	g_assert_true(world_in_transaction(world));
+	g_assert_true(world_has_transaction(world));
 	world_leave(caller);
 	world_run(world, 20 * MSEC);
-	g_assert_false(world_in_transaction(world));
+	g_assert_false(world_has_transaction(world));
 	world_destroy(world);
 }
 
@@ -330,7 +332,7 @@
 	begin_forwarded_tx(world, away);
 	world_kill(world, away);
 	world_run(world, 4 * SEC);
-	g_assert_false(world_in_transaction(world));
+	g_assert_false(world_has_transaction(world));
 	world_destroy(world);
 }
 
@@ -345,23 +347,23 @@
 	world_caller_t *caller;
 	size_t home = 0;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	while (strcmp(home_of(world, away), world->nodes[away].name) == 0)
 		away++;
 	while (strcmp(home_of(world, away), world->nodes[home].name) != 0)
 		home++;
-	caller = world_open_database(world, away, "session");
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	caller = world_open_session_on(world, away, "session");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_freeze(world, home);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW a");
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
-	assert_begins(world_ask(caller, "BEGIN"), "DONE -");
-	assert_begins(world_ask(caller, "WRITE job-1 c"), "DONE core-0");
-	assert_begins(world_ask(caller, "COMMIT"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW a");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "BEGIN"), "DONE -");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 c"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "COMMIT"), "DONE core-0");
 	world_run(world, 3 * SEC);
 	world_thaw(world, home);
 	world_run(world, SEC);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW c");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW c");
 	g_assert_cmpstr(home_of(world, away), ==, world->nodes[home].name);
 	world_destroy(world);
 }
@@ -376,10 +378,10 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *callers[3];
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 3; i++)
-		callers[i] = world_open_database(world, i, "strict");
-	world->nodes[0].kv.cut = true;
+		callers[i] = world_open_session_on(world, i, "strict");
+	world->nodes[0].kv.unreachable = true;
 	world->nodes[0].cut_from_peers = true;
 	world_run(world, 3 * SEC);
 	g_assert_null(callers[0]->caller);
@@ -393,7 +395,7 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	world_caller_t *writer = world_open_session_on(world, away, "strict");
 
 	for (size_t i = 0; i < NODES; i++) {
 		if (i != away)
@@ -401,7 +403,7 @@
 	}
 	world_send(writer, "WRITE job-1 a");
 	world_run(world, 900 * MSEC);
-	g_assert_cmpuint(writer->replies, ==, 1);
+	g_assert_cmpuint(writer->reply_count, ==, 1);
 	g_assert_false(g_str_has_prefix(writer->reply, "ERR INDOUBT"));
 	world_destroy(world);
 }
@@ -415,27 +417,27 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
-	world_caller_t *caller = world_open(world, away);
+	world_caller_t *caller = world_open_session(world, away);
 	world_node_t *home;
 	size_t at;
 
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	home = helper_of(world, caller);
 	at = (size_t)(home - world->nodes);
 	pooler_drain(home->pooler);
 	for (int i = 0; i < 30; i++) {
-		world_ask(caller, "READ job-1");
+		world_send_and_wait(caller, "READ job-1");
 		world_run(world, 100 * MSEC);
 	}
 	world_kill(world, at);
 	world_run(world, 200 * MSEC);
 	world_send(caller, "READ job-1");
 	world_run(world, 60 * MSEC);
-	assert_begins(caller->reply, "ROW a");
+	assert_has_prefix(caller->reply, "ROW a");
 	/* The restarted home must be used again. */
-	world_start(world, at);
+	world_start_proxy(world, at);
 	world_run(world, 800 * MSEC);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW a");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW a");
 	g_assert_true(helper_of(world, caller) == home);
 	world_destroy(world);
 }
@@ -449,18 +451,18 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	world_caller_t *caller = world_open_session_on(world, away, "strict");
 	world_node_t *home;
 
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	home = helper_of(world, caller);
 	pooler_drain(home->pooler);
-	world_ask(caller, "READ job-1");
+	world_send_and_wait(caller, "READ job-1");
 	world_run(world, 400 * MSEC);
 	g_assert_cmpuint(list_length(&home->links), ==, 0);
 	world_send(caller, "READ job-1");
 	world_run(world, 60 * MSEC);
-	assert_begins(caller->reply, "ROW a");
+	assert_has_prefix(caller->reply, "ROW a");
 	world_destroy(world);
 }
 
@@ -473,17 +475,17 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	world_caller_t *caller = world_open_session_on(world, away, "strict");
 
-	fake_leader(world->db)->slow = 600 * MSEC;
+	fake_db_primary(world->db)->extra_service_time = 600 * MSEC;
 	world->nodes[away].pooler->config.grace = 500 * MSEC;
 	world_send(caller, "WRITE job-1 a");
 	world_run(world, 2 * MSEC);
 	g_assert_cmpuint(caller->caller->forward_number, !=, 0);
 	pooler_drain(world->nodes[away].pooler);
 	world_run(world, SEC);
-	g_assert_cmpuint(fake_count(fake_leader(world->db), caller->id), ==, 1);
-	assert_begins(caller->reply, "ERR INDOUBT");
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), caller->id), ==, 1);
+	assert_has_prefix(caller->reply, "ERR INDOUBT");
 	world_destroy(world);
 }
 
@@ -500,23 +502,23 @@
 	size_t home = 0;
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	while (strcmp(home_of(world, away), world->nodes[away].name) == 0)
 		away++;
 	while (strcmp(home_of(world, away), world->nodes[home].name) != 0)
 		home++;
-	caller = world_open_database(world, away, "session");
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	caller = world_open_session_on(world, away, "session");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	pooler_drain(world->nodes[home].pooler);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	world_run(world, 2500 * MSEC);
 	world_kill(world, home);
 	world_send(caller, "WRITE job-1 c");
 	world_run(world, 60 * MSEC);
-	g_assert_cmpuint(caller->replies, ==, 3);
-	assert_begins(caller->reply, "DONE core-0");
+	g_assert_cmpuint(caller->reply_count, ==, 3);
+	assert_has_prefix(caller->reply, "DONE core-0");
 	/* The process that replaces it must be a home again. */
-	world_start(world, home);
+	world_start_proxy(world, home);
 	world_run(world, 2 * SEC);
 	g_assert_cmpstr(home_of(world, away), ==, world->nodes[home].name);
 	world_destroy(world);
@@ -531,21 +533,21 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
-	world_caller_t *caller = world_open(world, away);
+	world_caller_t *caller = world_open_session(world, away);
 	world_node_t *home;
 
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	home = helper_of(world, caller);
-	world->new_links = true;
+	world->links_need_setup = true;
 	for (size_t i = 0; i < NODES; i++) {
 		for (size_t j = 0; j < NODES; j++)
-			world->nodes[i].link_at[j] = 1;
+			world->nodes[i].link_ready_at[j] = 1;
 	}
-	home->link_at[away] = 0;
+	home->link_ready_at[away] = 0;
 	world_send(caller, "WRITE job-1 b");
 	world_run(world, 60 * MSEC);
-	g_assert_cmpuint(caller->replies, ==, 2);
-	assert_begins(caller->reply, "DONE core-0");
+	g_assert_cmpuint(caller->reply_count, ==, 2);
+	assert_has_prefix(caller->reply, "DONE core-0");
 	world_destroy(world);
 }
 
@@ -557,15 +559,15 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	world_caller_t *writer = world_open_session_on(world, away, "strict");
 	const world_node_t *home;
 
-	assert_begins(world_ask(writer, "WRITE job-1 a"), "DONE");
+	assert_has_prefix(world_send_and_wait(writer, "WRITE job-1 a"), "DONE");
 	home = helper_of(world, writer);
-	world->db->members[0].slow = 2 * SEC;
+	world->db->members[0].extra_service_time = 2 * SEC;
 	for (int i = 0; i < 4; i++) {
 		world_caller_t *other =
-			world_open_database(world, (size_t)(home - world->nodes), "strict");
+			world_open_session_on(world, (size_t)(home - world->nodes), "strict");
 
 		world_send(other, "WRITE job-2 b");
 	}
@@ -574,8 +576,8 @@
 	world_run(world, 700 * MSEC);
 	world->nodes[away].peer_delay = 100 * MSEC;
 	world_run(world, 200 * MSEC);
-	assert_begins(writer->reply, "ERR BUSY");
-	g_assert_cmpuint(run_count(world, writer->id), ==, 0);
+	assert_has_prefix(writer->reply, "ERR BUSY");
+	g_assert_cmpuint(count_runs(world, writer->id), ==, 0);
 	world_destroy(world);
 }
 
@@ -587,7 +589,7 @@
 {
 	pool_world_t *world = make_scarce();
 	size_t away = find_forwarding_proxy(world);
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	world_caller_t *caller = world_open_session_on(world, away, "strict");
 	forward_result_t late = {
 		.raw = {.at = "DONE core-0", .len = 11},
 		.is_raw = true,
@@ -597,15 +599,15 @@
 	peer_message_t message = {.kind = PEER_FORWARD_RESULT, .result = &late};
 	const world_node_t *home;
 
-	world->db->members[0].slow = 1 * SEC;
+	world->db->members[0].extra_service_time = 1 * SEC;
 	world_send(caller, "WRITE job-1 a");
 	world_run(world, 10 * MSEC);
 	late.number = caller->caller->forward_number;
 	g_assert_cmpuint(late.number, !=, 0);
 	world_kill(world, away);
-	world_start(world, away);
+	world_start_proxy(world, away);
 	world_run(world, 2 * SEC);
-	caller = world_open_database(world, away, "strict");
+	caller = world_open_session_on(world, away, "strict");
 	world_send(caller, "WRITE job-2 b");
 	world_run(world, 10 * MSEC);
 	home = helper_of(world, caller);
@@ -613,7 +615,7 @@
 	message.address = home->address;
 	message.incarnation = home->incarnation;
 	pooler_on_message(world->nodes[away].pooler, &message);
-	g_assert_cmpuint(caller->replies, ==, 0);
+	g_assert_cmpuint(caller->reply_count, ==, 0);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_join.c
+++ b/tests/test_pooler_join.c
@@ -18,7 +18,7 @@
 	size_t count = 0;
 
 	for (size_t i = 0; i < world->node_count; i++)
-		count += world->nodes[i].link_at[node] != 0;
+		count += world->nodes[i].link_ready_at[node] != 0;
 	return count;
 }
 
@@ -27,16 +27,16 @@
 {
 	pool_world_t *world = world_create(LARGE, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	*leader = find_holder(world);
+	*leader = find_leader(world);
 	for (size_t i = 0; i < world->node_count; i++)
 		world_power_off(world, i);
 	world_run(world, 500 * MSEC);
-	world->new_links = true;
+	world->links_need_setup = true;
 	for (size_t i = 0; i < world->node_count; i++) {
-		world->nodes[i].messages = 0;
-		world->nodes[i].bytes = 0;
+		world->nodes[i].messages_sent = 0;
+		world->nodes[i].bytes_sent = 0;
 	}
 	return world;
 }
@@ -51,13 +51,13 @@
 	pool_world_t *world = make_powered_off(&leader);
 
 	for (size_t i = 0; i < LARGE; i++)
-		world_start(world, i);
+		world_start_proxy(world, i);
 	world_run(world, 1500 * MSEC);
 	g_test_message("links to the holder %zu, bytes that it sent %zu",
-		       count_links_to(world, leader), world->nodes[leader].bytes);
-	g_assert_cmpuint(count_registered(world), ==, LARGE);
+		       count_links_to(world, leader), world->nodes[leader].bytes_sent);
+	g_assert_cmpuint(count_registered_proxies(world), ==, LARGE);
 	g_assert_cmpuint(count_links_to(world, leader), <=, 2 * HUBS_MOST);
-	g_assert_cmpuint(world->nodes[leader].bytes, <=, 400 * 1000);
+	g_assert_cmpuint(world->nodes[leader].bytes_sent, <=, 400 * 1000);
 	world_destroy(world);
 }
 
@@ -69,10 +69,10 @@
 
 	for (size_t i = 0; i < LARGE; i++) {
 		if (i != leader)
-			world_start(world, i);
+			world_start_proxy(world, i);
 	}
 	world_run(world, 4 * SEC);
-	g_assert_cmpuint(count_registered(world), ==, LARGE - 1);
+	g_assert_cmpuint(count_registered_proxies(world), ==, LARGE - 1);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_outlier.c
+++ b/tests/test_pooler_outlier.c
@@ -122,9 +122,9 @@
 static void sample_primary_position(pool_world_t *world)
 {
 	for (size_t i = 0; i < world->node_count; i++) {
-		world_caller_t *caller = world_open_database(world, i, "strict");
+		world_caller_t *caller = world_open_session_on(world, i, "strict");
 
-		world_ask(caller, "READ job-1");
+		world_send_and_wait(caller, "READ job-1");
 		world_leave(caller);
 	}
 }
@@ -144,7 +144,7 @@
 	attempts_t attempts = {0};
 
 	for (size_t i = 0; i < sessions; i++)
-		callers[i] = world_open_database(world, i % world->node_count, database);
+		callers[i] = world_open_session_on(world, i % world->node_count, database);
 	while (attempts.sent < count) {
 		sample_primary_position(world);
 		for (size_t i = 0; i < sessions && attempts.sent < count; i++, attempts.sent++)
@@ -186,7 +186,7 @@
 	pool_world_t *world = world_create(3, NULL);
 	attempts_t attempts;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->db->members[1].fail_percent = 45;
 	attempts = run_statements(world, "bounded", "READ job-1", 300);
 	g_test_message("%zu of %zu reads done", attempts.done, attempts.sent);
@@ -205,7 +205,7 @@
 	const char *failing = world->db->members[1].id;
 	usec_t began;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	run_statements(world, "bounded", "READ job-1", 60);
 	world->db->members[1].fail_percent = 100;
 	began = current_time(world);
@@ -245,7 +245,7 @@
 	pool_world_t *world = world_create(1, NULL);
 	size_t ejected_max = 0;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->db->members[1].fail_percent = 50;
 	world->db->members[2].fail_percent = 50;
 	for (int i = 0; i < 30; i++) {
@@ -262,7 +262,7 @@
 {
 	pool_world_t *world = world_create(1, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 3; i++)
 		world->db->members[i].fail_percent = 50;
 	for (int i = 0; i < 30; i++) {
@@ -286,7 +286,7 @@
 	pool_world_t *world = world_create(3, NULL);
 	attempts_t attempts;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	run_statements(world, "strict", "WRITE job-1 a", 30);
 	world->db->members[0].fail_percent = 100;
 	run_statements(world, "strict", "WRITE job-1 b", 150);
@@ -308,18 +308,18 @@
 		.members = 3,
 		.slots = 8,
 		.max_connections = 32,
-		.work = 20 * MSEC,
-		.open = 12 * MSEC,
-		.promote = 1000 * MSEC,
+		.service_time = 20 * MSEC,
+		.connect_time = 12 * MSEC,
+		.promote_delay = 1000 * MSEC,
 	};
 	pool_world_t *world = world_create(1, &config);
 	world_caller_t *callers[8];
 	const member_t *primary;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	run_statements(world, "strict", "READ job-1", 8);
 	for (size_t i = 0; i < G_N_ELEMENTS(callers); i++) {
-		callers[i] = world_open_database(world, 0, "strict");
+		callers[i] = world_open_session_on(world, 0, "strict");
 		world_send(callers[i], "READ job-1");
 	}
 	world->db->members[0].reset_answers = 8;
@@ -341,7 +341,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	run_statements(world, "strict", "WRITE job-1 a", 30);
 	world->db->members[0].fail_percent = 50;
 	world->db->members[0].fail_code = "BUSY";
@@ -367,9 +367,9 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	run_mixed_load(world, 4);
-	world->db->members[0].slow = 80 * MSEC;
+	world->db->members[0].extra_service_time = 80 * MSEC;
 	run_mixed_load(world, 12);
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
@@ -379,10 +379,10 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	run_mixed_load(world, 4);
 	for (size_t i = 0; i < 3; i++)
-		world->db->members[i].slow = 80 * MSEC;
+		world->db->members[i].extra_service_time = 80 * MSEC;
 	run_mixed_load(world, 12);
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
@@ -396,9 +396,9 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	run_mixed_load(world, 4);
-	world->db->members[0].slow = 8 * MSEC;
+	world->db->members[0].extra_service_time = 8 * MSEC;
 	run_mixed_load(world, 12);
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
@@ -423,7 +423,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	run_statements(world, "strict", "READ job-1", 12);
 	mark_primary_down(world);
 	g_assert_cmpuint(world->promote_count, ==, 0);
@@ -441,7 +441,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	run_statements(world, "strict", "READ job-1", 12);
 	for (int i = 0; i < 3; i++) {
 		mark_primary_down(world);
@@ -456,7 +456,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->db->members[0].fail_percent = 10;
 	run_statements(world, "strict", "WRITE job-1 a", 600);
 	g_assert_cmpuint(world->promote_count, ==, 0);
@@ -482,12 +482,12 @@
 	pool_world_t *world = world_create(3, NULL);
 	usec_t end;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	run_statements(world, "strict", "WRITE job-1 a", 12);
 	for (size_t i = 0; i < 3; i++)
 		mark_primary_failing(world->nodes[i].pooler, current_time(world));
 	end = current_time(world) + 2 * SEC;
-	while (world_permitted(world, "core-0") == 3 && current_time(world) < end)
+	while (world_count_permitted(world, "core-0") == 3 && current_time(world) < end)
 		world_run(world, MSEC);
 	for (size_t i = 0; i < 2; i++)
 		member_find(world->nodes[i].pooler, "core-0")->outlier.failing_until = 0;
@@ -507,7 +507,7 @@
 		pool_world_t *world = world_create(3, NULL);
 		char id[16];
 
-		world_settle(world);
+		world_wait_until_ready(world);
 		snprintf(id, sizeof(id), "core-%zu", failing);
 		for (size_t i = 0; i < 3; i++) {
 			pooler_t *pooler = world->nodes[i].pooler;
@@ -529,7 +529,7 @@
 		pool_world_t *world = world_create(3, NULL);
 		char id[16];
 
-		world_settle(world);
+		world_wait_until_ready(world);
 		snprintf(id, sizeof(id), "core-%zu", slow);
 		for (size_t i = 0; i < 3; i++) {
 			pooler_t *pooler = world->nodes[i].pooler;
@@ -549,7 +549,7 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (int i = 0; i < 40; i++) {
 		member_t *primary = member_find(world->nodes[0].pooler, "core-0");
 
@@ -571,7 +571,7 @@
 	pool_world_t *world = world_create(3, NULL);
 	usec_t end;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 3; i++)
 		world->db->members[i].fail_percent = 60;
 	end = current_time(world) + 25 * SEC;
--- a/tests/test_pooler_parts.c
+++ b/tests/test_pooler_parts.c
@@ -242,11 +242,11 @@
 {
 	followed_t *self = followed_create();
 
-	self->store->deaf_watches = true;
+	self->store->watches_stalled = true;
 	fake_kv_put(self->store, "servers/b", "1");
 	fake_kv_put(self->store, "servers/a", NULL);
 	fake_kv_compact(self->store);
-	self->store->deaf_watches = false;
+	self->store->watches_stalled = false;
 	run_for(self, 4 * SEC);
 	g_assert_cmpstr(seen(self, "servers/b"), ==, "1");
 	g_assert_null(seen(self, "servers/a"));
@@ -275,7 +275,7 @@
 {
 	followed_t *self = followed_create();
 
-	self->store->deaf_watches = true;
+	self->store->watches_stalled = true;
 	fake_kv_put(self->store, "servers/a", "2");
 	run_for(self, 500 * MSEC);
 	g_assert_cmpstr(seen(self, "servers/a"), ==, "1");
@@ -323,7 +323,7 @@
 	/* The watch has ended, and the read that follows is in flight. */
 	run_for(self, 2 * USEC_PER_MSEC);
 	g_assert_cmpint(self->follow.revision, ==, 0);
-	self->client.refused = true;
+	self->client.calls_refused = true;
 	follow_set_from_peer(&self->follow, true);
 	run_for(self, 1 * SEC);
 	follow_apply_changes(&self->follow, &told);
@@ -366,7 +366,7 @@
 
 	run_for(self, 100 * USEC_PER_MSEC);
 	g_assert_cmpuint(follow_unanswered_time(&self->follow), ==, 0);
-	self->client.refused = true;
+	self->client.calls_refused = true;
 	follow_refresh(&self->follow);
 	run_for(self, 1 * SEC);
 	g_assert_cmpuint(follow_unanswered_time(&self->follow), >=, 900 * USEC_PER_MSEC);
@@ -381,7 +381,7 @@
 	followed_t *self = followed_create();
 
 	run_for(self, 100 * USEC_PER_MSEC);
-	self->client.unwatched = true;
+	self->client.watches_refused = true;
 	/* The watch that is already open is answered once more. */
 	fake_kv_put(self->store, "servers/a", "1");
 	run_for(self, 500 * USEC_PER_MSEC);
@@ -557,10 +557,10 @@
 	followed_t *fed = followed_create_fed(false);
 
 	send_changes(peer, fed);
-	peer->store->deaf_watches = true;
+	peer->store->watches_stalled = true;
 	fake_kv_put(peer->store, "servers/a", NULL);
 	fake_kv_drop_events(peer->store);
-	peer->store->deaf_watches = false;
+	peer->store->watches_stalled = false;
 	fake_kv_put(peer->store, "servers/b", "1");
 	run_for(peer, 50 * MSEC);
 	send_changes(peer, fed);
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -30,19 +30,19 @@
 	world_caller_t *caller;
 	usec_t start;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_run(world, 200 * MSEC);
 	start = clock_now(&world->clock.base);
 	world_crash_member(world, 0);
-	while (!g_str_has_prefix(world_ask(caller, "WRITE job-1 b"), "DONE")) {
+	while (!g_str_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE")) {
 		world_run(world, 10 * MSEC);
 		g_assert_cmpuint(clock_now(&world->clock.base) - start, <, 4 * SEC);
 	}
 	g_assert_cmpuint(clock_now(&world->clock.base) - start, <, 2 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW b");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW b");
 	world_destroy(world);
 }
 
@@ -57,22 +57,22 @@
 	world_caller_t *callers[3];
 	const char *promoted;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 3; i++) {
-		callers[i] = world_open(world, i);
-		world_ask(callers[i], "WRITE job-1 a");
+		callers[i] = world_open_session(world, i);
+		world_send_and_wait(callers[i], "WRITE job-1 a");
 	}
 	world_crash_member(world, 0);
 	for (size_t i = 0; i < 3; i++)
 		world_send(callers[i], "WRITE job-1 b");
 	while (world->db->promoted_at == 0)
 		world_run(world, MSEC);
-	promoted = fake_leader(world->db)->id;
-	while (world_permitted(world, promoted) != 3)
+	promoted = fake_db_primary(world->db)->id;
+	while (world_count_permitted(world, promoted) != 3)
 		world_run(world, MSEC);
 	for (int i = 0; i < 1500; i++) {
 		world_run(world, MSEC);
-		g_assert_cmpuint(world_permitted(world, promoted), ==, 3);
+		g_assert_cmpuint(world_count_permitted(world, promoted), ==, 3);
 	}
 	world_destroy(world);
 }
@@ -87,17 +87,17 @@
 	world_caller_t *caller;
 	char id[40];
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world->db->members[0].leaving = true;
-	world_publish(world);
+	world_publish_directory(world);
 	world_run(world, 3 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
-	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 1);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
-	g_assert_cmpstr(last_run(world, caller->id)->member, !=, "core-0");
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 1);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
+	g_assert_cmpstr(find_last_run(world, caller->id)->member, !=, "core-0");
 	world_destroy(world);
 }
 
@@ -110,17 +110,17 @@
 	world_caller_t *caller;
 	char id[40];
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world->db->members[1].deaf = true;
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world->db->members[1].isolated = true;
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world_run(world, 100 * MSEC);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW a");
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW a");
 	world_crash_member(world, 0);
 	world_run(world, 4 * SEC);
-	g_assert_cmpstr(fake_leader(world->db)->id, ==, "core-2");
-	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 1);
+	g_assert_cmpstr(fake_db_primary(world->db)->id, ==, "core-2");
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 1);
 	world_destroy(world);
 }
 
@@ -138,10 +138,10 @@
 
 	world->sync_replicas = true;
 	world->config_version++;
-	world_settle(world);
-	caller = world_open(world, 0);
-	world->db->members[2].deaf = true;
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world->db->members[2].isolated = true;
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world_run(world, 200 * MSEC);
 	world_crash_member(world, 1);
@@ -152,11 +152,11 @@
 	world_crash_member(world, 0);
 	world_run(world, 8 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 0);
-	fake_start(&world->db->members[1]);
+	fake_member_start(&world->db->members[1]);
 	world->db->members[1].unlisted = false;
 	world_run(world, 3 * SEC);
-	g_assert_cmpstr(fake_leader(world->db)->id, ==, "core-1");
-	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 1);
+	g_assert_cmpstr(fake_db_primary(world->db)->id, ==, "core-1");
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 1);
 	world_destroy(world);
 }
 
@@ -173,25 +173,25 @@
 	size_t leader;
 	size_t other;
 
-	world_settle(world);
-	leader = find_holder(world);
-	other = find_other(world);
+	world_wait_until_ready(world);
+	leader = find_leader(world);
+	other = find_non_leader(world);
 	for (size_t i = 0; i < 3; i++) {
 		if (i != leader && i != other)
 			world_power_off(world, i);
 	}
-	caller = world_open(world, other);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
-	world_cut_members(world, leader, true);
-	world_cut_members(world, other, true);
-	for (int i = 0; i < 40 && world_permitted(world, "core-0") != 0; i++)
+	caller = world_open_session(world, other);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
+	world_set_members_unreachable(world, leader, true);
+	world_set_members_unreachable(world, other, true);
+	for (int i = 0; i < 40 && world_count_permitted(world, "core-0") != 0; i++)
 		world_run(world, 50 * MSEC);
-	g_assert_cmpuint(world_permitted(world, "core-0"), ==, 0);
-	world_cut_members(world, leader, false);
-	world_cut_members(world, other, false);
+	g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, 0);
+	world_set_members_unreachable(world, leader, false);
+	world_set_members_unreachable(world, other, false);
 	world_run(world, 600 * MSEC);
-	caller = world_open(world, other);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
+	caller = world_open_session(world, other);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
 }
@@ -207,19 +207,19 @@
 	world_caller_t *caller;
 	size_t stopped = 0;
 
-	world_settle(world);
-	caller = world_open(world, 2);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
-	world->nodes[2].kv.cut = true;
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 2);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
+	world->nodes[2].kv.unreachable = true;
 	world->nodes[2].cut_from_peers = true;
 	world->db->members[0].leaving = true;
 	/*
 	 * The other proxies see the primary as leaving and replace it; this one does not receive
 	 * that.
 	 */
-	world_publish(world);
+	world_publish_directory(world);
 	for (int i = 0; i < 150; i++) {
-		const char *reply = world_ask(caller, "WRITE job-1 b");
+		const char *reply = world_send_and_wait(caller, "WRITE job-1 b");
 
 		if (g_str_has_prefix(reply, "DONE core-0"))
 			g_assert_cmpuint(world->db->promoted_at, ==, 0);
@@ -241,11 +241,11 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 2);
-	world_ask(caller, "WRITE job-1 a");
-	world->db->members[1].deaf = true;
-	world->db->members[2].deaf = true;
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 2);
+	world_send_and_wait(caller, "WRITE job-1 a");
+	world->db->members[1].isolated = true;
+	world->db->members[2].isolated = true;
 	world_send(caller, "WRITE job-1 b");
 	world_run(world,
 		  5 * MSEC); /* the statement is at the member, its reply has not arrived yet */
@@ -256,7 +256,7 @@
 	g_assert_cmpuint(world->db->promoted_at, !=, 0);
 	world_thaw(world, 2);
 	world_run(world, 100 * MSEC);
-	assert_begins(caller->reply, "ERR INDOUBT");
+	assert_has_prefix(caller->reply, "ERR INDOUBT");
 	world_destroy(world);
 }
 
@@ -271,28 +271,32 @@
 	const char *second;
 	char id[40];
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "WRITE job-1 a");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "WRITE job-1 a");
 	world->db->members[0].leaving = true;
 	world_run(world, 200 * MSEC);
-	world->db->members[0].deaf = true;
+	world->db->members[0].isolated = true;
 	world_run(world, 4 * SEC);
-	second = fake_leader(world->db)->id;
+	second = fake_db_primary(world->db)->id;
 	g_assert_cmpstr(second, !=, "core-0");
 	world->db->members[0].leaving = false;
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE");
 	snprintf(id, sizeof(id), "%s", caller->id);
 	world_run(world, SEC);
-	world_crash_member(world, (size_t)(fake_find(world->db, second) - world->db->members));
-	world_ask(caller, "WRITE job-1 c");
+	world_crash_member(world,
+			   (size_t)(fake_db_find_member(world->db, second) - world->db->members));
+	world_send_and_wait(caller, "WRITE job-1 c");
 	world_run(world, 5 * SEC);
 	g_assert_true(world->db->members[0].primary);
-	assert_begins(world_ask(caller, "READ job-1"), "ROW b");
-	assert_begins(world_ask(caller, "WRITE job-1 d"), "DONE");
-	g_assert_cmpstr(last_run(world, caller->id)->member, !=, "core-0");
-	g_assert_cmpuint(fake_count(fake_find(world->db, last_run(world, caller->id)->member), id),
-			 ==, 1);
+	assert_has_prefix(world_send_and_wait(caller, "READ job-1"), "ROW b");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 d"), "DONE");
+	g_assert_cmpstr(find_last_run(world, caller->id)->member, !=, "core-0");
+	g_assert_cmpuint(
+		fake_member_count_commits(
+			fake_db_find_member(world->db, find_last_run(world, caller->id)->member),
+			id),
+		==, 1);
 	world_destroy(world);
 }
 
@@ -306,14 +310,14 @@
 	world_caller_t *caller;
 	size_t leader;
 
-	world_settle(world);
-	leader = find_holder(world);
-	caller = world_open(world, (leader + 1) % 5);
-	world_ask(caller, "WRITE job-1 a");
+	world_wait_until_ready(world);
+	leader = find_leader(world);
+	caller = world_open_session(world, (leader + 1) % 5);
+	world_send_and_wait(caller, "WRITE job-1 a");
 	world_freeze(world, leader);
 	world_crash_member(world, 0);
 	world_run(world, 5600 * MSEC);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	world_thaw(world, leader);
 	world_run(world, 3 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
@@ -341,15 +345,15 @@
 	char *text;
 	kv_write_t write = {.key = "fleet/roster"};
 
-	world_settle(world);
-	leader = find_holder(world);
+	world_wait_until_ready(world);
+	leader = find_leader(world);
 	world_crash_member(world, 0);
 	while (change_step_of(world, leader) != CHANGE_COMMITTING)
 		world_run(world, MSEC);
 	write.expected = world->nodes[leader].pooler->sync.roster->revision;
 	text = talloc_strdup(NULL, roster_encode(world->nodes[leader].pooler->sync.roster));
 	write.value = text;
-	world->nodes[leader].kv.cut = true;
+	world->nodes[leader].kv.unreachable = true;
 	world_kill(world, leader);
 	while (change_step_of(world, next) != CHANGE_SURVEYING) {
 		next = (next + 1) % world->node_count;
@@ -375,25 +379,26 @@
 	fake_member_t *target;
 	char id[40];
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "WRITE job-1 a");
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "WRITE job-1 a");
 	world->db->members[0].leaving = true;
 	while (world->db->promoted_at == 0)
 		world_run(world, MSEC);
-	target = fake_leader(world->db);
+	target = fake_db_primary(world->db);
 	world_crash_member(world, (size_t)(target - world->db->members));
 	world->db->members[0].leaving = false;
-	world->db->members[0].deaf = true; /* cut off from the member that is down anyway */
-	for (int i = 0; i < 100 && !g_str_has_prefix(world_ask(caller, "WRITE job-1 b"), "DONE");
+	world->db->members[0].isolated = true; /* cut off from the member that is down anyway */
+	for (int i = 0;
+	     i < 100 && !g_str_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE");
 	     i++)
 		world_run(world, 100 * MSEC);
-	assert_begins(caller->reply, "DONE");
+	assert_has_prefix(caller->reply, "DONE");
 	snprintf(id, sizeof(id), "%s", caller->id);
-	fake_start(target);
-	world->db->members[0].deaf = false;
+	fake_member_start(target);
+	world->db->members[0].isolated = false;
 	world_run(world, 5 * SEC);
-	g_assert_cmpuint(fake_count(fake_leader(world->db), id), ==, 1);
+	g_assert_cmpuint(fake_member_count_commits(fake_db_primary(world->db), id), ==, 1);
 	world_destroy(world);
 }
 
@@ -404,16 +409,17 @@
 	world_caller_t *caller;
 	size_t leader;
 
-	world_settle(world);
-	leader = find_holder(world);
+	world_wait_until_ready(world);
+	leader = find_leader(world);
 	world_kill(world, leader);
 	world_crash_member(world, 0);
 	world_run(world, 8 * SEC);
 	g_assert_cmpuint(world->promote_count, >=, 1);
-	caller = world_open(world, (leader + 1) % 3);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
+	caller = world_open_session(world, (leader + 1) % 3);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	for (size_t i = 1; i < world->promote_count; i++)
-		g_assert_cmpuint(world->promotes[i].fence, >=, world->promotes[i - 1].fence);
+		g_assert_cmpuint(world->promotes[i].fencing_token, >=,
+				 world->promotes[i - 1].fencing_token);
 	world_destroy(world);
 }
 
@@ -427,15 +433,15 @@
 	world_caller_t *caller;
 	size_t dead;
 
-	world_settle(world);
-	dead = find_other(world);
+	world_wait_until_ready(world);
+	dead = find_non_leader(world);
 	world_kill(world, dead);
 	world_run(world, SEC);
-	caller = world_open(world, 8);
+	caller = world_open_session(world, 8);
 	world_crash_member(world, 0);
-	world_ask(caller, "WRITE job-1 a");
+	world_send_and_wait(caller, "WRITE job-1 a");
 	world_run(world, 4500 * MSEC);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	world_destroy(world);
 }
 
@@ -451,24 +457,24 @@
 	size_t leader;
 	usec_t lost_at;
 
-	world_settle(world);
-	leader = find_holder(world);
-	caller = world_open(world, (leader + 1) % 3);
+	world_wait_until_ready(world);
+	leader = find_leader(world);
+	caller = world_open_session(world, (leader + 1) % 3);
 	world_crash_member(world, 0);
 	while (change_step_of(world, leader) != CHANGE_RELEASING)
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = i != leader;
-	fake_kv_revoke(world->kv, "fleet/holder");
+		world->nodes[i].kv.unreachable = i != leader;
+	fake_kv_delete_key(world->kv, "fleet/holder");
 	leader_step_down(world->nodes[leader].pooler, "test");
 	lost_at = clock_now(&world->clock.base);
 	while (world->promote_count == 0)
 		world_run(world, MSEC);
 	g_assert_cmpuint(clock_now(&world->clock.base) - lost_at, <, 1500 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = false;
+		world->nodes[i].kv.unreachable = false;
 	world_run(world, 2 * SEC);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
 	world_destroy(world);
 }
 
@@ -485,8 +491,8 @@
 	size_t first;
 	size_t second;
 
-	world_settle(world);
-	first = find_holder(world);
+	world_wait_until_ready(world);
+	first = find_leader(world);
 	world->db->members[0].leaving = true;
 	while (world->promote_count == 0)
 		world_run(world, MSEC);
@@ -498,22 +504,22 @@
 		second = (second + 1) % 3;
 	}
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = i != second;
-	fake_kv_revoke(world->kv, "fleet/holder");
+		world->nodes[i].kv.unreachable = i != second;
+	fake_kv_delete_key(world->kv, "fleet/holder");
 	leader_step_down(world->nodes[second].pooler, "test");
-	while (!holds_duty(world, second))
+	while (!is_leader(world, second))
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = false;
+		world->nodes[i].kv.unreachable = false;
 	for (int i = 0; i < 100; i++) {
 		world_run(world, 30 * MSEC);
 		if (world->db->promoted_at != 0)
-			g_assert_cmpuint(world_permitted(world, "core-0"), ==, 0);
+			g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, 0);
 	}
 	world_thaw(world, first);
 	world_run(world, 4 * SEC);
-	g_assert_cmpstr(fake_leader(world->db)->id, !=, "core-0");
-	g_assert_cmpuint(world_permitted(world, fake_leader(world->db)->id), ==, 3);
+	g_assert_cmpstr(fake_db_primary(world->db)->id, !=, "core-0");
+	g_assert_cmpuint(world_count_permitted(world, fake_db_primary(world->db)->id), ==, 3);
 	world_destroy(world);
 }
 
@@ -529,15 +535,15 @@
 	world_caller_t *caller;
 	size_t leader;
 
-	world_settle(world);
-	leader = find_holder(world);
-	caller = world_open(world, find_other(world));
+	world_wait_until_ready(world);
+	leader = find_leader(world);
+	caller = world_open_session(world, find_non_leader(world));
 	world_crash_member(world, 0);
 	while (world->promote_count == 0)
 		world_run(world, MSEC);
 	world_kill(world, leader);
 	world_run(world, 8 * SEC);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
 	g_assert_cmpuint(world->promote_count, ==, 1);
 	world_destroy(world);
 }
@@ -546,15 +552,15 @@
 static void make_newcomer_leader(pool_world_t *world, size_t newcomer)
 {
 	world_kill(world, newcomer);
-	world_start(world, newcomer);
+	world_start_proxy(world, newcomer);
 	world_run(world, 300 * MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = i != newcomer;
-	fake_kv_revoke(world->kv, "fleet/holder");
-	while (!holds_duty(world, newcomer))
+		world->nodes[i].kv.unreachable = i != newcomer;
+	fake_kv_delete_key(world->kv, "fleet/holder");
+	while (!is_leader(world, newcomer))
 		world_run(world, MSEC);
 	for (size_t i = 0; i < world->node_count; i++)
-		world->nodes[i].kv.cut = false;
+		world->nodes[i].kv.unreachable = false;
 }
 
 /*
@@ -567,16 +573,16 @@
 	pool_world_t *world = world_create(5, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 15 * SEC);
 	world_kill(world, 4);
 	make_newcomer_leader(world, 1);
-	caller = world_open(world, 2);
+	caller = world_open_session(world, 2);
 	world->db->members[0].leaving = true;
-	world_publish(world);
+	world_publish_directory(world);
 	world_run(world, 3500 * MSEC);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-");
-	g_assert_cmpstr(last_run(world, caller->id)->member, !=, "core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
+	g_assert_cmpstr(find_last_run(world, caller->id)->member, !=, "core-0");
 	world_destroy(world);
 }
 
@@ -591,15 +597,15 @@
 	pool_world_t *world = world_create(5, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->db->members[0].unlisted = true;
 	make_newcomer_leader(world, 1);
 	world_run(world, 2 * SEC);
 	world->db->members[0].unlisted = false;
 	world_run(world, 3 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 0);
-	caller = world_open(world, 2);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	caller = world_open_session(world, 2);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_destroy(world);
 }
 
@@ -612,11 +618,11 @@
 {
 	pool_world_t *world = world_create(4, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 15 * SEC);
 	g_assert_cmpuint(permit_count_listed(world->nodes[1].pooler), ==, 4);
 	world_kill(world, 1);
-	world_start(world, 1);
+	world_start_proxy(world, 1);
 	world_run(world, 2 * SEC);
 	g_assert_cmpuint(permit_count_listed(world->nodes[1].pooler), ==, 0);
 	world_run(world, 15 * SEC);
@@ -636,16 +642,16 @@
 	world_caller_t *caller;
 	size_t dead;
 
-	world_settle(world);
-	dead = find_other(world);
+	world_wait_until_ready(world);
+	dead = find_non_leader(world);
 	world_kill(world, dead);
 	world_run(world, 9 * SEC);
-	caller = world_open(world, 5);
+	caller = world_open_session(world, 5);
 	world->db->members[0].leaving = true;
-	world_publish(world);
+	world_publish_directory(world);
 	world_run(world, 1500 * MSEC);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-");
-	g_assert_cmpstr(last_run(world, caller->id)->member, !=, "core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-");
+	g_assert_cmpstr(find_last_run(world, caller->id)->member, !=, "core-0");
 	world_destroy(world);
 }
 
@@ -658,14 +664,14 @@
 	pool_world_t *world = world_create(3, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	world_ask(caller, "WRITE job-1 a");
-	world->lose_promotes = 1;
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	world_send_and_wait(caller, "WRITE job-1 a");
+	world->lose_promote_answers = 1;
 	world_crash_member(world, 0);
 	world_run(world, 4 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	world_destroy(world);
 }
 
@@ -677,11 +683,11 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
-	world->stale_directory = true;
+	world_wait_until_ready(world);
+	world->directory_is_frozen = true;
 	world_crash_member(world, 0);
 	/* No proxy has used the member since, so none has noticed the crash yet. */
-	world_ask(world_open(world, 0), "WRITE job-1 a");
+	world_send_and_wait(world_open_session(world, 0), "WRITE job-1 a");
 	world_run(world, 3 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
 	world_run(world, 10 * SEC);
--- a/tests/test_pooler_relay.c
+++ b/tests/test_pooler_relay.c
@@ -26,11 +26,11 @@
 	usec_t start = clock_now(&world->clock.base);
 
 	for (int i = 0; i < 2000; i++) {
-		const fake_member_t *primary = fake_leader(world->db);
+		const fake_member_t *primary = fake_db_primary(world->db);
 
 		world_run(world, 10 * MSEC);
 		if (primary != NULL && primary != &world->db->members[0] &&
-		    world_permitted(world, primary->id) == world->node_count)
+		    world_count_permitted(world, primary->id) == world->node_count)
 			return clock_now(&world->clock.base) - start;
 	}
 	g_assert_not_reached();
@@ -48,16 +48,16 @@
 	size_t leader;
 	uint64_t fence;
 
-	world_settle(world);
-	leader = find_holder(world);
+	world_wait_until_ready(world);
+	leader = find_leader(world);
 	fence = world->nodes[leader].pooler->sync.own_token;
 	world->db->members[0].leaving = true;
 	while (change_step(world, leader) != CHANGE_RELEASING)
 		world_run(world, MSEC);
-	world->nodes[leader].kv.cut = true;
+	world->nodes[leader].kv.unreachable = true;
 	g_assert_cmpuint(time_to_change(world), <, 2 * SEC);
 	world_run(world, 10 * SEC);
-	g_assert_true(holds_duty(world, leader));
+	g_assert_true(is_leader(world, leader));
 	g_assert_cmpuint(world->nodes[leader].pooler->sync.own_token, ==, fence);
 	world_destroy(world);
 }
@@ -71,16 +71,16 @@
 	pool_world_t *world = world_create(5, NULL);
 	size_t leader;
 
-	world_settle(world);
-	leader = find_holder(world);
-	world->nodes[leader].kv.cut = true;
+	world_wait_until_ready(world);
+	leader = find_leader(world);
+	world->nodes[leader].kv.unreachable = true;
 	for (int i = 0; i < 3; i++) {
 		size_t victim = (leader + 1 + (size_t)i) % 5;
 
 		world_run(world, 1 * SEC);
 		world_freeze(world, victim);
 		world_run(world, 3 * SEC);
-		g_assert_true(holds_duty(world, leader));
+		g_assert_true(is_leader(world, leader));
 		world_thaw(world, victim);
 	}
 	world_destroy(world);
@@ -123,9 +123,9 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t node;
 
-	world_settle(world);
-	node = find_other(world);
-	world->kv->lose_answers = 1;
+	world_wait_until_ready(world);
+	node = find_non_leader(world);
+	world->kv->lose_commit_answers = 1;
 	g_assert_cmpint(commit(world, node).status, ==, KV_OUTCOME_UNKNOWN);
 	world_run(world, 1 * SEC);
 	g_assert_cmpstr(fake_kv_get(world->kv, "fleet/test"), ==, "a");
@@ -141,9 +141,9 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t node;
 
-	world_settle(world);
-	node = find_other(world);
-	world->nodes[node].kv.cut = true;
+	world_wait_until_ready(world);
+	node = find_non_leader(world);
+	world->nodes[node].kv.unreachable = true;
 	/*
 	 * The first commit gets no answer, by which the proxy detects that the store does not serve
 	 * it.
@@ -168,17 +168,17 @@
 	size_t node;
 	kv_t *kv;
 
-	world_settle(world);
-	node = find_other(world);
+	world_wait_until_ready(world);
+	node = find_non_leader(world);
 	kv = pooler_store(world->nodes[node].pooler);
-	world->nodes[node].kv.cut = true;
+	world->nodes[node].kv.unreachable = true;
 	g_assert_cmpint(commit(world, node).status, ==, KV_OUTCOME_UNKNOWN);
 	for (size_t i = 0; i < 3; i++)
 		world->nodes[i].cut_from_peers = true;
 	/* The proxy probes its own access a second after it was lost. */
 	world_run(world, 700 * MSEC);
 	kv->ops->range(kv, "fleet/", "", on_range, &status);
-	world->nodes[node].kv.cut = false;
+	world->nodes[node].kv.unreachable = false;
 	world_run(world, 400 * MSEC);
 	g_assert_false(relay_is_cut_off(world->nodes[node].pooler->relay));
 	g_assert_cmpint(status, ==, KV_OK);
@@ -193,10 +193,10 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world->kv->down = true;
 	world_run(world, 2 * SEC);
-	g_assert_cmpint(commit(world, find_other(world)).status, ==, KV_OUTCOME_UNKNOWN);
+	g_assert_cmpint(commit(world, find_non_leader(world)).status, ==, KV_OUTCOME_UNKNOWN);
 	world->kv->down = false;
 	world_run(world, 3 * SEC);
 	for (size_t i = 0; i < 3; i++)
@@ -215,14 +215,14 @@
 	pool_world_t *world = world_create(7, NULL);
 	world_caller_t *caller;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 4; i++) {
-		world->nodes[i].kv.cut = true;
-		world->nodes[i].island = 1;
+		world->nodes[i].kv.unreachable = true;
+		world->nodes[i].partition = 1;
 	}
-	caller = world_open(world, 0);
+	caller = world_open_session(world, 0);
 	for (int i = 0; i < 90; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 90 * MSEC);
 	}
 	world_destroy(world);
@@ -238,15 +238,15 @@
 	world_caller_t *caller;
 	bool stopped = false;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	for (size_t i = 0; i < 4; i++) {
-		world->nodes[i].kv.cut = true;
-		world->nodes[i].island = 1;
+		world->nodes[i].kv.unreachable = true;
+		world->nodes[i].partition = 1;
 	}
 	world->db->members[0].leaving = true;
-	caller = world_open(world, 0);
+	caller = world_open_session(world, 0);
 	for (int i = 0; i < 400; i++) {
-		const char *reply = world_ask(caller, "WRITE job-1 a");
+		const char *reply = world_send_and_wait(caller, "WRITE job-1 a");
 
 		if (g_str_has_prefix(reply, "DONE"))
 			g_assert_cmpuint(world->db->promoted_at, ==, 0);
@@ -278,8 +278,8 @@
 				  .cut_off = true,
 				  .store_request = &request};
 	void *parent = talloc_new(NULL);
-	char *text = fleet_encode(&message);
-	const peer_message_t *back = fleet_decode(parent, text, strlen(text));
+	char *text = peer_message_encode(&message);
+	const peer_message_t *back = peer_message_decode(parent, text, strlen(text));
 
 	g_assert_true(back->cut_off);
 	g_assert_cmpuint(back->store_request->count, ==, 2);
@@ -290,8 +290,8 @@
 	free(text);
 	message = (peer_message_t){
 		.kind = PEER_STORE_ANSWER, .from = "p", .address = "q", .store_answer = &answer};
-	text = fleet_encode(&message);
-	back = fleet_decode(parent, text, strlen(text));
+	text = peer_message_encode(&message);
+	back = peer_message_decode(parent, text, strlen(text));
 	g_assert_cmpint(back->store_answer->result.status, ==, KV_CONFLICT);
 	g_assert_cmpint(back->store_answer->result.as_of, ==, 8);
 	g_assert_cmpmem(back->store_answer->result.items[0].value,
--- a/tests/test_pooler_restore.c
+++ b/tests/test_pooler_restore.c
@@ -26,9 +26,9 @@
 {
 	pool_world_t *world = world_create(nodes, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	fake_kv_copy(world->kv);
+	fake_kv_make_backup(world->kv);
 	world_crash_member(world, 0);
 	run_until_promoted(world, 1);
 	return world;
@@ -42,9 +42,9 @@
 	bool served = false;
 
 	while (!served && clock_now(&world->clock.base) < end) {
-		world_caller_t *caller = world_open(world, node);
+		world_caller_t *caller = world_open_session(world, node);
 
-		served = g_str_has_prefix(world_ask(caller, "WRITE job-1 a"), done);
+		served = g_str_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), done);
 		world_leave(caller);
 		world_run(world, 20 * MSEC);
 	}
@@ -66,9 +66,9 @@
 	pool_world_t *world = make_failed_over(5);
 	g_autofree char *leader = g_strdup(last_promoted_member(world));
 
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	for (int i = 0; i < 40; i++) {
-		g_assert_true(is_served_by(world, find_other(world), leader, 10 * MSEC));
+		g_assert_true(is_served_by(world, find_non_leader(world), leader, 10 * MSEC));
 		world_run(world, 50 * MSEC);
 	}
 	world_run(world, SETTLED);
@@ -80,7 +80,7 @@
 		g_assert_cmpint(roster->era, ==, 1);
 		g_assert_cmpstr(roster_find_group(roster, WORLD_SERVICE)->primary, ==, leader);
 	}
-	g_assert_cmpuint(world_permitted(world, leader), ==, world->node_count);
+	g_assert_cmpuint(world_count_permitted(world, leader), ==, world->node_count);
 	world_destroy(world);
 }
 
@@ -89,14 +89,14 @@
 {
 	pool_world_t *world = make_failed_over(5);
 	g_autofree char *leader = g_strdup(last_promoted_member(world));
-	size_t holder = find_holder(world);
+	size_t holder = find_leader(world);
 
 	world_kill(world, holder);
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	g_assert_true(is_served_by(world, (holder + 1) % world->node_count, leader,
 				   PERMIT_LEASE_MAX + SETTLED));
 	world_run(world, SETTLED);
-	g_assert_cmpuint(world_permitted(world, leader), ==, world->node_count - 1);
+	g_assert_cmpuint(world_count_permitted(world, leader), ==, world->node_count - 1);
 	world_destroy(world);
 }
 
@@ -105,10 +105,10 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	fake_kv_copy(world->kv);
-	world->db->members[0].deaf = true;
+	fake_kv_make_backup(world->kv);
+	world->db->members[0].isolated = true;
 	world->db->members[0].leaving = true;
 	run_until_promoted(world, 1);
 	world->db->members[0].leaving = false;
@@ -119,10 +119,10 @@
 static void check_backup_unused(pool_world_t *world, size_t node)
 {
 	for (int i = 0; i < 60; i++) {
-		world_caller_t *caller = world_open(world, node);
+		world_caller_t *caller = world_open_session(world, node);
 
 		if (caller->caller != NULL) {
-			const char *reply = world_ask(caller, "WRITE job-1 a");
+			const char *reply = world_send_and_wait(caller, "WRITE job-1 a");
 
 			g_assert_false(g_str_has_prefix(reply, "DONE core-0"));
 		}
@@ -143,8 +143,8 @@
 	for (size_t i = 0; i < world->node_count; i++)
 		world_kill(world, i);
 	world_run(world, SEC);
-	fake_kv_restore(world->kv);
-	world_start(world, 1);
+	fake_kv_restore_backup(world->kv);
+	world_start_proxy(world, 1);
 	check_backup_unused(world, 1);
 	/* The other proxies, which do not come back, may have used it for this long. */
 	g_assert_true(is_served_by(world, 1, leader, PERMIT_LEASE_MAX + SETTLED));
@@ -160,13 +160,13 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t behind;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	fake_kv_copy(world->kv);
-	behind = find_other(world);
-	world->nodes[behind].kv.cut = true;
+	fake_kv_make_backup(world->kv);
+	behind = find_non_leader(world);
+	world->nodes[behind].kv.unreachable = true;
 	world->nodes[behind].cut_from_peers = true;
-	world->db->members[0].deaf = true;
+	world->db->members[0].isolated = true;
 	world->db->members[0].leaving = true;
 	run_until_promoted(world, 1);
 	world->db->members[0].leaving = false;
@@ -174,8 +174,8 @@
 		if (i != behind)
 			world_kill(world, i);
 	}
-	fake_kv_restore(world->kv);
-	world->nodes[behind].kv.cut = false;
+	fake_kv_restore_backup(world->kv);
+	world->nodes[behind].kv.unreachable = false;
 	world->nodes[behind].cut_from_peers = false;
 	check_backup_unused(world, behind);
 	world_destroy(world);
@@ -190,11 +190,11 @@
 	pool_world_t *world = make_failed_over(5);
 
 	world_run(world, 3 * SEC);
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	world_run(world, SETTLED);
 	world_crash_member(world, last_promoted_member(world)[strlen("core-")] - '0');
 	run_until_promoted(world, 2);
-	g_assert_cmpuint(world->promotes[1].fence, >, world->promotes[0].fence);
+	g_assert_cmpuint(world->promotes[1].fencing_token, >, world->promotes[0].fencing_token);
 	world_destroy(world);
 }
 
@@ -204,11 +204,11 @@
 	pool_world_t *world = make_failed_over(5);
 	g_autofree char *leader = g_strdup(last_promoted_member(world));
 
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	world_run(world, SEC / 2);
-	fake_kv_restore(world->kv);
+	fake_kv_restore_backup(world->kv);
 	world_run(world, SETTLED);
-	g_assert_cmpuint(world_permitted(world, leader), ==, world->node_count);
+	g_assert_cmpuint(world_count_permitted(world, leader), ==, world->node_count);
 	g_assert_cmpint(kv_era(world->nodes[0].pooler->sync.roster->revision), ==, 2);
 	world_destroy(world);
 }
@@ -224,7 +224,7 @@
 	usec_t proved;
 	peer_message_t message = {.kind = PEER_PING, .from = "p9", .address = "10.0.0.9:1"};
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	pooler = world->nodes[0].pooler;
 	pooler_on_config_confirmed(pooler, now_of(pooler));
 	proved = cache_validity_age(&pooler->config_validity, now_of(pooler));
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -24,7 +24,7 @@
 {
 	pool_world_t *world = world_create(FLEET, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
 	return world;
 }
@@ -48,7 +48,7 @@
 static size_t find_ordinary_proxy(const pool_world_t *world, size_t beside)
 {
 	for (size_t i = 0; i < FLEET; i++) {
-		if (i != beside && !holds_duty(world, i) &&
+		if (i != beside && !is_leader(world, i) &&
 		    !upstream_is_hub(world->nodes[i].pooler) &&
 		    (beside == FLEET ||
 		     strcmp(world->nodes[i].zone, world->nodes[beside].zone) == 0))
@@ -60,7 +60,7 @@
 static size_t find_hub(const pool_world_t *world)
 {
 	for (size_t i = 0; i < FLEET; i++) {
-		if (!holds_duty(world, i) && upstream_is_hub(world->nodes[i].pooler))
+		if (!is_leader(world, i) && upstream_is_hub(world->nodes[i].pooler))
 			return i;
 	}
 	g_assert_not_reached();
@@ -79,8 +79,8 @@
 		hubs += upstream_is_hub(world->nodes[i].pooler);
 	g_assert_cmpuint(hubs, ==, 3);
 	world_run(world, 2 * SEC);
-	g_assert_cmpuint(count_downstream(world, find_holder(world)), <=, hubs + FLEET / 3 + 1);
-	g_assert_cmpuint(world_permitted(world, "core-0"), ==, FLEET);
+	g_assert_cmpuint(count_downstream(world, find_leader(world)), <=, hubs + FLEET / 3 + 1);
+	g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, FLEET);
 	world_destroy(world);
 }
 
@@ -92,11 +92,11 @@
 {
 	pool_world_t *world = make_fleet();
 	size_t hub = find_hub(world);
-	world_caller_t *caller = world_open(world, find_ordinary_proxy(world, hub));
+	world_caller_t *caller = world_open_session(world, find_ordinary_proxy(world, hub));
 
 	world_kill(world, hub);
 	for (int i = 0; i < 100; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 46 * MSEC);
 	}
 	world_destroy(world);
@@ -107,13 +107,13 @@
 {
 	pool_world_t *world = make_fleet();
 	size_t hub = find_hub(world);
-	world_caller_t *caller = world_open(world, find_ordinary_proxy(world, hub));
+	world_caller_t *caller = world_open_session(world, find_ordinary_proxy(world, hub));
 
 	world_freeze(world, hub);
 	for (int i = 0; i < 100; i++) {
 		if (i == 60)
 			world_thaw(world, hub);
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 		world_run(world, 46 * MSEC);
 	}
 	world_destroy(world);
@@ -131,7 +131,7 @@
 	pooler_t *pooler = world->nodes[plain].pooler;
 
 	g_assert_cmpstr(pooler->sync.upstream, ==, world->nodes[hub].name);
-	world->nodes[plain].kv.cut = true;
+	world->nodes[plain].kv.unreachable = true;
 	sync_set_leader(pooler, world->nodes[hub].name, world->nodes[hub].address,
 			pooler->sync.fencing_token + 1);
 	world_freeze(world, hub);
@@ -150,7 +150,7 @@
 	size_t plain;
 	size_t links = 0;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
 	plain = find_ordinary_proxy(world, FLEET);
 	world->kv->down = true;
@@ -158,10 +158,10 @@
 		if (i != plain)
 			world_freeze(world, i);
 	}
-	world->new_links = true;
+	world->links_need_setup = true;
 	world_run(world, WIDE_FLEET * ASK_QUERY_INTERVAL);
 	for (size_t i = 0; i < WIDE_FLEET; i++)
-		links += world->nodes[plain].link_at[i] != 0;
+		links += world->nodes[plain].link_ready_at[i] != 0;
 	g_assert_cmpuint(links, >=, 10);
 	g_assert_cmpuint(links, <=, 32);
 	world_destroy(world);
@@ -174,17 +174,17 @@
 static void test_store_down(void)
 {
 	pool_world_t *world = make_fleet();
-	world_caller_t *caller = world_open(world, find_ordinary_proxy(world, FLEET));
+	world_caller_t *caller = world_open_session(world, find_ordinary_proxy(world, FLEET));
 
 	world->kv->down = true;
 	for (int i = 0; i < 90; i++) {
-		assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
-		g_assert_cmpuint(world_permitted(world, "core-0"), ==, FLEET);
+		assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
+		g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, FLEET);
 		world_run(world, 94 * MSEC);
 	}
 	world->kv->down = false;
 	world_run(world, 4 * SEC);
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-0");
 	g_assert_cmpuint(world->promote_count, ==, 0);
 	world_destroy(world);
 }
@@ -237,21 +237,21 @@
  */
 static void test_leader_stays_away(void)
 {
-	pool_world_t *world = world_create(WORLD_FLEET, NULL);
+	pool_world_t *world = world_create(WORLD_LARGE_FLEET, NULL);
 	size_t leader;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	leader = find_holder(world);
-	for (size_t i = 0; i < WORLD_FLEET; i++)
+	leader = find_leader(world);
+	for (size_t i = 0; i < WORLD_LARGE_FLEET; i++)
 		world_power_off(world, i);
 	world_run(world, 100 * MSEC);
-	for (size_t i = 0; i < WORLD_FLEET; i++) {
+	for (size_t i = 0; i < WORLD_LARGE_FLEET; i++) {
 		if (i != leader)
-			world_start(world, i);
+			world_start_proxy(world, i);
 	}
 	world_run(world, 500 * MSEC);
-	g_assert_cmpuint(count_registered(world), ==, WORLD_FLEET - 1);
+	g_assert_cmpuint(count_registered_proxies(world), ==, WORLD_LARGE_FLEET - 1);
 	world_destroy(world);
 }
 
@@ -262,13 +262,13 @@
 static void test_primary_crashes(void)
 {
 	pool_world_t *world = make_fleet();
-	world_caller_t *caller = world_open(world, find_ordinary_proxy(world, FLEET));
+	world_caller_t *caller = world_open_session(world, find_ordinary_proxy(world, FLEET));
 
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
 	world_crash_member(world, 0);
 	world_run(world, 2 * SEC);
-	caller = world_open(world, find_ordinary_proxy(world, FLEET));
-	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-");
+	caller = world_open_session(world, find_ordinary_proxy(world, FLEET));
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 b"), "DONE core-");
 	g_assert_cmpuint(world->promote_count, ==, 1);
 	world_destroy(world);
 }
@@ -283,14 +283,14 @@
 	pool_world_t *world = make_fleet();
 	size_t cut = find_ordinary_proxy(world, FLEET);
 
-	world->nodes[cut].kv.cut = true;
+	world->nodes[cut].kv.unreachable = true;
 	world->nodes[cut].cut_from_peers = true;
 	world->db->members[0].leaving = true;
-	world_publish(world);
+	world_publish_directory(world);
 	for (int i = 0; i < 400 && world->promote_count == 0; i++)
 		world_run(world, 50 * MSEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
-	g_assert_cmpuint(world_permitted(world, "core-0"), ==, 0);
+	g_assert_cmpuint(world_count_permitted(world, "core-0"), ==, 0);
 	world_destroy(world);
 }
 
@@ -337,7 +337,7 @@
 			   .prefix = "op/"};
 	follow_t members = config;
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	pooler = world->nodes[0].pooler;
 	fake_kv_put(world->kv, "op/config", "{}");
 	members.prefix = "servers/";
@@ -366,22 +366,22 @@
 static void test_pushes_are_spaced(void)
 {
 	pool_world_t *world = make_fleet();
-	world_node_t *leader = &world->nodes[find_holder(world)];
+	world_node_t *leader = &world->nodes[find_leader(world)];
 	size_t before;
 	size_t each;
 
 	leader->pooler->sync.proxy_count = LARGE_FLEET;
-	before = leader->messages;
+	before = leader->messages_sent;
 	push_fleet(leader->pooler);
-	each = leader->messages - before;
+	each = leader->messages_sent - before;
 	g_assert_cmpuint(each, >, 0);
 	push_fleet(leader->pooler);
 	push_fleet(leader->pooler);
-	g_assert_cmpuint(leader->messages - before, ==, each);
+	g_assert_cmpuint(leader->messages_sent - before, ==, each);
 	g_assert_cmpuint(push_interval(leader->pooler), ==, 100 * MSEC);
 	world_run(world, 160 * MSEC);
 	g_assert_cmpint(leader->pooler->sync.push_pending, ==, PUSH_NONE);
-	g_assert_cmpuint(leader->messages - before, >=, 2 * each);
+	g_assert_cmpuint(leader->messages_sent - before, >=, 2 * each);
 	world_destroy(world);
 }
 
@@ -395,14 +395,14 @@
 
 	world_run(world, 5 * SEC);
 	g_assert_cmpuint(pooler->tick_due - pooler->last_tick, ==, 250 * MSEC);
-	g_assert_cmpuint(world->nodes[find_holder(world)].pooler->tick_due -
-				 world->nodes[find_holder(world)].pooler->last_tick,
+	g_assert_cmpuint(world->nodes[find_leader(world)].pooler->tick_due -
+				 world->nodes[find_leader(world)].pooler->last_tick,
 			 ==, 50 * MSEC);
-	caller = world_open(world, plain);
+	caller = world_open_session(world, plain);
 	world_send(caller, "WRITE job-1 a");
 	g_assert_cmpuint(pooler->tick_due, <=, now_of(pooler) + 50 * MSEC);
 	world_run(world, SEC);
-	assert_begins(caller->reply, "DONE core-0");
+	assert_has_prefix(caller->reply, "DONE core-0");
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_verdict.c
+++ b/tests/test_pooler_verdict.c
@@ -15,12 +15,13 @@
 {
 	pool_world_t *world = world_create(4, NULL);
 
-	world_settle(world);
-	world_cut_members(world, find_holder(world), true);
+	world_wait_until_ready(world);
+	world_set_members_unreachable(world, find_leader(world), true);
 	world_run(world, 6 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 0);
-	assert_begins(world_ask(world_open(world, find_other(world)), "WRITE job-1 a"),
-		      "DONE core-0");
+	assert_has_prefix(world_send_and_wait(world_open_session(world, find_non_leader(world)),
+					      "WRITE job-1 a"),
+			  "DONE core-0");
 	world_destroy(world);
 }
 
@@ -29,9 +30,9 @@
 {
 	pool_world_t *world = world_create(4, NULL);
 
-	world_settle(world);
+	world_wait_until_ready(world);
 	world_run(world, 2 * SEC);
-	world->stale_directory = true;
+	world->directory_is_frozen = true;
 	world_crash_member(world, 0);
 	world_run(world, 4 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
@@ -50,19 +51,19 @@
 		.members = 3,
 		.slots = 2,
 		.max_connections = 3,
-		.work = 4 * MSEC,
-		.open = 12 * MSEC,
-		.promote = 1000 * MSEC,
+		.service_time = 4 * MSEC,
+		.connect_time = 12 * MSEC,
+		.promote_delay = 1000 * MSEC,
 	};
 	pool_world_t *world = world_create(2, &config);
 	world_caller_t *caller;
 
-	world_settle(world);
-	caller = world_open(world, 0);
-	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
-	world->stale_directory = true;
+	world_wait_until_ready(world);
+	caller = world_open_session(world, 0);
+	assert_has_prefix(world_send_and_wait(caller, "WRITE job-1 a"), "DONE core-0");
+	world->directory_is_frozen = true;
 	world_crash_member(world, 0);
-	world_ask(caller, "WRITE job-1 b");
+	world_send_and_wait(caller, "WRITE job-1 b");
 	world_run(world, 4 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
 	world_destroy(world);
@@ -74,17 +75,18 @@
 	pool_world_t *world = world_create(3, NULL);
 	size_t leader;
 
-	world_settle(world);
-	leader = find_holder(world);
+	world_wait_until_ready(world);
+	leader = find_leader(world);
 	for (size_t i = 0; i < 3; i++) {
 		if (i != leader)
 			world_kill(world, i);
 	}
-	world->stale_directory = true;
+	world->directory_is_frozen = true;
 	world_crash_member(world, 0);
 	world_run(world, 20 * SEC);
 	g_assert_cmpuint(world->promote_count, ==, 1);
-	assert_begins(world_ask(world_open(world, leader), "WRITE job-1 a"), "DONE core-");
+	assert_has_prefix(world_send_and_wait(world_open_session(world, leader), "WRITE job-1 a"),
+			  "DONE core-");
 	world_destroy(world);
 }
 
@@ -124,9 +126,9 @@
 	size_t leader;
 	size_t calls;
 
-	world_settle(world);
-	world->stale_directory = true;
-	leader = find_holder(world);
+	world_wait_until_ready(world);
+	world->directory_is_frozen = true;
+	leader = find_leader(world);
 	calls = world->kv->call_count;
 	for (size_t i = 0; i < 3; i++)
 		add_services(world, i);
--- a/tests/test_shutdown.c
+++ b/tests/test_shutdown.c
@@ -151,7 +151,7 @@
 	kill(h->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered(old_conns, OPEN_CONNS), ==, 0);
 	g_assert_cmpint(count_unanswered(new_conns, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	g_free(request);
 	harness_stop(h);
 }
@@ -181,7 +181,7 @@
 	g_usleep(ARRIVAL_WAIT_USEC);
 	kill(h->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered(old_conns, OPEN_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	g_free(request);
 	g_free(log);
 	harness_stop(h);
@@ -207,7 +207,7 @@
 	kill(h->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered(old_conns, NEW_CONNS), ==, 0);
 	g_assert_cmpint(count_unanswered(new_conns, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	g_free(log);
 	harness_stop(h);
 }
@@ -233,7 +233,7 @@
 	kill(site->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered(probe_conns, NEW_CONNS), ==, 0);
 	g_assert_cmpint(count_unanswered(operator_conns, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&site->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	g_free(log);
 	site_stop(site);
 }
@@ -244,7 +244,7 @@
 	int unanswered = 0;
 
 	for (int i = 0; i < count; i++) {
-		char *reply = site_receive(callers[i]);
+		char *reply = site_receive_reply(callers[i]);
 
 		unanswered += strstr(reply, "READY ") == NULL && strstr(reply, "ERR ") == NULL;
 		g_free(reply);
@@ -265,7 +265,7 @@
 	site_caller_t *callers[OPEN_CONNS];
 
 	for (int i = 0; i < OPEN_CONNS; i++)
-		callers[i] = site_open(site, 0, "jobs");
+		callers[i] = site_open_session(site, 0, "jobs");
 	g_usleep(2 * ARRIVAL_WAIT_USEC);
 	kill(site->proxies[0], SIGSTOP);
 	for (int i = 0; i < OPEN_CONNS; i++)
@@ -274,7 +274,7 @@
 	kill(site->proxies[0], SIGTERM);
 	kill(site->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered_sessions(callers, OPEN_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&site->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	site_stop(site);
 }
 
@@ -303,7 +303,7 @@
 	g_usleep(paused_usec);
 	kill(site->proxies[0], SIGCONT);
 	g_assert_cmpint(count_unanswered_sessions(callers, NEW_CONNS), ==, 0);
-	g_assert_cmpint(harness_wait(&site->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&site->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	site_stop(site);
 }
 
@@ -318,7 +318,7 @@
 	send_all(&conn, 1, request);
 	send_text(conn, "POST /v1/statement HTTP/1.1\r\nHost: x\r\nContent-Le");
 	kill(h->proxies[0], SIGTERM);
-	g_assert_cmpint(harness_wait(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
+	g_assert_cmpint(harness_wait_exit(&h->proxies[0], EXIT_TIMEOUT_MSEC), ==, 0);
 	close(conn);
 	g_free(request);
 	harness_stop(h);
