--- a/pooler/adopt.c
+++ b/pooler/adopt.c
@@ -96,7 +96,8 @@
 	for (size_t i = 0; i < diff->removed_group_count; i++)
 		service_set_group(service_get(pooler, diff->removed_groups[i]), NULL);
 	/*
-	 * All services get their group first, since closing a connection may place another caller.
+	 * All services get their group before any change is applied, since that may close a
+	 * connection and so place another caller.
 	 */
 	for (size_t i = 0; i < diff->group_count; i++)
 		service_set_group(service_get(pooler, diff->groups[i].group->service),
@@ -129,7 +130,7 @@
 	quota_on_roster(pooler);
 	apply_groups(pooler, diff);
 	talloc_free(diff);
-	/* Proxies that wait for us to release a primary are notified at once. */
+	/* Notifies at once the proxies that wait until we have released a primary. */
 	if (ask_must_report_revision(pooler))
 		sync->query_next = 0;
 }
--- a/pooler/join.c
+++ b/pooler/join.c
@@ -17,14 +17,15 @@
 #include "log.h"
 
 /*
- * The proxy that was asked adds us within this time, or we write our own entry: its write in
- * flight, the next one, and the messages; more if the store is slow.
+ * Time within which the proxy that was asked must add us; then we write our own entry. The time
+ * covers that proxy's write in flight, its next write and the messages. With a slow store adding
+ * takes longer.
  */
 #define ADD_TIMEOUT (150 * USEC_PER_MSEC)
 /*
- * The same for each proxy of a larger fleet, since all may start together. If 100 proxies gave up
- * on the leader after 150 ms, each would write the whole roster (50 KB) by itself, and most of
- * these writes, the leader's too, would conflict.
+ * The same time for each proxy of a larger fleet, since all may start together. If 100 proxies
+ * stopped waiting for the leader after 150 ms, each would write the whole roster (50 KB) by itself,
+ * and most of these writes, the leader's too, would conflict.
  */
 #define ADD_TIMEOUT_PER_PROXY (5 * USEC_PER_MSEC)
 
@@ -33,7 +34,7 @@
  * fleet the leader's links would take more memory than a small VM has.
  */
 #define DIRECT_JOIN_FLEET_MAX 128
-/* A hub that has just started itself answers within this time. */
+/* Even a hub that has itself just started answers within this time. */
 #define HUB_ANSWER_TIMEOUT (500 * USEC_PER_MSEC)
 /*
  * Number of proxies that a proxy of a large fleet asks, one after the other, before its own write.
@@ -54,7 +55,7 @@
 	int64_t capacity;
 	uint64_t incarnation;
 	int64_t revision; /* of the roster that the proxy holds */
-	usec_t asked_at;
+	usec_t requested_at;
 	bool send_roster; /* this proxy sends it the roster; otherwise its hub does, or it reads the
 			     store again */
 } joiner_t;
@@ -135,21 +136,22 @@
 	sync->join_requests = 0;
 	sync->join_conflict = result->status == KV_CONFLICT;
 	/*
-	 * The proxy that made the other write is alive, which is not known of the leader, so that
-	 * proxy is asked first.
+	 * The proxy that made the other write is certainly alive, while the leader may not be, so
+	 * that proxy is asked first.
 	 */
 	sync->join_requested = sync->join_conflict;
 	if (result->status == KV_OK) {
 		notify_added(pooler);
-		LOG_EVENT(LOG_INFO, "on the roster", LOG_INT("roster", sync->roster->revision));
+		LOG_EVENT(LOG_INFO, "registered on the roster",
+			  LOG_INT("roster", sync->roster->revision));
 	} else if (sync->join_conflict)
 		join_run(pooler, now_of(pooler));
 }
 
 /*
  * Incarnations are made from the time of day, which may have stepped back since this proxy's
- * previous process. The other proxies would then take our messages for late ones of that process,
- * and our entry for one without a process.
+ * previous process. The other proxies would then treat our messages as late messages of that
+ * process, and our entry as one whose process has ended.
  */
 static void raise_incarnation(pooler_t *pooler)
 {
@@ -256,9 +258,9 @@
 }
 
 /*
- * True if the proxy that was asked may still add us. In a large fleet this takes longer, but only a
- * proxy that has answered is waited for: after a power failure it may be a previous leader that is
- * not back.
+ * True if the proxy that was asked may still add us. In a large fleet this takes longer, but we
+ * wait longer only for a proxy that has answered: after a power failure the proxy may be a previous
+ * leader that has not restarted.
  */
 static bool join_is_pending(const pooler_t *pooler, usec_t now)
 {
@@ -271,9 +273,9 @@
 }
 
 /*
- * Lets another proxy be asked when the last one is silent. This is done only in a large fleet,
- * where the first may not be back after a power failure, and each own write is one of the whole
- * roster.
+ * Allows a request to another proxy when the last one has not answered. This is done only in a
+ * large fleet, where the first proxy may not have restarted after a power failure, and where
+ * writing our own entry means writing a large roster.
  */
 static void reset_join_target(pooler_t *pooler, usec_t now)
 {
@@ -336,7 +338,7 @@
 	joiner->capacity = message->capacity;
 	joiner->incarnation = message->incarnation;
 	joiner->revision = message->revision;
-	joiner->asked_at = now_of(pooler);
+	joiner->requested_at = now_of(pooler);
 	joiner->send_roster = send_roster;
 	list_add_tail(&sync->joiners, &joiner->node);
 	sync->joiner_count++;
@@ -354,8 +356,8 @@
 
 /*
  * True if so many proxies have asked, as in the first start of a large fleet, that a link back to
- * each of them would take more memory than a small VM has. They see the roster when they read the
- * store again.
+ * each of them would take more memory than a small VM has. They receive the roster when they
+ * read the store again.
  */
 static bool has_many_joiners(const pooler_t *pooler)
 {
@@ -412,7 +414,7 @@
 			.capacity = joiner->capacity,
 			.incarnation = joiner->incarnation,
 			.revision = joiner->revision,
-			.report_age = now_of(pooler) - joiner->asked_at,
+			.report_age = now_of(pooler) - joiner->requested_at,
 		};
 	}
 	return count;
@@ -426,7 +428,7 @@
 	notify_added(pooler);
 	/*
 	 * After a conflict the joiners are added again on top of the other write. If the write
-	 * failed otherwise they are dropped, and write their own entries.
+	 * failed for another reason, they are dropped and write their own entries.
 	 */
 	if (result->status == KV_CONFLICT)
 		join_run(pooler, now_of(pooler));
@@ -447,7 +449,7 @@
 	list_for_each_safe (it, &sync->joiners) {
 		joiner_t *joiner = list_entry(it, joiner_t, node);
 
-		if (now >= joiner->asked_at + add_timeout(pooler))
+		if (now >= joiner->requested_at + add_timeout(pooler))
 			drop_joiner(sync, joiner);
 	}
 }
--- a/pooler/join.h
+++ b/pooler/join.h
@@ -1,9 +1,9 @@
 /*
- * Adds proxies to the roster. The roster changes by one write on top of another, so of a fleet that
- * starts at once all writes but one conflict each time. A proxy whose write conflicts asks the
- * proxy that wrote last to add it, and that proxy adds all that have asked meanwhile with its next
- * write. Twelve proxies that start together need 91 calls to the store and 52 ms this way, instead
- * of 156 calls and 96 ms.
+ * Adds proxies to the roster. The roster changes by one write on top of another, so when a fleet
+ * starts, all writes made at the same time conflict except one. A proxy whose write conflicts asks
+ * the proxy that wrote last to add it, and that proxy adds all that have asked meanwhile with its
+ * next write. Twelve proxies that start together need 91 calls to the store and 52 ms this way,
+ * instead of 156 calls and 96 ms.
  */
 #pragma once
 
--- a/pooler/restore.c
+++ b/pooler/restore.c
@@ -57,8 +57,8 @@
 		  LOG_INT("groups_known", sync->groups_current));
 	leader_step_down(pooler, "the store was restored from a backup");
 	/*
-	 * A process that has just started takes the other proxies from the backup, under a revision
-	 * of the backup's era.
+	 * A process that has just started has no roster. It adopts the backup, which lists the
+	 * other proxies, under a revision of the backup's era.
 	 */
 	if (sync->roster->revision == 0) {
 		backup->revision = kv_make_revision(backup->era, kv_revision_in_era(revision));
--- a/pooler/restore.h
+++ b/pooler/restore.h
@@ -22,7 +22,7 @@
 /* True until the roster of the newest era is written; nothing else may be written before. */
 bool restore_is_pending(const pooler_t *pooler);
 
-/* True if this proxy should let another one acquire the leadership first. */
+/* True if another proxy should acquire the leadership before this one. */
 bool restore_must_yield(const pooler_t *pooler);
 
 /* Writes the roster in the new era, if this proxy is the leader. */
--- a/pooler/roster.c
+++ b/pooler/roster.c
@@ -75,7 +75,7 @@
 }
 
 void roster_put_group(roster_t *roster, const char *service, const char *primary, bool changing,
-		      uint64_t term, uint64_t fence)
+		      uint64_t term, uint64_t fencing_token)
 {
 	roster_group_t *group = roster_find_group(roster, service);
 	char *copy;
@@ -93,7 +93,7 @@
 	roster->changing_count += (size_t)changing - (size_t)group->changing;
 	group->changing = changing;
 	group->term = term;
-	group->fencing_token = fence;
+	group->fencing_token = fencing_token;
 }
 
 roster_t *roster_copy(void *parent, const roster_t *roster)
@@ -238,13 +238,13 @@
 		const char *primary;
 		int changing;
 		json_int_t term;
-		json_int_t fence;
+		json_int_t fencing_token;
 
 		if (json_unpack(value, "{s:s, s:b, s:I, s:I}", "primary", &primary, "changing",
-				&changing, "term", &term, "fence", &fence) != 0)
+				&changing, "term", &term, "fence", &fencing_token) != 0)
 			return -1;
 		roster_put_group(roster, service, primary, changing != 0, (uint64_t)term,
-				 (uint64_t)fence);
+				 (uint64_t)fencing_token);
 	}
 	return 0;
 }
@@ -256,7 +256,7 @@
 	json_t *nodes = json_object_get(root, "nodes");
 	json_t *groups = json_object_get(root, "groups");
 
-	/* Text of another kind would otherwise pass for a roster without proxies. */
+	/* Any other JSON object would otherwise be accepted as a roster without proxies. */
 	if (!json_is_object(nodes) || !json_is_object(groups))
 		return -1;
 
@@ -344,15 +344,15 @@
 
 static void merge_node(roster_diff_t *diff, roster_t *roster, const roster_node_t *newer)
 {
-	const roster_node_t *was = roster_find_node(roster, newer->name);
-	bool same_location = was != NULL && was->gone == newer->gone &&
-			     was->capacity == newer->capacity &&
-			     strcmp(was->zone, newer->zone) == 0;
-	bool entered = !newer->gone &&
-		       (was == NULL || was->gone || was->incarnation != newer->incarnation);
+	const roster_node_t *previous = roster_find_node(roster, newer->name);
+	bool same_location = previous != NULL && previous->gone == newer->gone &&
+			     previous->capacity == newer->capacity &&
+			     strcmp(previous->zone, newer->zone) == 0;
+	bool registered = !newer->gone && (previous == NULL || previous->gone ||
+					   previous->incarnation != newer->incarnation);
 	roster_node_t *node;
 
-	if (was != NULL && same_node(was, newer))
+	if (previous != NULL && same_node(previous, newer))
 		return;
 	node = roster_put_node(roster, newer->name, newer->address, newer->zone,
 			       newer->incarnation);
@@ -362,19 +362,19 @@
 	if (!same_location)
 		roster->nodes_revision = roster->revision;
 	cancel_removal(roster, node->name);
-	diff->nodes[diff->node_count++] = (roster_node_change_t){node, entered};
+	diff->nodes[diff->node_count++] = (roster_node_change_t){node, registered};
 }
 
 static void merge_group(roster_diff_t *diff, roster_t *roster, const roster_group_t *newer)
 {
-	const roster_group_t *was = roster_find_group(roster, newer->service);
+	const roster_group_t *previous = roster_find_group(roster, newer->service);
 	roster_group_change_t change = {0};
 
-	if (was != NULL && same_group(was, newer))
+	if (previous != NULL && same_group(previous, newer))
 		return;
-	if (was != NULL) {
-		change.was_primary = talloc_strdup(diff, was->primary);
-		change.was_changing = was->changing;
+	if (previous != NULL) {
+		change.was_primary = talloc_strdup(diff, previous->primary);
+		change.was_changing = previous->changing;
 	}
 	roster_put_group(roster, newer->service, newer->primary, newer->changing, newer->term,
 			 newer->fencing_token);
--- a/pooler/roster.h
+++ b/pooler/roster.h
@@ -3,8 +3,8 @@
  * service. It changes only by compare-and-swap, so its revision orders all its states.
  *
  * Before a primary is replaced, the change is written to the roster (changing). A proxy that has
- * read the roster since then knows of the change; one that has not may still use the old primary
- * until its permission ends; see permit.h.
+ * received this roster stops using the old primary; a proxy that has not may use it until its
+ * permission ends; see permit.h.
  */
 #pragma once
 
@@ -38,7 +38,7 @@
 	char *primary; /* id of the service's primary */
 	bool changing; /* the primary is about to be replaced */
 	uint64_t term; /* term in which it is primary; 0: the service's first primary, whose term is
-			  not known */
+			  unknown */
 	uint64_t fencing_token; /* fencing token of the leader that wrote the entry */
 	int64_t changed_revision;
 } roster_group_t;
@@ -82,7 +82,7 @@
 			       const char *zone, uint64_t incarnation);
 void roster_remove_node(roster_t *roster, const char *name);
 void roster_put_group(roster_t *roster, const char *service, const char *primary, bool changing,
-		      uint64_t term, uint64_t fence);
+		      uint64_t term, uint64_t fencing_token);
 
 void roster_set_writer(roster_t *roster, const char *name);
 
@@ -97,8 +97,8 @@
 
 /*
  * Returns the changes since that revision as JSON text for roster_apply_text(), or the whole roster
- * if they are not known. The text is cached, since many proxies receive the same one. A roster of
- * 295 proxies has 32 KB, a change of primary 150 bytes.
+ * if this roster does not record all of them. The text is cached, since many proxies receive the
+ * same one. A roster of 295 proxies has 32 KB, a change of primary 150 bytes.
  */
 const char *roster_encode_changes(roster_t *roster, int64_t since);
 
@@ -113,7 +113,7 @@
 	bool was_changing;
 } roster_group_change_t;
 
-/* Difference made by an update; talloc arrays. */
+/* What an update has changed; the arrays are talloc arrays. */
 typedef struct roster_diff {
 	roster_node_change_t *nodes;
 	size_t node_count;
--- a/pooler/state.h
+++ b/pooler/state.h
@@ -109,8 +109,8 @@
 	usec_t conn_lost_at; /* when a connection last broke while a statement ran on it */
 	/* For changes of primary. */
 	bool survey_answered;
-	usec_t unused_probed_at; /* when verdict.c last had it probed for want of traffic, or since
-				    others suspect it */
+	usec_t unused_probed_at; /* when verdict.c last had the member probed, because the member
+				    had no traffic or other proxies suspect it */
 	member_status_t status;
 } member_t;
 
@@ -273,7 +273,7 @@
 	struct member *primary; /* the primary of that group; NULL: none, or the platform's list
 				   does not have it */
 	customer_pool_t *customer_pools; /* by customer */
-	list_t waiting;			 /* caller_t.waiting, by priority, then by arrival */
+	list_t waiting;			 /* caller_t.queue_node, by priority, then by arrival */
 	run_timer_t retry_timer;	 /* first delayed attempt of a waiting statement */
 	bool dispatching;
 	bool dispatch_again;
@@ -360,21 +360,21 @@
 				  yet */
 } peer_report_t;
 
-/* The hubs of the fleet, worked out from the roster; see upstream.h. */
+/* The hubs of the fleet, computed from the roster; see upstream.h. */
 typedef struct hubs {
-	void *parent; /* of the names; NULL: not worked out yet */
+	void *parent; /* talloc context of the names; NULL: not computed yet */
 	int64_t nodes_revision;
 	const char **names;
 	size_t len;
 	bool is_hub; /* this proxy is a hub */
 } hubs_t;
 
-/* The proxies to which an update is sent before they query for it. */
+/* The proxies to which an update is sent before they query for it; see push.h. */
 typedef enum { PUSH_NONE, PUSH_DOWNSTREAM, PUSH_ALL } push_scope_t;
 
 typedef struct sync {
-	roster_t *roster;	/* the newest that this proxy has received */
-	size_t proxy_count;	/* of the roster */
+	roster_t *roster;	/* the newest one that this proxy has received */
+	size_t proxy_count;	/* proxies on the roster, including those declared gone */
 	bool primary_changing;	/* a primary of the roster is about to change */
 	usec_t adopted_at;	/* when the roster was received */
 	bool groups_changed;	/* the last update of the roster changed a group */
@@ -396,8 +396,8 @@
 	usec_t last_read_at;
 	usec_t read_jitter;
 	bool registering;
-	bool join_requested; /* another proxy was asked to add us; if it does not, we write
-				ourselves */
+	bool join_requested; /* another proxy was asked to add us to the roster; if it does not,
+				we write our own entry */
 	usec_t join_started_at;
 	bool join_conflict; /* our own write to join the roster conflicted with another one */
 	usec_t join_requested_at;
@@ -410,7 +410,7 @@
 	list_t joiners;		  /* proxies that have asked to be added; see join.c */
 	size_t joiner_count;
 	usec_t query_next;
-	unsigned queries_unsent;  /* queries in a row that were not sent, since there was no link */
+	unsigned queries_unsent;  /* consecutive queries that were not sent for lack of a link */
 	uint64_t reported_digest; /* digest of the reports in our last query, to detect changes */
 	char *leader;		  /* the proxy that holds the leader lease; NULL: unknown */
 	char *leader_address;
@@ -418,9 +418,9 @@
 	usec_t leader_seen_at; /* when the leader's last state arrived, here or at a proxy that
 				  reported it */
 	unsigned next_peer_index;
-	char *contact; /* the proxy last heard from while we have no roster; NULL: none */
+	char *contact; /* sender of the last message received while we have no roster; NULL: none */
 	char *contact_address;
-	usec_t ping_silent_next; /* when downstream proxies that are silent are pinged next; see
+	usec_t ping_silent_next; /* when silent downstream proxies are pinged next; see
 				    upstream.h */
 	hubs_t hubs;
 	usec_t config_pushed_at;
@@ -455,11 +455,12 @@
 	list_t unanswered_reports; /* reports of proxies with unanswered forwarded statements */
 	peer_report_t *reports_by_name;
 	/*
-	 * Full reads of the directory are repeated, since a watch can miss changes without a sign.
+	 * Full reads of the directory are repeated, since a watch can miss changes without an
+	 * error.
 	 */
 	usec_t config_read_due;
 	usec_t members_read_due;
-	unsigned members_mismatches; /* states in a row whose list of members differs from ours */
+	unsigned members_mismatches; /* consecutive states with a list of members other than ours */
 } sync_t;
 
 struct pooler {
@@ -470,7 +471,7 @@
 	timer_set_t *timers;
 	env_t *env;
 	pooler_config_t config;
-	routes_t *routes; /* in force; NULL before the first */
+	routes_t *routes; /* configuration in force; NULL: none was received yet */
 	list_t services;
 	list_t members;
 	list_t active_services;
--- a/pooler/sync.c
+++ b/pooler/sync.c
@@ -23,18 +23,18 @@
 #include "log.h"
 
 /*
- * Age of the roster's last confirmation at which the leader reads it. Renewals of the leader lease
- * confirm it earlier as a rule, since only the leader changes groups: this saves 2.5 reads a
- * second, for an idle fleet of 19 proxies a third of all its calls to the store. A vacant
- * leadership is checked as often.
+ * Age of the roster's last confirmation at which the leader reads the roster again. Renewals of the
+ * leader lease usually confirm the roster earlier, since only the leader changes groups: this
+ * saves 2.5 reads a second, for an idle fleet of 19 proxies a third of all its calls to the store.
+ * A vacant leadership is checked as often.
  */
 #define READ_LEADER_AGE (700 * USEC_PER_MSEC)
 /*
- * The leader reads at least this often: a live lease proves neither that its key exists nor that no
- * proxy has added itself to the roster.
+ * The leader reads at least this often: a lease that is in force does not show that its key still
+ * exists, nor that no proxy has added itself to the roster.
  */
 #define READ_LEADER_INTERVAL (1 * USEC_PER_SEC)
-/* Interval of reads while no leader is heard from, since the leadership may be vacant. */
+/* Interval of reads while no state of the leader arrives, since the leadership may be vacant. */
 #define READ_VACANT_INTERVAL (400 * USEC_PER_MSEC)
 /*
  * A proxy whose roster was not confirmed for this time reads the store itself; jitter is added so
@@ -42,7 +42,7 @@
  */
 #define READ_AGE    (900 * USEC_PER_MSEC)
 #define READ_JITTER (300 * USEC_PER_MSEC)
-/* The same where updates come by a hub, which takes one more query interval. */
+/* The same for updates that arrive through a hub, which takes one more query interval. */
 #define READ_DOWNSTREAM_AGE (1200 * USEC_PER_MSEC)
 /*
  * Back-off after a failed read, plus up to as much jitter. In a larger fleet it grows, so that all
@@ -94,28 +94,28 @@
 
 /* --- leader --- */
 
-void sync_set_leader(pooler_t *pooler, const char *name, const char *address, uint64_t fence)
+void sync_set_leader(pooler_t *pooler, const char *name, const char *address, uint64_t token)
 {
 	sync_t *sync = &pooler->sync;
-	bool known = sync->leader != NULL && fence == sync->fencing_token;
+	bool is_recorded = sync->leader != NULL && token == sync->fencing_token;
 
-	if (known || fence < sync->fencing_token)
+	if (is_recorded || token < sync->fencing_token)
 		return;
 	/*
 	 * Another proxy leads under a newer fencing token, whichever message brought it: our
 	 * leadership ends, so that two proxies never promote under one token.
 	 */
-	if (sync->leading && fence > sync->own_token)
+	if (sync->leading && token > sync->own_token)
 		leader_step_down(pooler, "another proxy is the leader");
 	talloc_free(sync->leader);
 	talloc_free(sync->leader_address);
 	sync->leader = talloc_strdup(pooler, name);
 	sync->leader_address = talloc_strdup(pooler, address);
-	sync->fencing_token = fence;
+	sync->fencing_token = token;
 	sync->leader_seen_at = now_of(pooler);
 	sync->query_next = 0;
-	LOG_EVENT(LOG_INFO, "duty holder", LOG_STR("holder", name),
-		  LOG_INT("fence", (int64_t)fence));
+	LOG_EVENT(LOG_INFO, "leader changed", LOG_STR("holder", name),
+		  LOG_INT("fence", (int64_t)token));
 }
 
 static void clear_leader(pooler_t *pooler)
@@ -138,7 +138,7 @@
 	json_int_t incarnation;
 
 	if (item == NULL) {
-		/* A read that was sent before we became the leader proves nothing. */
+		/* A read that was sent before we became the leader may lack our key. */
 		if (sync->leading && asked_at > sync->leading_since)
 			leader_step_down(pooler, "the leader key is gone from the store");
 		clear_leader(pooler);
@@ -234,7 +234,8 @@
 	talloc_free(roster_key);
 	refresh_start_reading(pooler, now);
 	/*
-	 * Runs at once: the proxies of a fleet that starts write their entries one after another.
+	 * Joining does not wait for the next tick: the proxies of a fleet that starts write their
+	 * entries one after another.
 	 */
 	join_run(pooler, now);
 	sync_dispatch_waiting(pooler);
@@ -284,7 +285,7 @@
 	void *data;
 } commit_t;
 
-/* The write conflicted; the answer holds what the store has instead. */
+/* Handles a conflict of the write; the answer holds the present content of the store. */
 static void on_conflict(commit_t *commit, const kv_result_t *result)
 {
 	pooler_t *pooler = commit->pooler;
--- a/pooler/sync.h
+++ b/pooler/sync.h
@@ -1,6 +1,6 @@
 /*
- * Keeps the roster: reads it from the store and writes it; adopt.h replaces our roster by a newer
- * one. See roster.h.
+ * Reads the roster (roster.h) from the store and writes it; adopt.h replaces our roster by a newer
+ * one.
  */
 #pragma once
 
@@ -16,14 +16,15 @@
 /* Records that the store held our roster's revision when a read sent at this time arrived. */
 void sync_confirm_roster(pooler_t *pooler, usec_t asked_at);
 
-/* Sets the leader, if the fencing token is newer than the one known. */
-void sync_set_leader(pooler_t *pooler, const char *name, const char *address, uint64_t fence);
+/* Records the leader, unless the leader recorded so far has the same fencing token or a newer one.
+ */
+void sync_set_leader(pooler_t *pooler, const char *name, const char *address, uint64_t token);
 
 /* Dispatches waiting statements that can be served now. */
 void sync_dispatch_waiting(pooler_t *pooler);
 
 /*
- * Writes the roster if the store still holds the revision that it was copied from. done is called
- * with the result after our roster was updated.
+ * Writes a changed copy of our roster, if the store still holds the revision that was copied. done
+ * is called with the result after our roster was updated.
  */
 void sync_commit_roster(pooler_t *pooler, const roster_t *roster, kv_done_t done, void *data);
--- a/tests/test_pooler_restore.c
+++ b/tests/test_pooler_restore.c
@@ -221,19 +221,19 @@
 {
 	pool_world_t *world = world_create(3, NULL);
 	pooler_t *pooler;
-	usec_t proved;
+	usec_t age_before;
 	peer_message_t message = {.kind = PEER_PING, .from = "p9", .address = "10.0.0.9:1"};
 
 	world_settle(world);
 	pooler = world->nodes[0].pooler;
 	pooler_on_config_confirmed(pooler, now_of(pooler));
-	proved = cache_validity_age(&pooler->config_validity, now_of(pooler));
+	age_before = cache_validity_age(&pooler->config_validity, now_of(pooler));
 	message.config_version = pooler->routes->version + 1;
 	pooler_on_message(pooler, &message);
 	world_run(world, SEC);
 	pooler_on_config_confirmed(pooler, now_of(pooler));
 	g_assert_cmpuint(cache_validity_age(&pooler->config_validity, now_of(pooler)), >=,
-			 proved + SEC);
+			 age_before + SEC);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_roster.c
+++ b/tests/test_pooler_roster.c
@@ -57,10 +57,10 @@
 static bool apply_text(roster_t *roster, const char *text, int64_t revision)
 {
 	roster_diff_t *diff = roster_apply_text(NULL, roster, text, strlen(text), revision);
-	bool taken = diff != NULL;
+	bool applied = diff != NULL;
 
 	talloc_free(diff);
-	return taken;
+	return applied;
 }
 
 /*
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -171,7 +171,7 @@
 		json_decref(object);
 	}
 	g_assert_cmpuint(count, >, 5);
-	g_assert_nonnull(strstr(log, "\"text\":\"duty holder\",\"holder\":\"p"));
+	g_assert_nonnull(strstr(log, "\"text\":\"leader changed\",\"holder\":\"p"));
 	g_strfreev(lines);
 	g_free(log);
 }
