--- a/pooler/relay.c
+++ b/pooler/relay.c
@@ -82,7 +82,7 @@
 	char *helper;
 	unsigned helpers; /* number of peers asked so far */
 	bool sent;	  /* to the helper; false while there is no link to it */
-	usec_t began_at;  /* when the call was made directly */
+	usec_t called_at; /* when the call was made directly */
 	usec_t asked_at;  /* when the helper was asked */
 } call_t;
 
@@ -184,8 +184,8 @@
 /* --- relaying a call to a peer --- */
 
 /*
- * False for a commit: without an answer it may have taken effect, and its caller must learn that. A
- * second attempt would report a conflict with the first.
+ * False for a commit: without an answer it may have taken effect, and its caller must be notified
+ * of that. A second attempt would report a conflict with the first.
  */
 static bool is_repeatable(const call_t *call)
 {
@@ -204,7 +204,7 @@
 	       now < report->access_reported_at + CANDIDATE_AVOID_TIME;
 }
 
-/* Returns the next node of the roster, after the last one the first. */
+/* Returns the next node of the roster; the first node follows the last one. */
 static const roster_node_t *next_node(const roster_t *roster, const roster_node_t *node)
 {
 	const list_t *next =
@@ -314,7 +314,7 @@
 	 */
 	if (call->request.op == STORE_RANGE)
 		adapt_timeout(call->relay, result->status,
-			      now_of(call->relay->pooler) - call->began_at);
+			      now_of(call->relay->pooler) - call->called_at);
 	if (!relay_call || !relay_to_peer(call))
 		finish_call(call, result);
 }
@@ -323,7 +323,7 @@
 {
 	if (call->relay->cut_off && relay_to_peer(call))
 		return;
-	call->began_at = now_of(call->relay->pooler);
+	call->called_at = now_of(call->relay->pooler);
 	make_call(call->relay->direct, &call->request, on_direct_done, call);
 }
 
@@ -339,12 +339,12 @@
 		if (!is_repeatable(call))
 			continue;
 		list_del(&call->node);
-		call->began_at = now_of(relay->pooler);
+		call->called_at = now_of(relay->pooler);
 		make_call(relay->direct, &call->request, on_direct_done, call);
 	}
 }
 
-/* Handles a peer's failure to make the call: another peer is tried. */
+/* Tries another peer after a peer has failed to make the call. */
 static void on_helper_failure(call_t *call, kv_status_t status)
 {
 	kv_result_t result = {.status = status};
@@ -476,7 +476,7 @@
 	return call;
 }
 
-static void on_range(kv_t *kv, const char *prefix, const char *after, kv_done_t done, void *data)
+static void relay_range(kv_t *kv, const char *prefix, const char *after, kv_done_t done, void *data)
 {
 	call_t *call = create_call(kv, STORE_RANGE, done, data);
 
@@ -502,8 +502,8 @@
 	talloc_free(watch);
 }
 
-static void on_watch(kv_t *kv, const char *prefix, int64_t after, int64_t wait_ms, kv_done_t done,
-		     void *data)
+static void relay_watch(kv_t *kv, const char *prefix, int64_t after, int64_t wait_ms,
+			kv_done_t done, void *data)
 {
 	relay_t *relay = (relay_t *)kv;
 	watch_t *watch = talloc_zero(relay, watch_t);
@@ -512,7 +512,8 @@
 	relay->direct->ops->watch(relay->direct, prefix, after, wait_ms, on_watched, watch);
 }
 
-static void on_commit(kv_t *kv, const kv_write_t *writes, size_t count, kv_done_t done, void *data)
+static void relay_commit(kv_t *kv, const kv_write_t *writes, size_t count, kv_done_t done,
+			 void *data)
 {
 	call_t *call = create_call(kv, STORE_COMMIT, done, data);
 	kv_write_t *copies = talloc_array(call, kv_write_t, count);
@@ -527,7 +528,7 @@
 	start_call(call);
 }
 
-static void on_lease_create(kv_t *kv, int64_t ttl_ms, kv_done_t done, void *data)
+static void relay_lease_create(kv_t *kv, int64_t ttl_ms, kv_done_t done, void *data)
 {
 	call_t *call = create_call(kv, STORE_LEASE_CREATE, done, data);
 
@@ -535,7 +536,7 @@
 	start_call(call);
 }
 
-static void on_lease_keep(kv_t *kv, uint64_t lease, kv_done_t done, void *data)
+static void relay_lease_keep(kv_t *kv, uint64_t lease, kv_done_t done, void *data)
 {
 	call_t *call = create_call(kv, STORE_LEASE_KEEP, done, data);
 
@@ -543,7 +544,7 @@
 	start_call(call);
 }
 
-static void on_lease_end(kv_t *kv, uint64_t lease, kv_done_t done, void *data)
+static void relay_lease_end(kv_t *kv, uint64_t lease, kv_done_t done, void *data)
 {
 	call_t *call = create_call(kv, STORE_LEASE_END, done, data);
 
@@ -552,12 +553,12 @@
 }
 
 static const kv_ops_t relay_ops = {
-	.range = on_range,
-	.watch = on_watch,
-	.commit = on_commit,
-	.lease_create = on_lease_create,
-	.lease_keep = on_lease_keep,
-	.lease_end = on_lease_end,
+	.range = relay_range,
+	.watch = relay_watch,
+	.commit = relay_commit,
+	.lease_create = relay_lease_create,
+	.lease_keep = relay_lease_keep,
+	.lease_end = relay_lease_end,
 };
 
 relay_t *relay_create(pooler_t *pooler, kv_t *direct)
@@ -570,7 +571,7 @@
 	list_init(&relay->calls);
 	/*
 	 * Until the store has answered once, calls time out as early as for a fast store: a call
-	 * lost in an outage would otherwise be waited for beyond the outage's end.
+	 * that is lost in an outage would otherwise still be pending after the outage.
 	 */
 	direct->timeout_ms = TIMEOUT_MIN / USEC_PER_MSEC;
 	return relay;
--- a/tests/test_pooler_relay.c
+++ b/tests/test_pooler_relay.c
@@ -46,11 +46,11 @@
 {
 	pool_world_t *world = world_create(5, NULL);
 	size_t leader;
-	uint64_t fence;
+	uint64_t token;
 
 	world_settle(world);
 	leader = find_holder(world);
-	fence = world->nodes[leader].pooler->sync.own_token;
+	token = world->nodes[leader].pooler->sync.own_token;
 	world->db->members[0].leaving = true;
 	while (change_step(world, leader) != CHANGE_RELEASING)
 		world_run(world, MSEC);
@@ -58,7 +58,7 @@
 	g_assert_cmpuint(time_to_change(world), <, 2 * SEC);
 	world_run(world, 10 * SEC);
 	g_assert_true(holds_duty(world, leader));
-	g_assert_cmpuint(world->nodes[leader].pooler->sync.own_token, ==, fence);
+	g_assert_cmpuint(world->nodes[leader].pooler->sync.own_token, ==, token);
 	world_destroy(world);
 }
 
