--- a/pooler/home.c
+++ b/pooler/home.c
@@ -49,8 +49,8 @@
 #define PRECONNECT_INTERVAL (1 * USEC_PER_SEC)
 /*
  * With up to this many services links to the homes of all services are made ahead of use. With
- * more, most links would never be used by this proxy's callers, and a link costs memory at both
- * ends.
+ * more, most links would never be used by this proxy's callers, and a link costs memory at
+ * both ends.
  */
 #define PRECONNECT_SERVICES_MAX 32
 /*
@@ -107,16 +107,16 @@
 	return &ranked[(*count)++];
 }
 
-static void rank_proxy(zone_homes_t *pair, const roster_node_t *node, uint64_t hash)
+static void rank_proxy(zone_homes_t *zone_homes, const roster_node_t *node, uint64_t hash)
 {
-	if (pair->first == NULL || hash < pair->first_hash) {
-		pair->second = pair->first;
-		pair->second_hash = pair->first_hash;
-		pair->first = node;
-		pair->first_hash = hash;
-	} else if (pair->second == NULL || hash < pair->second_hash) {
-		pair->second = node;
-		pair->second_hash = hash;
+	if (zone_homes->first == NULL || hash < zone_homes->first_hash) {
+		zone_homes->second = zone_homes->first;
+		zone_homes->second_hash = zone_homes->first_hash;
+		zone_homes->first = node;
+		zone_homes->first_hash = hash;
+	} else if (zone_homes->second == NULL || hash < zone_homes->second_hash) {
+		zone_homes->second = node;
+		zone_homes->second_hash = hash;
 	}
 }
 
@@ -145,11 +145,12 @@
 /* Number of homes: one per zone, or fewer if each would have too few connections. */
 static size_t limit_homes(const service_t *service, size_t zone_count)
 {
-	size_t most = (size_t)service->max_connections / MEMBER_SHARED_DIVISOR / MIN_CONNS_PER_HOME;
+	size_t max_homes =
+		(size_t)service->max_connections / MEMBER_SHARED_DIVISOR / MIN_CONNS_PER_HOME;
 
-	if (most == 0)
-		most = 1;
-	return zone_count < most ? zone_count : most;
+	if (max_homes == 0)
+		max_homes = 1;
+	return zone_count < max_homes ? zone_count : max_homes;
 }
 
 static void add_candidate(homes_t *homes, const roster_node_t *node)
--- a/pooler/home.h
+++ b/pooler/home.h
@@ -38,19 +38,19 @@
 
 /* --- availability of peers to which statements are forwarded --- */
 
-/* A message that the peer must answer was sent to it. */
+/* Records that a message was sent to the peer that it must answer. */
 void home_on_sent(pooler_t *pooler, const char *name, usec_t now);
 
 /*
- * A message from the peer has arrived; outstanding: forwarded statements that the peer has not
- * answered yet.
+ * Records that a message from the peer has arrived. outstanding: number of forwarded statements
+ * that the peer has not answered yet.
  */
 void home_on_received(pooler_t *pooler, const char *name, size_t outstanding, usec_t now);
 
-/* The peer declined a statement. */
+/* Records that the peer declined a statement. */
 void home_on_declined(pooler_t *pooler, const char *name, usec_t now);
 
-/* True if the peer has not answered for too long. */
+/* True if the peer has sent nothing for too long since a statement was forwarded to it. */
 bool home_is_suspect(const pooler_t *pooler, const char *name, usec_t now);
 
 /* Connects to homes ahead of use, and pings peers whose answers are overdue. */
--- a/pooler/limit_shards.h
+++ b/pooler/limit_shards.h
@@ -1,9 +1,9 @@
 /*
  * The limit shards that this proxy owns: a token bucket for each; see shard_owners.h and quota.h.
  *
- * A proxy that becomes a shard's owner asks the previous owner to release it, and grants tokens
- * once that one has answered. Without an answer it grants none until the previous owner can no
- * longer have the right to.
+ * A proxy that becomes a shard's owner asks the previous owner to release the shard, and grants
+ * tokens once the previous owner has answered. Without an answer it grants none until the previous
+ * owner's permission to grant has certainly ended.
  */
 #pragma once
 
@@ -18,11 +18,11 @@
 				 usec_t now);
 
 /*
- * Another proxy, the shard's owner by the roster of that revision, asks this one to release it:
- * this proxy grants no more tokens of the shard.
+ * Releases a shard to the proxy that owns it by the roster of that revision: this proxy grants no
+ * more tokens of the shard.
  */
 quota_answer_t limit_shards_release(limit_shards_t *shards, const quota_request_t *request,
 				    int64_t revision);
 
-/* The previous owner's answer to a release request; ignored if the request is no longer current. */
+/* Handles the previous owner's answer to a release request, if that request is the current one. */
 void limit_shards_on_released(limit_shards_t *shards, const quota_answer_t *answer, usec_t now);
--- a/pooler/pooler.c
+++ b/pooler/pooler.c
@@ -48,9 +48,12 @@
 #define INCARNATION_SHIFT 20
 /* Time for running commits to complete at a primary that is being replaced. */
 #define COMMIT_GRACE (200 * USEC_PER_MSEC)
-/* Time after which a member without a directory entry is freed. */
-#define GONE_MEMBER_RETENTION (30 * USEC_PER_SEC)
-/* The load balancer checks once a second and acts on the second "not ready"; with a margin. */
+/* Time after which a member that is no longer listed in the directory is freed. */
+#define UNLISTED_MEMBER_RETENTION (30 * USEC_PER_SEC)
+/*
+ * Time until the load balancer has noticed a shutdown, with a margin: it checks readiness once a
+ * second and acts on the second answer "not ready".
+ */
 #define BALANCER_NOTICE_TIME (2300 * USEC_PER_MSEC)
 /*
  * Directory entries that expired during an outage of the store are back within 2 s after it. A
@@ -114,15 +117,15 @@
 
 customer_pool_t *service_customer_pool(service_t *service, const char *customer)
 {
-	customer_pool_t *line;
+	customer_pool_t *pool;
 
-	HASH_FIND_STR(service->customer_pools, customer, line);
-	if (line != NULL)
-		return line;
-	line = talloc_zero(service, customer_pool_t);
-	line->customer = talloc_strdup(line, customer);
-	HASH_ADD_KEYPTR(hh, service->customer_pools, line->customer, strlen(customer), line);
-	return line;
+	HASH_FIND_STR(service->customer_pools, customer, pool);
+	if (pool != NULL)
+		return pool;
+	pool = talloc_zero(service, customer_pool_t);
+	pool->customer = talloc_strdup(pool, customer);
+	HASH_ADD_KEYPTR(hh, service->customer_pools, pool->customer, strlen(customer), pool);
+	return pool;
 }
 
 member_t *member_find(const pooler_t *pooler, const char *id)
@@ -180,7 +183,7 @@
 
 		member_tick(member, now);
 		if (member->unlisted && list_empty(&member->conns) &&
-		    now >= member->unlisted_since + GONE_MEMBER_RETENTION)
+		    now >= member->unlisted_since + UNLISTED_MEMBER_RETENTION)
 			free_member(pooler, member);
 	}
 }
@@ -407,7 +410,7 @@
 {
 	usec_t now = now_of(pooler);
 
-	/* The registration on the roster takes some ms more; statements wait for it. */
+	/* A proxy may be ready before it is registered: statements wait for the few ms. */
 	if (pooler->routes == NULL || pooler->draining || now >= permit_expires_at(pooler) ||
 	    cache_is_near_expiry(&pooler->config_validity, now))
 		return false;
--- a/pooler/pooler.h
+++ b/pooler/pooler.h
@@ -76,16 +76,19 @@
 bool caller_is_busy(const struct caller *caller);
 void caller_on_statement(struct caller *caller, const statement_t *statement);
 
-/* The link has sent all answers to the caller. */
+/* Records that the link has sent all answers to the caller. */
 void caller_on_sent(struct caller *caller);
 
-/* The session has ended, from either side; frees the caller. */
+/* Frees the caller after its session has ended, from either side. */
 void caller_on_session_end(struct caller *caller);
 
 /* --- members --- */
 
 void conn_on_ready(struct conn *conn);
-/* The connection failed to open or was lost; code: the member's reason if it has refused it. */
+/*
+ * Handles a connection that failed to open or was lost. code: the member's reason if the member has
+ * refused the connection.
+ */
 void conn_on_down(struct conn *conn, code_t code, const char *reason);
 void conn_on_reply(struct conn *conn, const reply_t *reply, const member_status_t *status);
 
@@ -100,7 +103,7 @@
 /* Applies a configuration if it is newer than the one in force, else frees it. */
 void pooler_on_routes(pooler_t *pooler, routes_t *routes);
 
-/* A query sent to the store at asked_at found no configuration newer than the one in force. */
+/* Handles a query of the store, sent at asked_at, that found no newer configuration than ours. */
 void pooler_on_config_confirmed(pooler_t *pooler, usec_t asked_at);
 void pooler_on_member(pooler_t *pooler, const member_entry_t *entry);
 void pooler_on_member_gone(pooler_t *pooler, const char *id);
--- a/pooler/quota.c
+++ b/pooler/quota.c
@@ -39,11 +39,11 @@
 /* Shortest retry delay if a limit is reached. */
 #define RETRY_MIN (10 * USEC_PER_MSEC)
 
-COUNTER_DEFINE(asked_total, "limit_questions_total", COUNTER_SUM,
+COUNTER_DEFINE(requests_total, "limit_questions_total", COUNTER_SUM,
 	       "Requests to owners of limit shards for tokens.");
 COUNTER_DEFINE(refused_total, "limit_refused_total", COUNTER_SUM,
 	       "Operations refused since the limit of their customer was reached.");
-COUNTER_DEFINE(silent_total, "limit_keepers_silent_total", COUNTER_SUM,
+COUNTER_DEFINE(unanswered_total, "limit_keepers_silent_total", COUNTER_SUM,
 	       "Requests that the owner of a limit shard did not answer in time.");
 
 /*
@@ -54,7 +54,7 @@
 	UT_hash_handle hh; /* in quota_t.by_customer */
 	quota_t *quota;
 	char *customer;
-	list_t waiting;		 /* caller_t.admission, by arrival */
+	list_t waiting;		 /* caller_t.quota_node, by arrival */
 	uint64_t request_number; /* number of the request in flight; 0: none */
 	unsigned shard;		 /* the shard that the request is for */
 	unsigned first_shard;	 /* shard to begin with; differs between proxies */
@@ -206,7 +206,7 @@
 	const char *name = owner_of(queue, queue->shard);
 
 	if (queue->request_number != 0) {
-		counter_add(&silent_total, 1);
+		counter_add(&unanswered_total, 1);
 		LOG_EVENT(LOG_INFO, "owner of a limit shard does not answer",
 			  LOG_STR("customer", queue->customer),
 			  LOG_STR("proxy", name != NULL ? name : ""),
@@ -246,7 +246,7 @@
 
 	if (owner == NULL)
 		return false;
-	counter_add(&asked_total, 1);
+	counter_add(&requests_total, 1);
 	queue->shard = shard;
 	queue->request_number = request.number;
 	if (strcmp(name, pooler->config.name) == 0) {
--- a/pooler/quota.h
+++ b/pooler/quota.h
@@ -25,14 +25,14 @@
  */
 bool quota_admit(caller_t *caller);
 
-/* The caller no longer waits for admission. */
+/* Removes the caller from the queue of those that wait for admission. */
 void quota_cancel(caller_t *caller);
 
-/* Another proxy requests tokens. */
+/* Handles another proxy's request for tokens. */
 void quota_on_request(pooler_t *pooler, const peer_message_t *message);
 
-/* A shard owner has answered a request. */
+/* Handles a shard owner's answer to a request. */
 void quota_on_answer(pooler_t *pooler, const peer_message_t *message);
 
-/* The roster may list other proxies: computes the shard owners anew. */
+/* Computes the shard owners again after the roster was replaced. */
 void quota_on_roster(pooler_t *pooler);
