--- a/pooler/ask.c
+++ b/pooler/ask.c
@@ -53,7 +53,7 @@
 }
 
 /* What this proxy sees of a service's primary. */
-typedef struct view {
+typedef struct primary_view {
 	bool down;
 	bool alive;
 	bool failing; /* the primary answers, but fails many statements; see outlier.h */
@@ -218,7 +218,7 @@
 		query_round(pooler, message);
 		return;
 	}
-	/* The past queries of the downstream proxies say nothing about the present. */
+	/* Past queries of the downstream proxies do not show which roster they hold now. */
 	upstream_for_each_downstream(pooler, now, send_query_to, message);
 	upstream_for_each_hub(pooler, send_query_to, message);
 }
@@ -242,7 +242,7 @@
 	return 0;
 }
 
-/* The first proxy on the roster from that index on that is not declared gone, or NULL. */
+/* Returns the first proxy from that index on, cyclically, that is not declared gone; or NULL. */
 static const roster_node_t *find_node_from(const pooler_t *pooler, size_t index)
 {
 	const roster_node_t *first = NULL;
@@ -338,7 +338,7 @@
 
 void ask_tick(pooler_t *pooler, usec_t now)
 {
-	/* The leader itself has what the others query it for. */
+	/* The leader does not need the updates that the other proxies query it for. */
 	if (!leader_is_self(pooler, now) || ask_roster_is_unconfirmed(pooler, now))
 		query_if_due(pooler, now);
 }
--- a/pooler/env.h
+++ b/pooler/env.h
@@ -136,7 +136,7 @@
 	const char *customer;
 	unsigned shard;
 	unsigned wanted;
-	bool release; /* the sender owns the shard now: grant no more tokens for it */
+	bool release; /* the sender owns the shard now; the receiver is to grant no more tokens */
 } quota_request_t;
 
 /* PEER_QUOTA_ANSWER: the tokens that were granted. */
@@ -165,8 +165,7 @@
 	int64_t config_version;
 	uint64_t members_digest; /* digest of the sender's list of members */
 	int64_t fleet_size;	 /* QUERY: proxies that the sender has seen on the roster for
-				  * PERMIT_LEASE_MAX
-				  */
+				    PERMIT_LEASE_MAX */
 	usec_t roster_age;  /* STATE: time since the read of the store that confirmed the roster;
 			       USEC_NEVER: never */
 	const char *roster; /* STATE: the roster, or its changes, if the receiver's is older; else
--- a/pooler/exchange.c
+++ b/pooler/exchange.c
@@ -74,7 +74,7 @@
 /*
  * The leader's estimate of when each change of primary ends, for proxies whose callers wait for it.
  */
-static char *describe_ends(const pooler_t *pooler, usec_t now, void *parent)
+static char *format_change_ends(const pooler_t *pooler, usec_t now, void *parent)
 {
 	char *ends = talloc_strdup(parent, "");
 
@@ -89,8 +89,8 @@
 	return ends;
 }
 
-/* Applies the list that describe_ends() has made. */
-static void apply_ends(pooler_t *pooler, const char *ends, usec_t now)
+/* Applies a list that the leader has made with format_change_ends(). */
+static void apply_change_ends(pooler_t *pooler, const char *ends, usec_t now)
 {
 	const char *word;
 	size_t len;
@@ -160,7 +160,7 @@
 	return roster_encode_changes(pooler->sync.roster, receiver_revision);
 }
 
-/* query: the query that the state answers; NULL: the state is pushed. */
+/* Sends our state. query: the query that the state answers; NULL: the state is pushed. */
 static bool send_state(pooler_t *pooler, const char *name, const char *address,
 		       const peer_message_t *query)
 {
@@ -177,7 +177,7 @@
 		sync->confirmed_at != USEC_NEVER ? now - sync->confirmed_at : USEC_NEVER;
 	message.roster = get_roster_update(pooler, report, query, now);
 	if (leader_is_self(pooler, now))
-		message.change_ends = describe_ends(pooler, now, parent);
+		message.change_ends = format_change_ends(pooler, now, parent);
 	message.suspected_primaries = verdict_suspects(pooler, now, parent);
 	message.leader = sync->leader;
 	message.leader_address = sync->leader_address;
@@ -275,8 +275,8 @@
 	bool changed;
 
 	/*
-	 * The report is one of an earlier process of that proxy, or older than one that came by a
-	 * faster path.
+	 * Ignore a report of an earlier process of that proxy, and a report older than one that
+	 * arrived by a faster path.
 	 */
 	if (message->incarnation < report->incarnation ||
 	    (message->incarnation == report->incarnation && received_at < report->received_at))
@@ -328,8 +328,8 @@
 		send_state(pooler, message->from, message->address, message);
 	join_on_query(pooler, message);
 	/*
-	 * Run only for what a change may wait for: with 75 proxies, four queries arrive from each
-	 * of them in a second.
+	 * Only reports that a change of primary may wait for are handled at once: with 75 proxies,
+	 * four queries arrive from each of them in a second.
 	 */
 	if (changed && leader_is_self(pooler, now))
 		failover_tick(pooler, now);
@@ -430,7 +430,7 @@
 	if (agrees)
 		apply_agreement(pooler, message);
 	if (message->change_ends != NULL)
-		apply_ends(pooler, message->change_ends, now);
+		apply_change_ends(pooler, message->change_ends, now);
 	if (message->suspected_primaries != NULL && upstream_is_trusted(pooler, message->from))
 		verdict_on_suspects(pooler, message->suspected_primaries, now);
 	refresh_on_state(pooler, message, now);
--- a/pooler/follow.c
+++ b/pooler/follow.c
@@ -32,7 +32,7 @@
 COUNTER_DEFINE(failures_total, "follow_failures_total", COUNTER_SUM,
 	       "Failed calls while following a prefix.");
 
-/* Removed keys that are remembered; a proxy that has missed more is sent everything. */
+/* Number of removed keys that are kept; a proxy that has missed more is sent all entries. */
 #define REMOVED_MAX 64
 
 typedef struct follow_entry {
@@ -71,7 +71,7 @@
 
 /* --- present and missing entries --- */
 
-static void forget_removed(follow_t *follow, const char *key)
+static void drop_removed(follow_t *follow, const char *key)
 {
 	list_for_each_safe (it, &follow->removed) {
 		follow_entry_t *entry = list_entry(it, follow_entry_t, node);
@@ -102,7 +102,7 @@
 		entry->key = talloc_strdup(entry, item->key);
 		list_add_tail(&follow->keys, &entry->node);
 		HASH_ADD_KEYPTR(hh, follow->by_key, entry->key, strlen(entry->key), entry);
-		forget_removed(follow, item->key);
+		drop_removed(follow, item->key);
 	}
 	entry->round = follow->read_round;
 	/* The read may be older than what the watch has brought meanwhile. */
@@ -276,7 +276,7 @@
 	}
 	clear_failures(follow, &follow->page_retry, FOLLOW_SOURCE_READ);
 	if (!follow->reading) {
-		/* A peer has sent everything meanwhile. */
+		/* A peer has sent all entries meanwhile. */
 		make_due_calls(follow);
 		return;
 	}
--- a/pooler/follow.h
+++ b/pooler/follow.h
@@ -87,7 +87,7 @@
 
 void follow_start(follow_t *follow, void *parent);
 
-/* Starts another full read, since a watch may have missed changes without a sign. */
+/* Starts another full read, since a watch can miss changes without an error. */
 void follow_refresh(follow_t *follow);
 
 /* Retries failed calls at once, when the store answers again. */
--- a/pooler/push.c
+++ b/pooler/push.c
@@ -12,7 +12,7 @@
  * first primaries of many services come in as many writes within seconds.
  */
 #define INTERVAL_PER_PROXY_USEC 100
-/* A tick: intervals shorter than this count as none. */
+/* Interval of the tick; shorter intervals between pushes count as none. */
 #define INTERVAL_MIN (50 * USEC_PER_MSEC)
 
 static void push_state(pooler_t *pooler, const roster_node_t *peer, void *data)
@@ -77,7 +77,7 @@
 	push_if_due(pooler);
 }
 
-/* Pushes a new configuration, once all of the read that brought it was applied. */
+/* Pushes a new configuration, after the read that brought it was applied completely. */
 static void push_config(pooler_t *pooler, usec_t now)
 {
 	sync_t *sync = &pooler->sync;
--- a/pooler/refresh.c
+++ b/pooler/refresh.c
@@ -23,8 +23,8 @@
 /* The same for keys, in percent of the time within which a revoked key must be refused. */
 #define KEYS_REFRESH_PERCENT 20
 /*
- * States in a row with another list of members before the members are read again: a single one may
- * cross a change in flight.
+ * Number of consecutive states with another list of members after which the members are read again:
+ * a single state may only differ because a change is still in flight to one of the proxies.
  */
 #define MEMBERS_MISMATCHES_MAX 2
 /*
@@ -200,7 +200,7 @@
 
 	if (sync->last_read_at == 0)
 		return now < pooler->started + START_GRACE;
-	/* The roster names an earlier process of this proxy, so the fleet's size is known. */
+	/* The roster lists an earlier process of this proxy, so it shows the fleet's size. */
 	if (!large && roster_find_node(sync->roster, pooler->config.name) != NULL)
 		return false;
 	if (now >= pooler->started + HUB_WAIT_TIME)
--- a/pooler/refresh.h
+++ b/pooler/refresh.h
@@ -1,7 +1,7 @@
 /*
  * Keeps the directory, which is the operators' configuration and the list of members, current. The
  * leader watches the store and repeats a full read regularly, since a watch can miss changes
- * without a sign. The other proxies receive the changes from the proxy that they query, and read
+ * without an error. The other proxies receive the changes from the proxy that they query, and read
  * the store themselves when their directory grows too old.
  */
 #pragma once
--- a/pooler/summary.c
+++ b/pooler/summary.c
@@ -18,7 +18,8 @@
 
 #define COUNT (sizeof(counter_names) / sizeof(counter_names[0]))
 
-_Static_assert(COUNT <= sizeof(((summary_t *)0)->before) / sizeof(int64_t), "no room");
+_Static_assert(COUNT <= sizeof(((summary_t *)0)->before) / sizeof(int64_t),
+	       "summary_t.before is too small");
 
 void summary_tick(summary_t *summary, usec_t now)
 {
--- a/pooler/summary.h
+++ b/pooler/summary.h
@@ -1,6 +1,6 @@
 /*
  * Logs a summary: successful operations are not logged one by one, but every few seconds one line
- * shows how far the main counters have risen.
+ * shows by how much the main counters have risen.
  */
 #pragma once
 
--- a/pooler/upstream.c
+++ b/pooler/upstream.c
@@ -16,16 +16,16 @@
 #define HUB_ANSWER_TIMEOUT (500 * USEC_PER_MSEC)
 /* Time for which a hub is avoided before it is tried again. */
 #define HUB_AVOID_TIME (2 * USEC_PER_SEC)
-/* Interval of pings to a downstream proxy that has fallen silent, */
+/* Interval of pings to a downstream proxy that has stopped sending queries. */
 #define PING_INTERVAL (1 * USEC_PER_SEC)
-/* and time after its last query for which it is pinged: a restart takes seconds. */
+/* Time after its last query for which such a proxy is pinged; a restart takes seconds. */
 #define PING_DURATION (30 * USEC_PER_SEC)
 /* Percent of a core for each unit of weight, and the greatest weight of a proxy. */
 #define WEIGHT_UNIT 25
 #define WEIGHT_MAX  4
 /*
- * Seed of the hashes for hubs; any number that makes the choice differ from that of a service's
- * homes.
+ * Seed of the hashes for hubs; any number for which the chosen proxies differ from the homes of a
+ * service.
  */
 #define HUB_SEED 7
 
--- a/pooler/upstream.h
+++ b/pooler/upstream.h
@@ -35,7 +35,7 @@
 /* True if this proxy is a hub. */
 bool upstream_is_hub(pooler_t *pooler);
 
-/* Returns the proxy to query now; false if none is known, or it is this proxy itself. */
+/* Finds the proxy to query now; false if there is none, or if it is this proxy itself. */
 bool upstream_find(pooler_t *pooler, usec_t now, const char **name, const char **address);
 
 /*
@@ -45,7 +45,7 @@
 
 /*
  * Pings the downstream proxies that have fallen silent, until they answer. Their process may have
- * restarted and know no other proxy, if the store does not serve it.
+ * restarted and have no other proxy to query, if the store does not serve it.
  */
 void upstream_tick(pooler_t *pooler, usec_t now);
 
@@ -65,8 +65,8 @@
 size_t upstream_weight(const roster_node_t *node);
 
 /*
- * Hash for weighted rendezvous hashing: of several proxies, the one with the least hash is chosen
- * for what seed stands for. A proxy is chosen in proportion to its weight.
+ * Hash for weighted rendezvous hashing: of several proxies, the one with the least hash is chosen.
+ * seed identifies what a proxy is chosen for. A proxy is chosen in proportion to its weight.
  */
 uint64_t upstream_hash(const roster_node_t *node, uint64_t seed);
 
