--- a/tests/test_pooler_config.c
+++ b/tests/test_pooler_config.c
@@ -41,10 +41,10 @@
  * Makes the store refuse, or serve again, all proxies of one zone, hubs included, so that none of
  * the zone's proxies can read for the others.
  */
-static void refuse_zone(pool_world_t *world, bool away)
+static void refuse_zone(pool_world_t *world, bool refused)
 {
 	for (size_t i = 0; i < world->node_count; i += 3)
-		world->nodes[i].kv.refused = away;
+		world->nodes[i].kv.refused = refused;
 }
 
 /* True if all proxies that are reachable for others have the newest configuration in force. */
@@ -141,9 +141,9 @@
 static void test_silent_hubs_without_store(void)
 {
 	pool_world_t *world = start(SMALL);
-	size_t plain = find_ordinary_proxy(world);
+	size_t proxy = find_ordinary_proxy(world);
 
-	world_freeze(world, plain);
+	world_freeze(world, proxy);
 	/* Run until its hub no longer sends it changes. */
 	world_run(world, 2 * UPSTREAM_DOWNSTREAM_TIMEOUT);
 	world_write_config(world);
@@ -153,7 +153,7 @@
 		if (is_hub(world, i) || holds_duty(world, i))
 			world_freeze(world, i);
 	}
-	world_thaw(world, plain);
+	world_thaw(world, proxy);
 	expect_in_force(world, CONFIG_BOUND);
 	world_destroy(world);
 }
@@ -166,17 +166,17 @@
 {
 	for (usec_t refused = 6 * SEC; refused <= 10 * SEC; refused += 500 * MSEC) {
 		pool_world_t *world = start(SMALL);
-		size_t plain = find_ordinary_proxy(world);
+		size_t proxy = find_ordinary_proxy(world);
 
-		world->nodes[plain].cut_from_peers = true;
-		world->nodes[plain].kv.refused = true;
+		world->nodes[proxy].cut_from_peers = true;
+		world->nodes[proxy].kv.refused = true;
 		world_run(world, refused);
 		world_write_config(world);
 		/* The history is dropped, so that the watch does not bring the change. */
 		fake_kv_compact(world->kv);
-		world->nodes[plain].kv.refused = false;
+		world->nodes[proxy].kv.refused = false;
 		world_run(world, CONFIG_BOUND);
-		g_assert_cmpint(world_version_at(world, plain), ==, world->config_version);
+		g_assert_cmpint(world_version_at(world, proxy), ==, world->config_version);
 		world_destroy(world);
 	}
 }
@@ -188,13 +188,13 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		pool_world_t *world = start(sizes[i]);
-		size_t plain = find_ordinary_proxy(world);
+		size_t proxy = find_ordinary_proxy(world);
 
-		world_kill(world, plain);
-		world->nodes[plain].kv.refused = true;
+		world_kill(world, proxy);
+		world->nodes[proxy].kv.refused = true;
 		/* Run until its hub no longer sends changes to the previous process. */
 		world_run(world, 2 * UPSTREAM_DOWNSTREAM_TIMEOUT);
-		world_start(world, plain);
+		world_start(world, proxy);
 		world_write_config(world);
 		expect_in_force(world, CONFIG_BOUND);
 		world_run(world, CONFIG_BOUND);
@@ -204,12 +204,12 @@
 }
 
 /*
- * An answer to the previous process was taken for one to our query, and its directory for current.
+ * An answer to the previous process counted as one to our query, and its directory as current.
  */
 static void test_answer_to_previous_process(void)
 {
 	pool_world_t *world = start(SMALL);
-	size_t plain = find_ordinary_proxy(world);
+	size_t proxy = find_ordinary_proxy(world);
 	size_t leader = find_holder(world);
 	const pooler_t *pooler;
 	const kv_item_t item = {.key = "op/config", .value = "1 ", .len = 2, .revision = 1};
@@ -228,17 +228,17 @@
 		.leader_age = USEC_NEVER,
 	};
 
-	world_kill(world, plain);
+	world_kill(world, proxy);
 	world_run(world, 1 * SEC);
-	world->nodes[plain].kv.cut = true;
-	world->nodes[plain].cut_from_peers = true;
-	world_start(world, plain);
-	pooler = world->nodes[plain].pooler;
-	exchange_on_message(world->nodes[plain].pooler, &state);
+	world->nodes[proxy].kv.cut = true;
+	world->nodes[proxy].cut_from_peers = true;
+	world_start(world, proxy);
+	pooler = world->nodes[proxy].pooler;
+	exchange_on_message(world->nodes[proxy].pooler, &state);
 	g_assert_cmpuint(pooler->sync.directory_as_of, ==, 0);
 	/* The VM has restarted since, and its clock was ahead before. */
 	state.echo = clock_now(&world->clock.base) + 60 * SEC;
-	exchange_on_message(world->nodes[plain].pooler, &state);
+	exchange_on_message(world->nodes[proxy].pooler, &state);
 	g_assert_cmpuint(pooler->sync.directory_as_of, ==, 0);
 	world_destroy(world);
 }
@@ -327,10 +327,10 @@
  * Makes the state by which a proxy answers the query of another one that has the directory up to a
  * revision.
  */
-static void make_state(const pool_world_t *world, size_t node, const char *to, int64_t known,
+static void make_state(const pool_world_t *world, size_t node, const char *to, int64_t since,
 		       peer_message_t *state, void *parent)
 {
-	peer_message_t query = {.kind = PEER_QUERY, .config_as_of = known, .members_as_of = known};
+	peer_message_t query = {.kind = PEER_QUERY, .config_as_of = since, .members_as_of = since};
 
 	*state = (peer_message_t){.kind = PEER_STATE};
 	refresh_fill_state(world->nodes[node].pooler, to, &query, state, parent);
@@ -349,21 +349,21 @@
 }
 
 /*
- * Expects that a proxy that lacks what is newer than known is asked to read it, and after the time
- * later is sent all of it.
+ * Expects that a proxy that lacks the changes after the revision since is asked to read them, and
+ * is sent all of them after the time later.
  */
-static void expect_sent_if_not_read(pool_world_t *world, int64_t known, packed_t packed,
+static void expect_sent_if_not_read(pool_world_t *world, int64_t since, packed_t packed,
 				    usec_t later)
 {
 	size_t leader = find_holder(world);
 	void *parent = talloc_new(NULL);
 	peer_message_t state;
 
-	make_state(world, leader, "new", known, &state, parent);
+	make_state(world, leader, "new", since, &state, parent);
 	g_assert_true(state.read_directory);
 	g_assert_null(packed(&state));
 	world_run(world, later);
-	make_state(world, leader, "new", known, &state, parent);
+	make_state(world, leader, "new", since, &state, parent);
 	g_assert_nonnull(packed(&state));
 	g_assert_false(state.read_directory);
 	talloc_free(parent);
@@ -373,11 +373,11 @@
 static void test_config_sent_if_not_read(void)
 {
 	pool_world_t *world = start(LARGE);
-	int64_t known = world->nodes[find_holder(world)].config.as_of;
+	int64_t since = world->nodes[find_holder(world)].config.as_of;
 
 	world_write_config(world);
 	world_run(world, 100 * MSEC);
-	expect_sent_if_not_read(world, known, packed_config, 1 * SEC);
+	expect_sent_if_not_read(world, since, packed_config, 1 * SEC);
 	world_destroy(world);
 }
 
@@ -386,13 +386,13 @@
 {
 	pool_world_t *world = start(SMALL);
 	world_node_t *leader = &world->nodes[find_holder(world)];
-	int64_t known = leader->members.as_of;
+	int64_t since = leader->members.as_of;
 
 	/* The link is so slow that the whole list does not fit its share. */
 	leader->pooler->config.link_rate = LARGE;
 	world_write_members(world, LARGE);
 	world_run(world, 2 * FOLLOW_COALESCE_TIME);
-	expect_sent_if_not_read(world, known, packed_members, 2 * SEC);
+	expect_sent_if_not_read(world, since, packed_members, 2 * SEC);
 	world_destroy(world);
 }
 
@@ -462,18 +462,18 @@
 	usec_t bound;
 	void (*write)(pool_world_t *world);
 	int64_t (*newest)(const pool_world_t *world);
-	int64_t (*known)(const pool_world_t *world, size_t node);
+	int64_t (*version_at)(const pool_world_t *world, size_t node);
 } data_kind_t;
 
 typedef struct run {
 	const data_kind_t *data;
 	pool_world_t *world;
 	GRand *rand;
-	usec_t disturbed[FLEET]; /* the bound does not apply to the proxy until then */
-	usec_t back[FLEET];	 /* when the proxy's fault ends; 0: it has none */
-	usec_t served[FLEET];	 /* the store refuses the proxy until then */
-	usec_t store_back;
-	usec_t store_disturbed;
+	usec_t exempt_until[FLEET];  /* the bound does not apply to the proxy until then */
+	usec_t fault_end[FLEET];     /* when the proxy's fault ends; 0: it has none */
+	usec_t refused_until[FLEET]; /* the store refuses the proxy until then */
+	usec_t store_fault_end;
+	usec_t store_exempt_until;
 	usec_t next_fault;
 	usec_t next_config;
 	usec_t written[VERSIONS_MAX]; /* when each version was written */
@@ -488,9 +488,9 @@
 {
 	world_node_t *node = &run->world->nodes[i];
 
-	if (run->back[i] == 0 || now < run->back[i])
+	if (run->fault_end[i] == 0 || now < run->fault_end[i])
 		return;
-	run->back[i] = 0;
+	run->fault_end[i] = 0;
 	node->cut_from_peers = false;
 	if (node->frozen)
 		world_thaw(run->world, i);
@@ -498,14 +498,16 @@
 		world_start(run->world, i);
 }
 
-/* The store drops the changes that deaf watches have missed from its history. */
+/*
+ * Ends a fault of the store. The changes that watches have missed are dropped from its history.
+ */
 static void end_store_fault(run_t *run, usec_t now)
 {
 	fake_kv_t *store = run->world->kv;
 
-	if (run->store_back == 0 || now < run->store_back)
+	if (run->store_fault_end == 0 || now < run->store_fault_end)
 		return;
-	run->store_back = 0;
+	run->store_fault_end = 0;
 	store->down = false;
 	if (store->deaf_watches)
 		fake_kv_compact(store);
@@ -518,7 +520,7 @@
 		fake_kv_client_t *kv = &run->world->nodes[i].kv;
 
 		end_disturbance(run, i, now);
-		if (now < run->served[i])
+		if (now < run->refused_until[i])
 			continue;
 		kv->refused = false;
 		kv->cut = false;
@@ -531,10 +533,10 @@
 	world_node_t *node = &run->world->nodes[i];
 	usec_t until = now + random_time(run, FAULT_TIME_MAX);
 
-	if (run->back[i] != 0)
+	if (run->fault_end[i] != 0)
 		return;
-	run->back[i] = until;
-	run->disturbed[i] = until + run->data->bound;
+	run->fault_end[i] = until;
+	run->exempt_until[i] = until + run->data->bound;
 	switch (how) {
 	case FREEZE:
 		world_freeze(run->world, i);
@@ -558,9 +560,9 @@
 	for (size_t i = 0; i < run->world->node_count - ALWAYS_SERVED_COUNT; i++) {
 		fake_kv_client_t *kv = &run->world->nodes[i].kv;
 
-		if (g_rand_double(run->rand) > part || now < run->served[i])
+		if (g_rand_double(run->rand) > part || now < run->refused_until[i])
 			continue;
-		run->served[i] = until;
+		run->refused_until[i] = until;
 		kv->refused = !silent;
 		kv->cut = silent;
 	}
@@ -570,11 +572,11 @@
 {
 	bool deaf = g_rand_boolean(run->rand);
 
-	if (run->store_back != 0)
+	if (run->store_fault_end != 0)
 		return;
-	run->store_back = now + random_time(run, deaf ? 1 * SEC : FAULT_TIME_MAX);
+	run->store_fault_end = now + random_time(run, deaf ? 1 * SEC : FAULT_TIME_MAX);
 	if (!deaf)
-		run->store_disturbed = run->store_back + run->data->bound;
+		run->store_exempt_until = run->store_fault_end + run->data->bound;
 	run->world->kv->deaf_watches = deaf;
 	run->world->kv->down = !deaf;
 }
@@ -631,7 +633,7 @@
 	usec_t bound = run->data->bound;
 
 	for (size_t i = 0; i < run->world->node_count; i++) {
-		if (now < run->served[i] + bound)
+		if (now < run->refused_until[i] + bound)
 			return bound + UNSTABLE_EXTRA;
 	}
 	return bound;
@@ -652,13 +654,13 @@
 	const pool_world_t *world = run->world;
 	int64_t due = version_due(run, now);
 
-	if (now < run->store_disturbed)
+	if (now < run->store_exempt_until)
 		return;
 	for (size_t i = 0; i < world->node_count; i++) {
-		int64_t version = run->data->known(world, i);
+		int64_t version = run->data->version_at(world, i);
 
 		/* A proxy without any version serves no callers. */
-		if (now < run->disturbed[i] || version == 0 || version >= due)
+		if (now < run->exempt_until[i] || version == 0 || version >= due)
 			continue;
 		g_error("seed %u at %.2f s: p%zu has version %d%s, %d was written %.2f s before",
 			seed, (double)now / SEC, i, (int)version, run->data->what, (int)due,
@@ -724,7 +726,7 @@
 		.bound = CONFIG_BOUND,
 		.write = world_write_config,
 		.newest = newest_config,
-		.known = world_version_at,
+		.version_at = world_version_at,
 	};
 
 	run_seeds(&config);
@@ -740,7 +742,7 @@
 	return world->members_version;
 }
 
-static int64_t known_members(const pool_world_t *world, size_t node)
+static int64_t members_version_at(const pool_world_t *world, size_t node)
 {
 	return world->nodes[node].pooler != NULL ? world->nodes[node].members_version : 0;
 }
@@ -753,7 +755,7 @@
 		.bound = LEAVING_BOUND,
 		.write = write_members,
 		.newest = newest_members,
-		.known = known_members,
+		.version_at = members_version_at,
 	};
 
 	run_seeds(&members);
--- a/tests/test_pooler_scale.c
+++ b/tests/test_pooler_scale.c
@@ -22,7 +22,7 @@
 #define SERVICES_EACH 4
 /*
  * Number of services whose primaries are unused; 40 of them are checked in a second
- * (UNUSED_SPACING).
+ * (UNUSED_PROBE_SPACING).
  */
 #define UNUSED 200
 /* Number of runs for each service, whatever the number of services. */
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -127,11 +127,11 @@
 {
 	pool_world_t *world = make_fleet();
 	size_t hub = find_hub(world);
-	size_t plain = find_ordinary_proxy(world, hub);
-	pooler_t *pooler = world->nodes[plain].pooler;
+	size_t proxy = find_ordinary_proxy(world, hub);
+	pooler_t *pooler = world->nodes[proxy].pooler;
 
 	g_assert_cmpstr(pooler->sync.upstream, ==, world->nodes[hub].name);
-	world->nodes[plain].kv.cut = true;
+	world->nodes[proxy].kv.cut = true;
 	sync_set_leader(pooler, world->nodes[hub].name, world->nodes[hub].address,
 			pooler->sync.fencing_token + 1);
 	world_freeze(world, hub);
@@ -147,21 +147,21 @@
 static void test_few_others_are_queried(void)
 {
 	pool_world_t *world = world_create(WIDE_FLEET, NULL);
-	size_t plain;
+	size_t proxy;
 	size_t links = 0;
 
 	world_settle(world);
 	world_run(world, 2 * SEC);
-	plain = find_ordinary_proxy(world, FLEET);
+	proxy = find_ordinary_proxy(world, FLEET);
 	world->kv->down = true;
 	for (size_t i = 0; i < WIDE_FLEET; i++) {
-		if (i != plain)
+		if (i != proxy)
 			world_freeze(world, i);
 	}
 	world->new_links = true;
 	world_run(world, WIDE_FLEET * ASK_QUERY_INTERVAL);
 	for (size_t i = 0; i < WIDE_FLEET; i++)
-		links += world->nodes[plain].link_at[i] != 0;
+		links += world->nodes[proxy].link_at[i] != 0;
 	g_assert_cmpuint(links, >=, 10);
 	g_assert_cmpuint(links, <=, 32);
 	world_destroy(world);
@@ -389,8 +389,8 @@
 static void test_idle_proxy_ticks_less_often(void)
 {
 	pool_world_t *world = make_fleet();
-	size_t plain = find_ordinary_proxy(world, FLEET);
-	const pooler_t *pooler = world->nodes[plain].pooler;
+	size_t proxy = find_ordinary_proxy(world, FLEET);
+	const pooler_t *pooler = world->nodes[proxy].pooler;
 	world_caller_t *caller;
 
 	world_run(world, 5 * SEC);
@@ -398,7 +398,7 @@
 	g_assert_cmpuint(world->nodes[find_holder(world)].pooler->tick_due -
 				 world->nodes[find_holder(world)].pooler->last_tick,
 			 ==, 50 * MSEC);
-	caller = world_open(world, plain);
+	caller = world_open(world, proxy);
 	world_send(caller, "WRITE job-1 a");
 	g_assert_cmpuint(pooler->tick_due, <=, now_of(pooler) + 50 * MSEC);
 	world_run(world, SEC);
