--- a/pooler/follow.c
+++ b/pooler/follow.c
@@ -569,7 +569,7 @@
 
 /*
  * Changes from a peer are applied also during our own full read, which takes long while the store
- * does not answer; otherwise the peer would send everything with each answer until then.
+ * does not answer; otherwise the peer would send all entries with each answer until then.
  */
 void follow_apply_changes(follow_t *follow, const follow_changes_t *changes)
 {
--- a/pooler/home.h
+++ b/pooler/home.h
@@ -50,7 +50,7 @@
 /* Records that the peer declined a statement. */
 void home_on_declined(pooler_t *pooler, const char *name, usec_t now);
 
-/* True if the peer has sent nothing for too long since a statement was forwarded to it. */
+/* True if the peer has sent nothing for too long since home_on_sent(). */
 bool home_is_suspect(const pooler_t *pooler, const char *name, usec_t now);
 
 /* Connects to homes ahead of use, and pings peers whose answers are overdue. */
--- a/pooler/quota.c
+++ b/pooler/quota.c
@@ -258,7 +258,8 @@
 	}
 	exchange_fill_sender(pooler, &message);
 	/*
-	 * Detects a silent owner from the requests for all customers together; it is then pinged.
+	 * Detects a silent owner from the requests for all customers together; the owner is then
+	 * pinged.
 	 */
 	home_on_sent(pooler, owner->name, now);
 	if (!pooler->env->ops->peer_send(pooler->env, owner->name, owner->address, &message)) {
--- a/pooler/relay.c
+++ b/pooler/relay.c
@@ -18,8 +18,8 @@
  */
 #define PROBE_INTERVAL (1 * USEC_PER_SEC)
 /*
- * In a larger fleet the interval grows, up to PROBE_INTERVAL_MAX, so that all proxies together make
- * as many probes a second.
+ * In a larger fleet the interval grows, up to PROBE_INTERVAL_MAX, so that all proxies together
+ * do not make more probes a second.
  */
 #define PROBE_INTERVAL_MAX	 (4 * USEC_PER_SEC)
 #define PROBE_INTERVAL_PER_PROXY (80 * USEC_PER_MSEC)
@@ -28,18 +28,18 @@
  * intervals.
  */
 #define ACCESS_REPORT_VALID (700 * USEC_PER_MSEC)
-/* Number of peers asked for one call. */
+/* Maximum number of peers that are asked to make one call. */
 #define HELPERS_MAX 2
 /*
- * Peers whose access is unknown are tried among this many that follow on the roster, so that there
- * are few links whatever the size of the fleet.
+ * A peer whose access is unknown is chosen among this many proxies that follow this one on the
+ * roster, so that there are few links whatever the size of the fleet.
  */
 #define CANDIDATES_MAX 16
 /* A peer that could not make a call is not tried again for this time. */
 #define CANDIDATE_AVOID_TIME (2 * USEC_PER_SEC)
 /*
- * Number of calls made for other proxies at a time: a leader and proxies that start have one or two
- * each.
+ * Maximum number of calls made for other proxies at a time: a leader and proxies that start have
+ * one or two each.
  */
 #define JOBS_MAX 16
 /* Time for the messages between the proxies, added to the peer's own time-out of the call. */
