--- a/tests/test_pooler_access.c
+++ b/tests/test_pooler_access.c
@@ -260,8 +260,8 @@
 
 /*
  * Guards against a revoked key that works as long as a proxy is cut off: the proxy receives nothing
- * from the store or a peer, while its callers go on. Cached keys are valid for a stated time after
- * they were last confirmed.
+ * from the store or a peer, while its callers keep sending statements. Cached keys are valid for a
+ * stated time after they were last confirmed.
  */
 static void test_cut_off_proxy_expires(void)
 {
@@ -507,7 +507,7 @@
 
 /*
  * The same while proxies, among them shard owners, are killed and restarted: the new process does
- * not have what the earlier one granted, and that counts all the same.
+ * not have the record of what the earlier one granted, and those operations still count.
  */
 static void test_flood_during_restarts(void)
 {
@@ -532,7 +532,7 @@
 	g_rand_free(rand);
 }
 
-/* A lowered limit is in force one window after it arrived; a transaction that has begun goes on. */
+/* A lowered limit is in force one window after it arrived; an open transaction continues. */
 static void test_lower_limit(void)
 {
 	pool_world_t *world = start_limited(3);
@@ -572,9 +572,9 @@
 
 /*
  * Guards against the permanent loss of a third of a customer's limit: a proxy becomes the owner of
- * a limit shard and is gone again, and its predecessor, which released the shard, receives only the
- * rosters before and after. Once the predecessor has a roster no older than the successor's, it
- * takes the shard over like a new one.
+ * a limit shard and soon leaves the fleet, and its predecessor, which released the shard, receives
+ * only the rosters before and after. Once the predecessor has a roster no older than the
+ * successor's, it takes the shard over like a new one.
  */
 static void test_short_lived_successor(void)
 {
--- a/tests/test_pooler_join.c
+++ b/tests/test_pooler_join.c
@@ -10,7 +10,7 @@
 /* Number of proxies; their roster has some 16 KB. */
 #define LARGE 150
 /* Number of their hubs: one for 16 proxies of a zone, and one more in a zone for the rest. */
-#define HUBS_MOST (LARGE / 16 + 3)
+#define HUBS_MAX (LARGE / 16 + 3)
 
 /* Counts the proxies that have established a link to this one. */
 static size_t count_links_to(const pool_world_t *world, size_t node)
@@ -43,7 +43,8 @@
 
 /*
  * Guards against a leader that runs out of memory and bandwidth after a power failure: each proxy
- * asked it to be added, was answered over a link of its own, and was sent all the others.
+ * asked the leader to be added, was answered over a link of its own, and was sent the entries of
+ * all others.
  */
 static void test_large_fleet_joins_through_hubs(void)
 {
@@ -53,15 +54,15 @@
 	for (size_t i = 0; i < LARGE; i++)
 		world_start(world, i);
 	world_run(world, 1500 * MSEC);
-	g_test_message("links to the holder %zu, bytes that it sent %zu",
+	g_test_message("links to the leader: %zu, bytes that it sent: %zu",
 		       count_links_to(world, leader), world->nodes[leader].bytes);
 	g_assert_cmpuint(count_registered(world), ==, LARGE);
-	g_assert_cmpuint(count_links_to(world, leader), <=, 2 * HUBS_MOST);
+	g_assert_cmpuint(count_links_to(world, leader), <=, 2 * HUBS_MAX);
 	g_assert_cmpuint(world->nodes[leader].bytes, <=, 400 * 1000);
 	world_destroy(world);
 }
 
-/* Guards against proxies that never join, since the leader that the roster names is gone. */
+/* Guards against proxies that never join because the previous leader does not come back. */
 static void test_large_fleet_without_its_leader(void)
 {
 	size_t leader;
--- a/tests/test_pooler_scale.c
+++ b/tests/test_pooler_scale.c
@@ -24,9 +24,9 @@
  * Number of services whose primaries are unused; 40 of them are checked in a second
  * (UNUSED_PROBE_SPACING).
  */
-#define UNUSED 200
-/* Number of runs for each service, whatever the number of services. */
-#define LOOKS 400000
+#define UNUSED_SERVICES 200
+/* Number of runs times number of services: with more services there are fewer runs. */
+#define TOTAL_RUNS 400000
 
 /* Adds services with their members, and the roster that names the primaries. */
 static void add_services(pooler_t *pooler, int count)
@@ -63,9 +63,9 @@
 
 	add_services(pooler, services);
 	began = clock();
-	for (int i = 0; i < LOOKS / services; i++)
+	for (int i = 0; i < TOTAL_RUNS / services; i++)
 		talloc_free(verdict_suspects(pooler, now_of(pooler), NULL));
-	took = (double)(clock() - began) / CLOCKS_PER_SEC / LOOKS;
+	took = (double)(clock() - began) / CLOCKS_PER_SEC / TOTAL_RUNS;
 	world_destroy(world);
 	return took;
 }
@@ -78,7 +78,7 @@
 {
 	pool_world_t *world = world_create(1, NULL);
 	pooler_t *pooler = world->nodes[0].pooler;
-	int work = LOOKS / 10 / services;
+	int work = TOTAL_RUNS / 10 / services;
 	clock_t began;
 	double took;
 
@@ -142,12 +142,12 @@
 	pooler_t *pooler = world->nodes[0].pooler;
 
 	world_settle(world);
-	add_services(pooler, UNUSED);
+	add_services(pooler, UNUSED_SERVICES);
 	world_run(world, SEC);
 	g_assert_cmpuint(count_checked(pooler), >=, 20);
 	g_assert_cmpuint(count_checked(pooler), <=, 60);
-	world_run(world, UNUSED / 40 * SEC);
-	g_assert_cmpuint(count_checked(pooler), >=, UNUSED);
+	world_run(world, UNUSED_SERVICES / 40 * SEC);
+	g_assert_cmpuint(count_checked(pooler), >=, UNUSED_SERVICES);
 	world_destroy(world);
 }
 
--- a/tests/test_pooler_upstream.c
+++ b/tests/test_pooler_upstream.c
@@ -385,7 +385,7 @@
 	world_destroy(world);
 }
 
-/* In an idle fleet of 985 processes each woke 20 times a second with nothing to do. */
+/* Each of the 985 processes of an idle fleet woke up 20 times a second with nothing to do. */
 static void test_idle_proxy_ticks_less_often(void)
 {
 	pool_world_t *world = make_fleet();
