--- a/access/bucket.c
+++ b/access/bucket.c
@@ -34,12 +34,12 @@
 
 unsigned bucket_take(bucket_t *bucket, unsigned wanted, usec_t now)
 {
-	unsigned taken;
+	unsigned count;
 
 	refill(bucket, now);
-	taken = bucket->tokens < wanted ? (unsigned)bucket->tokens : wanted;
-	bucket->tokens -= taken;
-	return taken;
+	count = bucket->tokens < wanted ? (unsigned)bucket->tokens : wanted;
+	bucket->tokens -= count;
+	return count;
 }
 
 usec_t bucket_wait_time(bucket_t *bucket, usec_t now)
--- a/tests/test_access.c
+++ b/tests/test_access.c
@@ -41,7 +41,7 @@
 {
 	customers_t *customers = customers_create(NULL);
 	const customer_t *large = customers_add(customers, "large", 185, 185);
-	const customer_t *free = customers_add(customers, "free", -1, 0);
+	const customer_t *unlimited = customers_add(customers, "free", -1, 0);
 	key_digest_t first = digest_of("one");
 	key_digest_t second = digest_of("two");
 	key_digest_t none = digest_of("");
@@ -51,12 +51,12 @@
 	g_assert_true(customers_add_key(customers, large, &second));
 	g_assert_true(customers_add_key(customers, large, &first));
 	/* A key belongs to one customer; adding it to another one fails. */
-	g_assert_false(customers_add_key(customers, free, &first));
+	g_assert_false(customers_add_key(customers, unlimited, &first));
 	g_assert_true(customers_find_by_key(customers, &first) == large);
 	g_assert_true(customers_find_by_key(customers, &second) == large);
 	g_assert_null(customers_find_by_key(customers, &none));
-	g_assert_true(customers_find_by_name(customers, "free") == free);
-	g_assert_cmpfloat(free->rate, ==, 0);
+	g_assert_true(customers_find_by_name(customers, "free") == unlimited);
+	g_assert_cmpfloat(unlimited->rate, ==, 0);
 	g_assert_cmpuint(customers_count(customers), ==, 2);
 	talloc_free(customers);
 }
