--- a/pooler/conn.c
+++ b/pooler/conn.c
@@ -52,11 +52,11 @@
 }
 
 /* Records a failure of the caller's statement, or of its set-up, at the member. */
-static void record_failure(conn_t *conn, statement_outcome_t evidence)
+static void record_failure(conn_t *conn, statement_outcome_t outcome)
 {
 	if (conn->caller != NULL)
 		conn->caller->failed_member = conn->member;
-	member_record_outcome(conn->member, evidence);
+	member_record_outcome(conn->member, outcome);
 }
 
 /*
@@ -78,18 +78,18 @@
 
 /* --- open and close --- */
 
-/* Customer name that the connection of a probe sends; a probe runs no customer's statements. */
+/* Customer name that a probe's connection sends; a probe runs no customer's statements. */
 #define PROBE_CUSTOMER "cyclamenspan"
 
-conn_t *conn_open(member_t *member, customer_pool_t *line)
+conn_t *conn_open(member_t *member, customer_pool_t *customer_pool)
 {
-	const char *customer = line != NULL ? line->customer : PROBE_CUSTOMER;
-	bool probe = line == NULL;
+	const char *customer = customer_pool != NULL ? customer_pool->customer : PROBE_CUSTOMER;
+	bool probe = customer_pool == NULL;
 	pooler_t *pooler = member->pooler;
 	conn_t *conn = talloc_zero(member, conn_t);
 
 	conn->member = member;
-	conn->customer_pool = line;
+	conn->customer_pool = customer_pool;
 	conn->probe = probe;
 	variables_init(&conn->variables);
 	conn->link = pooler->env->ops->member_connect(
@@ -177,7 +177,7 @@
 	usec_t now = now_of(member->pooler);
 
 	if (code == CODE_MISROUTED) {
-		/* Another process has the address now; the directory will list the change. */
+		/* Another process has the address now; the directory will show the new address. */
 		member->connect_not_before = now + FULL_BACKOFF;
 		return;
 	}
@@ -412,7 +412,10 @@
 	}
 	if (conn->setup_code == CODE_BUSY)
 		record_failure(conn, STATEMENT_REFUSED);
-	/* After a refused BEGIN the connection's state is known; after any other it is not. */
+	/*
+	 * After a refused BEGIN the state of the connection is certain; after another refused
+	 * request it is not.
+	 */
 	conn->caller = NULL;
 	code = conn->setup_code;
 	if (kind == REQUEST_BEGIN || kind == REQUEST_BEGIN_READ)
@@ -537,7 +540,7 @@
 	switch (conn->state) {
 	case CONN_PREPARING:
 		if (conn->caller == NULL) {
-			/* The caller is gone; the remaining set-up replies still arrive. */
+			/* The caller has left; the remaining set-up replies still arrive. */
 			if (++conn->setup_done == conn->setup_len)
 				conn_close(conn, "caller gone during set-up");
 			return;
--- a/pooler/dispatch.c
+++ b/pooler/dispatch.c
@@ -42,7 +42,7 @@
 #define TX_IDLE_RECLAIM (100 * USEC_PER_MSEC)
 /* Round trip between a caller and this proxy, with some margin. */
 #define CALLER_ROUND_TRIP (10 * USEC_PER_MSEC)
-/* How long after a refusal for lag the replica's last measured lag is taken as its present one. */
+/* How long after a refusal for lag the replica's last measured lag is assumed to be unchanged. */
 #define LAG_CACHE_TIME (300 * USEC_PER_MSEC)
 /* Added to that lag: the interval between samples of the primary's position. */
 #define LAG_MARGIN FRESHNESS_SPACING
@@ -82,16 +82,16 @@
  * Sets the log position that a replica must have applied for the caller's read. Returns false if
  * no sample of the primary's position is recent enough.
  */
-static bool required_position(const caller_t *caller, sample_t *wanted)
+static bool required_position(const caller_t *caller, sample_t *required)
 {
 	const freshness_t *freshness = caller->service->freshness;
 
-	if (!freshness_min_position(freshness, caller->received_at, caller->max_age, wanted))
+	if (!freshness_min_position(freshness, caller->received_at, caller->max_age, required))
 		return false;
 	if (caller->reads == READS_SESSION && caller->has_commit &&
-	    !position_covers(wanted->position, caller->commit)) {
-		wanted->position = position_max(wanted->position, caller->commit);
-		wanted->sent_at = caller->committed_at;
+	    !position_covers(required->position, caller->commit)) {
+		required->position = position_max(required->position, caller->commit);
+		required->sent_at = caller->committed_at;
 	}
 	return true;
 }
@@ -157,16 +157,16 @@
  * lag at its last reply. A wrong estimate costs one round trip. Without the estimate, while the
  * replicas lagged by seconds, a third of all reads took that extra round trip.
  */
-static bool replica_probably_current(member_t *replica, const sample_t *wanted, usec_t now)
+static bool replica_probably_current(member_t *replica, const sample_t *required, usec_t now)
 {
 	usec_t caught_up_to;
 
-	if (position_covers(replica->applied, wanted->position) ||
+	if (position_covers(replica->applied, required->position) ||
 	    now >= replica->lagged_at + LAG_CACHE_TIME)
 		return true;
 	caught_up_to = freshness_position_time(replica->service->freshness, replica->applied);
 	return caught_up_to != 0 &&
-	       wanted->sent_at + (replica->applied_at - caught_up_to) + LAG_MARGIN <= now;
+	       required->sent_at + (replica->applied_at - caught_up_to) + LAG_MARGIN <= now;
 }
 
 /*
@@ -176,8 +176,8 @@
 static member_t *choose_read_member(caller_t *caller, usec_t now, bool *open)
 {
 	member_t *primary = permit_primary(caller->service, now);
-	sample_t wanted;
-	bool fresh = required_position(caller, &wanted) && !caller->primary_only;
+	sample_t required;
+	bool fresh = required_position(caller, &required) && !caller->primary_only;
 	member_t *best = NULL;
 	usec_t best_cost = USEC_NEVER;
 
@@ -187,7 +187,7 @@
 		usec_t cost;
 
 		if (member != primary &&
-		    (!fresh || !replica_probably_current(member, &wanted, now)))
+		    (!fresh || !replica_probably_current(member, &required, now)))
 			continue;
 		*open = *open || member_is_usable(member);
 		if (!can_read_at(member, caller, now) || !can_serve(member, caller, now))
@@ -200,7 +200,7 @@
 	}
 	caller->has_after = best != primary;
 	if (caller->has_after)
-		caller->after = wanted.position;
+		caller->after = required.position;
 	return best;
 }
 
@@ -218,14 +218,14 @@
 }
 
 /* Counts the connections to the member that are being opened for the customer. */
-static size_t count_opening(const member_t *member, const customer_pool_t *line)
+static size_t count_opening(const member_t *member, const customer_pool_t *customer_pool)
 {
 	size_t count = 0;
 
 	list_for_each (it, &member->conns) {
 		const conn_t *conn = list_entry(it, conn_t, node);
 
-		count += conn->state == CONN_OPENING && conn->customer_pool == line;
+		count += conn->state == CONN_OPENING && conn->customer_pool == customer_pool;
 	}
 	return count;
 }
@@ -243,12 +243,12 @@
  */
 static void open_connection(member_t *member, const caller_t *caller, usec_t now)
 {
-	conn_t *spare;
+	conn_t *evicted;
 
 	if (!member_can_open(member, now, false)) {
-		spare = find_evictable(member, caller, now);
-		if (spare != NULL)
-			conn_close(spare, "evicted for another customer");
+		evicted = find_evictable(member, caller, now);
+		if (evicted != NULL)
+			conn_close(evicted, "evicted for another customer");
 	}
 	conn_open(member, caller->customer_pool);
 }
@@ -452,7 +452,7 @@
 {
 	usec_t end = expected_recovery(caller->service, now);
 	bool open;
-	usec_t back;
+	usec_t retry_after;
 
 	if (lacks_time_to_run(caller, now)) {
 		caller_refuse(caller, CODE_BUSY, REASON_NO_CONNECTION, QUEUE_RETRY_AFTER);
@@ -461,10 +461,10 @@
 	choose_member(caller, now, &open);
 	if (open || (end != USEC_NEVER && end < caller->deadline))
 		return;
-	back = end != USEC_NEVER && end > now ? end - now : DEFAULT_RETRY_AFTER;
-	if (back > RETRY_AFTER_MAX)
-		back = RETRY_AFTER_MAX;
-	caller_refuse(caller, CODE_BUSY, REASON_NO_MEMBER, back);
+	retry_after = end != USEC_NEVER && end > now ? end - now : DEFAULT_RETRY_AFTER;
+	if (retry_after > RETRY_AFTER_MAX)
+		retry_after = RETRY_AFTER_MAX;
+	caller_refuse(caller, CODE_BUSY, REASON_NO_MEMBER, retry_after);
 }
 
 /* --- idle transactions --- */
@@ -520,7 +520,10 @@
 
 void dispatch_tick(service_t *service, usec_t now)
 {
-	/* After a pause of this process, statements of these transactions may lie unread. */
+	/*
+	 * After a pause of this process, the next statements of these transactions may lie unread
+	 * in the socket buffers.
+	 */
 	if (now != service->pooler->resumed_at)
 		reclaim_idle_tx(service, now);
 	list_for_each_safe (it, &service->waiting)
--- a/pooler/forward.c
+++ b/pooler/forward.c
@@ -108,7 +108,7 @@
 	if (forward_to(caller, home, now))
 		return FORWARD_SENT;
 	/*
-	 * The link to the home is being made, or the home is gone. In the latter case the request
+	 * The link to the home is being made, or the home has ended. In the latter case the request
 	 * stays unanswered, and the next candidate is chosen soon.
 	 */
 	caller->remote_tx = 0;
--- a/pooler/forward.h
+++ b/pooler/forward.h
@@ -1,6 +1,7 @@
 /*
- * Statements of this proxy's callers that another proxy runs: the home of the service. In a fleet
- * with more proxies than a member accepts connections, only homes connect to members (home.h).
+ * Statements of this proxy's callers that another proxy, the helper, runs: the home of the
+ * service. In a fleet with more proxies than a member accepts connections, only homes connect to
+ * members (home.h).
  *
  * The home receives the statement with all that it needs of its session, and serves it like one of
  * its own callers (job.h), by its own permission and in its own queue. It sends back the result,
@@ -39,8 +40,8 @@
 /* Handles the result of a forwarded statement. */
 void forward_on_result(pooler_t *pooler, const peer_message_t *message);
 
-/* Any message has arrived from that proxy, so it is alive. */
+/* Records a message of any kind from that proxy, which shows that the proxy is alive. */
 void forward_on_peer_message(pooler_t *pooler, const char *peer);
 
-/* Gives up the wait for homes that do not answer. */
+/* Stops waiting for homes that do not answer, and retries the reads forwarded to them. */
 void forward_tick(pooler_t *pooler, usec_t now);
--- a/pooler/outbox.c
+++ b/pooler/outbox.c
@@ -12,7 +12,7 @@
 
 /* Interval between attempts to send; a link within a region takes 5 to 15 ms to set up. */
 #define RETRY_INTERVAL (4 * USEC_PER_MSEC)
-/* Time after which a result is dropped: the proxy is then gone, or has given up on this one. */
+/* Time after which a result is dropped: by then the proxy has ended or stopped waiting for it. */
 #define PENDING_TIMEOUT (500 * USEC_PER_MSEC)
 
 COUNTER_DEFINE(late_total, "results_sent_late_total", COUNTER_SUM,
