--- a/pooler/failover.c
+++ b/pooler/failover.c
@@ -444,20 +444,20 @@
 {
 	change_t *change = &service->change;
 	member_t *old = service_roster_primary(service);
-	member_t *leader;
+	member_t *newer;
 	member_t *best;
-	bool stays;
+	bool can_stay;
 
 	survey_query_members(service, now);
 	if (!survey_is_complete(service, now))
 		return;
-	leader = survey_newer_primary(service, old);
-	if (leader != NULL) {
-		commit_primary(service, leader, leader->status.term, now);
+	newer = survey_newer_primary(service, old);
+	if (newer != NULL) {
+		commit_primary(service, newer, newer->status.term, now);
 		return;
 	}
-	stays = can_keep_old(service, old, now);
-	if (stays && !change->may_have_promoted) {
+	can_stay = can_keep_old(service, old, now);
+	if (can_stay && !change->may_have_promoted) {
 		keep_primary(service, old, old->status.term, now);
 		return;
 	}
@@ -466,7 +466,7 @@
 	 * newer term than the old primary. So the old primary is promoted like any other member; if
 	 * it still is the primary, the call has no effect.
 	 */
-	best = stays ? old : survey_best_candidate(service, old);
+	best = can_stay ? old : survey_best_candidate(service, old);
 	if (best == NULL)
 		return;
 	/*
@@ -507,12 +507,12 @@
 }
 
 /*
- * True if the target is the primary as a result of the call. If it reported itself as primary
- * before the call already, another such report proves nothing unless its term rose. A call has no
- * effect only on a member that is the primary anyway; that is certain when nothing has changed for
- * CALL_EFFECT_TIME.
+ * True if the target is the primary after the promote call. If the target reported itself as
+ * primary before the call already, another such report proves nothing unless its term rose. A call
+ * has no effect only on a member that is the primary anyway, which is certain when nothing has
+ * changed for CALL_EFFECT_TIME.
  */
-static bool is_leading(const service_t *service, const member_t *target, usec_t now)
+static bool was_promoted(const service_t *service, const member_t *target, usec_t now)
 {
 	const change_t *change = &service->change;
 
@@ -531,7 +531,7 @@
 		begin_survey(service, now);
 		return;
 	}
-	if (is_leading(service, target, now)) {
+	if (was_promoted(service, target, now)) {
 		commit_primary(service, target, target->status.term, now);
 		return;
 	}
--- a/pooler/freshness.h
+++ b/pooler/freshness.h
@@ -37,7 +37,8 @@
 void freshness_add(freshness_t *freshness, usec_t sent_at, position_t position);
 
 /*
- * The latest time at which the primary is known to have had no commit beyond position; 0: unknown.
+ * The latest time at which the primary certainly had no commit beyond position; 0: no such time is
+ * recorded.
  */
 usec_t freshness_position_time(const freshness_t *freshness, position_t position);
 
--- a/pooler/leader.c
+++ b/pooler/leader.c
@@ -46,7 +46,7 @@
 #define WEAKER_ACQUIRE_DELAY (300 * USEC_PER_MSEC)
 /* Delay after a failed attempt to become the leader. */
 #define ACQUIRE_BACKOFF (400 * USEC_PER_MSEC)
-/* How long a read of the store that found no leader is relied on. */
+/* How long a read of the store that found no leader counts as current. */
 #define VACANCY_VALID (1 * USEC_PER_SEC)
 
 COUNTER_DEFINE(duty_held, "duty_held", COUNTER_GAUGE,
@@ -76,7 +76,7 @@
 {
 	kv_t *kv = pooler_store(pooler);
 
-	/* If this call is lost the lease expires by itself. */
+	/* If this call is lost, the lease expires by itself. */
 	if (pooler->sync.lease != 0)
 		kv->ops->lease_end(kv, pooler->sync.lease, ignore_result, NULL);
 	pooler->sync.lease = 0;
@@ -104,18 +104,18 @@
 	kv->ops->lease_end(kv, lease, on_former_lease_ended, pooler);
 }
 
-static void assume_leadership(pooler_t *pooler, uint64_t fence)
+static void assume_leadership(pooler_t *pooler, uint64_t fencing_token)
 {
 	sync_t *sync = &pooler->sync;
 	usec_t now = now_of(pooler);
 
 	sync->leading = true;
 	sync->former_token = sync->own_token;
-	sync->own_token = fence;
+	sync->own_token = fencing_token;
 	sync->leading_since = now;
 	sync->renew_next = now;
 	counter_set(&duty_held, 1);
-	sync_set_leader(pooler, pooler->config.name, pooler->config.address, fence);
+	sync_set_leader(pooler, pooler->config.name, pooler->config.address, fencing_token);
 	push_fleet(pooler);
 }
 
@@ -144,16 +144,16 @@
 		end_lease(pooler);
 }
 
-void leader_on_own_key(pooler_t *pooler, uint64_t incarnation, uint64_t fence)
+void leader_on_own_key(pooler_t *pooler, uint64_t incarnation, uint64_t fencing_token)
 {
 	sync_t *sync = &pooler->sync;
 
 	if (sync->leading || sync->lease == 0 || incarnation != pooler->config.incarnation ||
-	    now_of(pooler) >= sync->lease_until || fence < sync->fencing_token)
+	    now_of(pooler) >= sync->lease_until || fencing_token < sync->fencing_token)
 		return;
 	LOG_EVENT(LOG_INFO, "leadership acquired: the unanswered write succeeded",
-		  LOG_INT("fence", (int64_t)fence));
-	assume_leadership(pooler, fence);
+		  LOG_INT("fence", (int64_t)fencing_token));
+	assume_leadership(pooler, fencing_token);
 }
 
 static void on_lease_created(void *data, const kv_result_t *result)
--- a/pooler/leader.h
+++ b/pooler/leader.h
@@ -12,19 +12,20 @@
 bool leader_is_self(const pooler_t *pooler, usec_t now);
 
 /*
- * The store's leader key names this proxy, written by the process with that incarnation; fence is
- * its fencing token.
+ * Handles a read of the store that found the leader key with this proxy's name, written by the
+ * process with that incarnation under that fencing token.
  */
-void leader_on_own_key(pooler_t *pooler, uint64_t incarnation, uint64_t fence);
+void leader_on_own_key(pooler_t *pooler, uint64_t incarnation, uint64_t fencing_token);
 
+/* Ends the leadership of this proxy, if it has it. */
 void leader_step_down(pooler_t *pooler, const char *reason);
 
 /* Ends the leadership and its lease at the store. */
 void leader_release(pooler_t *pooler);
 
 /*
- * The leader key was written by an earlier process of this proxy, which has ended. Its lease is
- * ended now, or there would be no leader until it expires, for up to 2 s.
+ * Ends the lease of a leader key that an earlier process of this proxy has written. Otherwise there
+ * would be no leader until that lease expires, for up to 2 s.
  */
 void leader_end_former_lease(pooler_t *pooler, uint64_t lease);
 
--- a/pooler/permit.h
+++ b/pooler/permit.h
@@ -29,12 +29,12 @@
 #define PERMIT_LEASE_MAX (12 * USEC_PER_SEC)
 
 /*
- * More than half of the nodes. The leader makes a change before PERMIT_LEASE_MAX only when fewer
- * proxies than this do not have the marked roster, so that these can't extend their permission. Any
- * value is safe that both sides use. With more than two thirds, four of seven proxies that a
- * partition cut off from the store stopped serving after 1.8 s of a partition of 7 s; the price of
- * one half is that a change waits for PERMIT_LEASE_MAX if half of the fleet is silent, instead of
- * two thirds.
+ * Proxies needed for an agreement: more than half of the nodes. The leader makes a change before
+ * PERMIT_LEASE_MAX only when fewer proxies than this do not have the marked roster, so that these
+ * can't extend their permission. Any value is safe that both sides use. With more than two thirds,
+ * four of seven proxies that a partition cut off from the store stopped serving after 1.8 s of a
+ * partition of 7 s; the price of one half is that a change waits for PERMIT_LEASE_MAX if half of
+ * the fleet is silent, instead of two thirds.
  */
 static inline size_t permit_quorum(size_t nodes)
 {
@@ -44,12 +44,15 @@
 /* When the permission ends unless it is extended; 0: there is none. */
 usec_t permit_expires_at(const pooler_t *pooler);
 
-/* When more than half of the fleet were last confirmed to have no newer roster; 0: never. */
+/*
+ * The time of the last agreement: when more than half of the fleet, this proxy included, were last
+ * confirmed to have no newer roster; 0: never.
+ */
 usec_t permit_quorum_confirmed_at(const pooler_t *pooler);
 
 /*
- * Another proxy was confirmed to have no newer roster: computes the quorum's time anew. The result
- * is cached, since every statement needs it.
+ * Computes the time of the last agreement anew; to be called when another proxy was confirmed to
+ * have no newer roster. The result is cached, since every statement needs it.
  */
 void permit_update_quorum_confirmed(pooler_t *pooler);
 
@@ -62,20 +65,20 @@
 /* True if the member is the primary and this proxy may use it now. */
 bool permit_allows(const member_t *member, usec_t now);
 
-/* Number of proxies that this process has seen on the roster for PERMIT_LEASE_MAX. */
+/* Number of proxies that this process has seen on the roster for at least PERMIT_LEASE_MAX. */
 size_t permit_count_listed(const pooler_t *pooler);
 
 /*
- * Size of the fleet for quorums: proxies that are listed in every roster, older than that revision,
- * under which a proxy may still have a permission. Newcomers don't count, or two old proxies that
- * still have the roster of a smaller fleet could be a majority of that. A proxy that has just
- * started uses the sizes reported by proxies that have the revision.
+ * Size of the fleet for an agreement: the proxies that are listed in every roster, older than that
+ * revision, under which a proxy may still have a permission. Newcomers don't count, or two old
+ * proxies that still have the roster of a smaller fleet could be a majority of that fleet. A proxy
+ * that has just started uses the sizes reported by proxies that have the revision.
  */
 size_t permit_fleet_size(const pooler_t *pooler, int64_t revision);
 
 /*
  * True if the proxies that have not reported this revision of the roster or a newer one are too few
- * for a quorum.
+ * for an agreement.
  */
 bool permit_quorum_has_revision(const pooler_t *pooler, int64_t revision);
 
--- a/pooler/survey.c
+++ b/pooler/survey.c
@@ -179,7 +179,7 @@
 	return !member->survey_answered && (!member->unlisted || is_log_missing(member));
 }
 
-/* Number of such members, including the old primary. */
+/* Counts the members that may have such commits, the old primary included. */
 static size_t count_unseen(const service_t *service)
 {
 	size_t unseen = 0;
--- a/pooler/sweep.h
+++ b/pooler/sweep.h
@@ -1,4 +1,4 @@
-/* Removes proxies from the roster that ended without removing themselves from it. */
+/* Removes proxies from the roster that ended without removing their own entry. */
 #pragma once
 
 #include "state.h"
@@ -11,7 +11,7 @@
 
 /*
  * True if a proxy that the roster marks as gone can no longer have a permission: too few proxies
- * have an older roster to extend it by quorum, and the last one it was granted has ended. Otherwise
- * true PERMIT_LEASE_MAX after it was marked.
+ * have an older roster to extend its permission by agreement, and its last permission has ended.
+ * Otherwise true from PERMIT_LEASE_MAX after the proxy was marked.
  */
 bool sweep_permission_ended(const pooler_t *pooler, const peer_report_t *report);
--- a/pooler/verdict.c
+++ b/pooler/verdict.c
@@ -14,8 +14,8 @@
 /* How long a report that a primary is down counts: three query intervals. */
 #define DOWN_REPORT_VALID (1 * USEC_PER_SEC)
 /*
- * How long a report that a primary is alive counts: one and a half query intervals. Less than the
- * other, since the primary can have failed right after it.
+ * How long a report that a primary is alive counts: one and a half query intervals. Less than
+ * DOWN_REPORT_VALID, since the primary may have failed right after the report.
  */
 #define ALIVE_REPORT_VALID (450 * USEC_PER_MSEC)
 /* Time between two probes of a primary that no proxy uses. */
@@ -39,7 +39,7 @@
  * next 8 s.
  */
 #define MIN_REPORTERS 2
-/* How long a suspicion that the leader has sent counts: two of the answers that carry it. */
+/* How long a suspicion sent by the leader counts: two intervals of the answers that carry it. */
 #define SUSPICION_VALID (600 * USEC_PER_MSEC)
 /* Time between two counts of the votes while no proxy reports trouble. */
 #define COUNT_INTERVAL (200 * USEC_PER_MSEC)
@@ -88,13 +88,13 @@
 static void add_votes(pooler_t *pooler, const peer_report_t *report, const char *list,
 		      add_vote_fn_t add)
 {
-	const char *word;
+	const char *name;
 	size_t len;
 
-	while ((word = exchange_next_word(&list, &len)) != NULL) {
+	while ((name = exchange_next_word(&list, &len)) != NULL) {
 		service_t *service;
 
-		HASH_FIND(hh, pooler->services_by_name, word, len, service);
+		HASH_FIND(hh, pooler->services_by_name, name, len, service);
 		/*
 		 * A proxy that had not received this roster yet reported on the primary before it.
 		 */
@@ -301,14 +301,14 @@
 
 void verdict_on_suspects(pooler_t *pooler, const char *suspects, usec_t now)
 {
-	const char *word;
+	const char *name;
 	size_t len;
 
-	while ((word = exchange_next_word(&suspects, &len)) != NULL) {
+	while ((name = exchange_next_word(&suspects, &len)) != NULL) {
 		service_t *service;
 		member_t *primary;
 
-		HASH_FIND(hh, pooler->services_by_name, word, len, service);
+		HASH_FIND(hh, pooler->services_by_name, name, len, service);
 		if (service == NULL)
 			continue;
 		service->suspected_at = now;
@@ -334,7 +334,7 @@
 	if (primary->leaving)
 		return "primary is leaving";
 	if (!primary->claims_primary && other_claims_primary(service, primary))
-		return "another member leads";
+		return "another member is the primary";
 	votes = count_all_votes(service, primary, now);
 	if (is_unreachable(service, primary, votes))
 		return "primary does not answer";
--- a/pooler/verdict.h
+++ b/pooler/verdict.h
@@ -28,7 +28,7 @@
  */
 void verdict_count_votes(pooler_t *pooler, usec_t now);
 
-/* Why the primary must be replaced, or NULL. May have the primary probed. */
+/* Returns why the primary must be replaced, or NULL. May start a probe of the primary. */
 const char *verdict_replace_reason(const service_t *service, usec_t now);
 
 /*
@@ -38,8 +38,8 @@
 char *verdict_suspects(const pooler_t *pooler, usec_t now, void *parent);
 
 /*
- * The leader suspects the primaries of these services. A proxy that normally has connections to one
- * of them probes it, unless it replied recently, and includes the result in its next query to the
- * leader.
+ * Handles the list of services whose primaries the leader suspects. A proxy that normally has
+ * connections to such a primary probes it, unless the primary replied recently, and includes the
+ * result in its next query to the leader.
  */
-void verdict_on_suspects(pooler_t *pooler, const char *doubts, usec_t now);
+void verdict_on_suspects(pooler_t *pooler, const char *suspects, usec_t now);
