--- a/pooler/admission.c
+++ b/pooler/admission.c
@@ -17,7 +17,7 @@
 	       "Sessions refused because no customer has their key.");
 COUNTER_DEFINE(no_database_total, "databases_unknown_total", COUNTER_SUM,
 	       "Sessions refused because the configuration has no such database.");
-COUNTER_DEFINE(barred_total, "sessions_barred_total", COUNTER_SUM,
+COUNTER_DEFINE(revoked_total, "sessions_barred_total", COUNTER_SUM,
 	       "Open sessions whose key was revoked.");
 
 static const customer_t *customer_of(const pooler_t *pooler, const key_digest_t *key)
@@ -163,7 +163,7 @@
 	char label[KEY_LABEL_TEXT_SIZE];
 
 	caller->key_revoked = true;
-	counter_add(&barred_total, 1);
+	counter_add(&revoked_total, 1);
 	key_label(&caller->key, label);
 	LOG_EVENT(LOG_INFO, "key of a session revoked", LOG_STR("database", caller->database),
 		  LOG_STR("customer", caller->customer != NULL ? caller->customer : ""),
--- a/pooler/hangup.c
+++ b/pooler/hangup.c
@@ -19,13 +19,13 @@
 	END_TX_CUT,
 	END_NO_PERMISSION,
 	END_NOT_READING,
-	END_KEY_TAKEN,
+	END_KEY_REVOKED,
 } end_reason_t;
 
 static const char *const reasons[] = {
 	[END_SHUTDOWN] = "shutdown",	       [END_TX_CUT] = "transaction_cut",
 	[END_NO_PERMISSION] = "no_permission", [END_NOT_READING] = "caller_does_not_read",
-	[END_KEY_TAKEN] = "key_taken",
+	[END_KEY_REVOKED] = "key_taken",
 };
 
 static const char *const outcomes[] = {
@@ -126,5 +126,5 @@
 bool hangup_key_revoked(caller_t *caller)
 {
 	return caller->job == NULL && !caller->busy && caller->tx == TX_NONE &&
-	       try_close(caller, END_KEY_TAKEN);
+	       try_close(caller, END_KEY_REVOKED);
 }
--- a/pooler/member.c
+++ b/pooler/member.c
@@ -19,7 +19,7 @@
 /* Each new response time counts for a fifth of the average. */
 #define RESPONSE_SMOOTHING 5
 /*
- * Statements sent to a member per slot: one that runs, and one that is there when the first ends.
+ * Statements sent to a member per slot: one that runs, and one that is queued there when it ends.
  * With replicas of one zone stalled (./dev/measure pooler), statements answered within the
  * objective and statements with unknown outcome: without a limit 64.3% and 6.7%, with five per slot
  * 67.0% and 4.5%, with three 68.1% and 4.7%, with two 70.8% and 1.7%.
@@ -33,7 +33,7 @@
  * may pause between two statements.
  */
 #define IDLE_DRAIN_TIMEOUT (100 * USEC_PER_MSEC)
-/* Far in the future, yet a duration can be added without overflow of the clock's range. */
+/* Far in the future, but small enough that adding a duration does not overflow. */
 #define NOT_LEAVING (USEC_NEVER / 2)
 /* A connection on which a reply is overdue for this long is closed. */
 #define CONN_SILENCE_TIMEOUT (3 * USEC_PER_SEC)
@@ -64,10 +64,10 @@
 }
 
 /*
- * The member restarted: another process now runs under the same id. The connections belong to the
- * earlier process, with their session variables and prepared names; its log position and response
- * time say nothing about the new one. With the old position the member would pass for a replica
- * that has caught up.
+ * Resets the state of a member that restarted: another process now runs under the same id. The
+ * connections belong to the earlier process, with their session variables and prepared names; its
+ * log position and response time say nothing about the new one. With the old position the member
+ * would pass for a replica that has caught up.
  */
 static void reset_after_restart(member_t *member)
 {
@@ -89,13 +89,13 @@
 }
 
 /* False if the entry is from an earlier process of the member. */
-static bool update_start_time(member_t *member, int64_t born)
+static bool update_start_time(member_t *member, int64_t started_at)
 {
-	bool restarted = born > member->started_at && member->started_at != 0;
+	bool restarted = started_at > member->started_at && member->started_at != 0;
 
-	if (born < member->started_at)
+	if (started_at < member->started_at)
 		return false;
-	member->started_at = born;
+	member->started_at = started_at;
 	if (restarted)
 		reset_after_restart(member);
 	return true;
@@ -114,7 +114,7 @@
 		LOG_EVENT(LOG_INFO, "member listed", LOG_STR("service", member->service->name),
 			  LOG_STR("member", member->id), LOG_INT("leaving", entry->leaving),
 			  LOG_INT("primary", entry->primary));
-	/* The leader checks the service now instead of when its turn comes. */
+	/* The leader checks an active service at its next tick. */
 	if (member->slots != 0 &&
 	    (member->leaving != entry->leaving || member->claims_primary != entry->primary))
 		active_add_service(member->service);
@@ -332,7 +332,7 @@
 	close_one_idle_conn(member, now);
 }
 
-/* Number of proxies that have connections to the service's members in normal operation. */
+/* Counts the proxies that have connections to the service's members in normal operation. */
 static size_t count_sharing_proxies(service_t *service)
 {
 	return home_is_needed(service) ? home_count(service) : service->pooler->sync.proxy_count;
--- a/pooler/member.h
+++ b/pooler/member.h
@@ -7,13 +7,17 @@
 #include "state.h"
 
 /*
- * Half of a member's connections are divided evenly among the proxies. The rest serves demand, and
- * the restart of the fleet after a loss of power: a member keeps the connections of vanished VMs
- * for 3 s, and if those were all it has nobody could be served until then.
+ * Half of a member's connections are divided evenly among the proxies. The other half
+ * is for uneven demand, and for the restart of the fleet after a loss of power: a member keeps the
+ * connections of vanished VMs for 3 s. If those were all that it accepts, no caller could be served
+ * during that time.
  */
 #define MEMBER_SHARED_DIVISOR 2
 
-/* A member that owes a reply and has sent none for this long is probed over a new connection. */
+/*
+ * A member with an unanswered request that has sent no reply at all for this long is probed over a
+ * new connection.
+ */
 #define MEMBER_SILENCE_TIMEOUT (200 * USEC_PER_MSEC)
 /* A probe that is unanswered for this long means that the member is down; 20 times a handshake. */
 #define PROBE_TIMEOUT (250 * USEC_PER_MSEC)
@@ -25,19 +29,19 @@
 /* Updates the member from its newest entry in the platform's list. */
 void member_update(member_t *member, const member_entry_t *entry);
 
-/* The platform's list no longer has the member. */
+/* Marks the member as no longer on the platform's list. */
 void member_set_unlisted(member_t *member);
 
 /* Closes all connections of the member, whose callers are answered, and frees it. */
 void member_destroy(member_t *member);
 
-/* The member has sent a reply, so it is alive. */
+/* Records that the member has sent a reply, so that it counts as alive. */
 void member_on_reply(member_t *member);
 
-/* A probe found that the member does not answer. */
+/* Marks the member as down, after a probe that it did not answer. */
 void member_mark_down(member_t *member, const char *reason);
 
-/* A connection failed, broke or is silent: probes the member before it counts as down. */
+/* Probes the member after a connection to it failed, broke or got no reply. */
 void member_suspect(member_t *member, const char *reason);
 
 /*
--- a/pooler/outlier.c
+++ b/pooler/outlier.c
@@ -61,7 +61,7 @@
  */
 #define REPEATED_DOWN_TIME (5 * USEC_PER_SEC)
 
-COUNTER_DEFINE(out_total, "members_taken_out_total", COUNTER_SUM,
+COUNTER_DEFINE(ejections_total, "members_taken_out_total", COUNTER_SUM,
 	       "Times that a member was ejected from reads for failing statements.");
 
 void outlier_count_recent(const outlier_t *outlier, usec_t now, tally_t *tally)
@@ -162,7 +162,7 @@
 	outlier->ejected = true;
 	outlier->ejected_until = now + outlier->ejection_time;
 	outlier->trials_left = TRIAL_READS;
-	counter_add(&out_total, 1);
+	counter_add(&ejections_total, 1);
 }
 
 bool outlier_accepts_read(const outlier_t *outlier, size_t load, usec_t now)
--- a/pooler/report.c
+++ b/pooler/report.c
@@ -11,7 +11,7 @@
 	       "Statements answered with success, but later than their route's objective.");
 COUNTER_DEFINE(refused_total, "statements_refused_total", COUNTER_SUM,
 	       "Statements refused with a code that promises that they had no effect.");
-COUNTER_DEFINE(unsure_total, "statements_unsure_total", COUNTER_SUM,
+COUNTER_DEFINE(in_doubt_total, "statements_unsure_total", COUNTER_SUM,
 	       "Statements whose outcome is in doubt or that timed out.");
 COUNTER_DEFINE(failed_total, "statements_failed_total", COUNTER_SUM,
 	       "Statements that failed at the member, or were malformed.");
@@ -107,7 +107,7 @@
 	switch (code) {
 	case CODE_IN_DOUBT:
 	case CODE_TIMEOUT:
-		return &unsure_total;
+		return &in_doubt_total;
 	case CODE_FAILED:
 	case CODE_NO_STATEMENT:
 	case CODE_MALFORMED:
