--- a/tests/test_pooler_faults.c
+++ b/tests/test_pooler_faults.c
@@ -4,7 +4,7 @@
  *
  * - no write is committed twice, and no write is committed that was refused with a code which
  *   promises that it had no effect;
- * - no write is acknowledged that the leading member lacks at that moment;
+ * - no write is acknowledged that the primary lacks at that moment;
  * - no read misses a commit that its route promises to show;
  * - no member runs a statement for another customer than the owner of the key.
  *
@@ -45,7 +45,7 @@
 
 static const char *const databases[] = {"strict", "bounded", "session"};
 
-typedef enum { FATE_OPEN, FATE_ACKNOWLEDGED, FATE_REFUSED, FATE_IN_DOUBT } fate_t;
+typedef enum { WRITE_OPEN, WRITE_ACKNOWLEDGED, WRITE_REFUSED, WRITE_IN_DOUBT } write_outcome_t;
 
 typedef struct write_record {
 	char id[40]; /* of the statement that wrote */
@@ -53,7 +53,7 @@
 	int item;
 	const world_caller_t *session;
 	usec_t acked_at;
-	fate_t fate;
+	write_outcome_t outcome;
 } write_record_t;
 
 typedef struct client {
@@ -70,24 +70,24 @@
 	bool is_read;
 	usec_t began;
 	ssize_t write;	/* index of its write, -1: none */
-	usec_t read_at; /* when the proxy reads the request sent; 0: none is unread */
+	usec_t read_at; /* when the proxy reads the unread request; 0: there is none */
 } client_t;
 
 typedef struct play {
 	pool_world_t *world;
 	GRand *rand;
 	GRand *store_rand; /* for backups and restores of the store; NULL: there are none */
-	usec_t next_copy;
+	usec_t next_backup;
 	usec_t next_restore;
-	usec_t restore_at; /* end of the restore in progress; 0: none is */
+	usec_t restore_at; /* end of the restore in progress; 0: there is none */
 	client_t clients[CALLERS];
 	write_record_t *writes;
 	size_t write_count;
-	usec_t member_back[FAKE_MEMBERS_MAX];
+	usec_t member_repair_at[FAKE_MEMBERS_MAX];
 	size_t nodes;
-	usec_t node_back[LARGE_NODES];
+	usec_t node_repair_at[LARGE_NODES];
 	bool shutting_down[LARGE_NODES]; /* a planned shutdown is in progress */
-	usec_t store_back;
+	usec_t store_repair_at;
 	size_t served;
 	uint32_t seed;
 } play_t;
@@ -143,7 +143,7 @@
 			continue;
 		fprintf(stderr,
 			"p%zu: roster %ld, primary %s changing %d, confirmed %.3f, permitted to "
-			"%.3f, store cut %d, peers cut %d, frozen %d, holding %d, holder %s fence %lu, registered %d registering %d reading %d\n",
+			"%.3f, store cut %d, peers cut %d, frozen %d, leading %d, leader %s fencing token %lu, registered %d registering %d reading %d\n",
 			i, (long)pooler->sync.roster->revision, group->primary, group->changing,
 			to_seconds(pooler->sync.confirmed_at),
 			to_seconds(permit_expires_at(pooler)), play->world->nodes[i].kv.cut,
@@ -156,8 +156,9 @@
 	for (size_t i = 0; i < play->world->promote_count; i++) {
 		const promote_call_t *call = &play->world->promotes[i];
 
-		fprintf(stderr, "promote at %.3f: %s by %s fence %lu\n", to_seconds(call->at),
-			call->member, call->holder, (unsigned long)call->fence);
+		fprintf(stderr, "promote at %.3f: %s by %s fencing token %lu\n",
+			to_seconds(call->at), call->member, call->holder,
+			(unsigned long)call->fence);
 	}
 	for (size_t i = 0; i < 3; i++) {
 		const fake_member_t *member = &play->world->db->members[i];
@@ -183,12 +184,11 @@
 {
 	const fake_member_t *leader = fake_leader(play->world->db);
 
-	write->fate = FATE_ACKNOWLEDGED;
+	write->outcome = WRITE_ACKNOWLEDGED;
 	write->acked_at = now_of_play(play);
 	if (leader == NULL || index_in_log(leader, write->id) < 0) {
 		describe_nodes(play);
-
-		fail_play(play, "acknowledged, but the leading member lacks it", write->id);
+		fail_play(play, "acknowledged, but the primary lacks it", write->id);
 	}
 }
 
@@ -207,10 +207,10 @@
 
 	if (client->route != ROUTE_STRICT && !own)
 		before -= play->world->max_age;
-	return write->fate == FATE_ACKNOWLEDGED && write->acked_at < before;
+	return write->outcome == WRITE_ACKNOWLEDGED && write->acked_at < before;
 }
 
-/* Returns the index in the leader's log of the newest commit that the read must show, or -1. */
+/* Returns the index in the primary's log of the newest commit that the read must show, or -1. */
 static ssize_t required_index(const play_t *play, const client_t *client,
 			      const fake_member_t *leader)
 {
@@ -272,7 +272,7 @@
 
 		if (count > 1)
 			fail_play(play, "committed twice", write->id);
-		if (write->fate == FATE_REFUSED && count != 0)
+		if (write->outcome == WRITE_REFUSED && count != 0)
 			fail_play(play, "refused with a promise, but committed", write->id);
 	}
 }
@@ -341,7 +341,7 @@
 	return false;
 }
 
-static void set_fate(play_t *play, client_t *client, const char *reply, bool final)
+static void set_outcome(play_t *play, client_t *client, const char *reply, bool final)
 {
 	write_record_t *write;
 
@@ -349,7 +349,7 @@
 		return;
 	write = &play->writes[client->write];
 	if (g_str_has_prefix(reply, "ERR "))
-		write->fate = promises_no_effect(reply) ? FATE_REFUSED : FATE_IN_DOUBT;
+		write->outcome = promises_no_effect(reply) ? WRITE_REFUSED : WRITE_IN_DOUBT;
 	else if (final)
 		check_acknowledged(play, write);
 }
@@ -366,7 +366,7 @@
 {
 	client->replies = client->caller->replies;
 	if (g_str_has_prefix(reply, "ERR ")) {
-		set_fate(play, client, reply, false);
+		set_outcome(play, client, reply, false);
 		if (world_state_is(client->caller, "READY I")) {
 			end_operation(play, client);
 		} else {
@@ -383,7 +383,7 @@
 		world_send(client->caller, "COMMIT");
 		break;
 	case 3:
-		set_fate(play, client, reply, true);
+		set_outcome(play, client, reply, true);
 		end_operation(play, client);
 		break;
 	default:
@@ -401,7 +401,7 @@
 	}
 	if (client->is_read && !g_str_has_prefix(reply, "ERR "))
 		check_read(play, client, reply);
-	set_fate(play, client, reply, true);
+	set_outcome(play, client, reply, true);
 	end_operation(play, client);
 }
 
@@ -422,7 +422,7 @@
 	if (client->read_at != 0)
 		fail_play(play, "session closed with a statement unread", client->caller->id);
 	if (client->waiting && !answered)
-		fail_play(play, "session closed with a statement under way", client->caller->id);
+		fail_play(play, "session closed with a statement in progress", client->caller->id);
 	if (client->waiting && (client->step == 0 || client->step == 3))
 		on_reply(play, client);
 }
@@ -433,8 +433,9 @@
 	if (play->shutting_down[client->node])
 		check_planned_end(play, client);
 	client->read_at = 0;
-	if (client->waiting && client->write >= 0 && play->writes[client->write].fate == FATE_OPEN)
-		play->writes[client->write].fate = FATE_IN_DOUBT;
+	if (client->waiting && client->write >= 0 &&
+	    play->writes[client->write].outcome == WRITE_OPEN)
+		play->writes[client->write].outcome = WRITE_IN_DOUBT;
 	client->waiting = false;
 	client->caller = NULL;
 }
@@ -495,9 +496,9 @@
 	size_t at = (size_t)g_rand_int_range(play->rand, 0, 3);
 	fake_member_t *member = &play->world->db->members[at];
 
-	if (play->member_back[at] != 0)
+	if (play->member_repair_at[at] != 0)
 		return;
-	play->member_back[at] = now_of_play(play) + random_time(play, 500 * MSEC, 5 * SEC);
+	play->member_repair_at[at] = now_of_play(play) + random_time(play, 500 * MSEC, 5 * SEC);
 	switch (g_rand_int_range(play->rand, 0, 5)) {
 	case 0:
 	case 1:
@@ -528,7 +529,7 @@
 static void end_process(play_t *play, size_t at)
 {
 	play->shutting_down[at] = false;
-	play->node_back[at] = now_of_play(play) + random_time(play, 100 * MSEC, 2 * SEC);
+	play->node_repair_at[at] = now_of_play(play) + random_time(play, 100 * MSEC, 2 * SEC);
 	world_kill(play->world, at);
 }
 
@@ -537,9 +538,9 @@
 	size_t at = (size_t)g_rand_int_range(play->rand, 0, (gint32)play->nodes);
 	world_node_t *node = &play->world->nodes[at];
 
-	if (play->node_back[at] != 0)
+	if (play->node_repair_at[at] != 0)
 		return;
-	play->node_back[at] = now_of_play(play) + random_time(play, 300 * MSEC, 6 * SEC);
+	play->node_repair_at[at] = now_of_play(play) + random_time(play, 300 * MSEC, 6 * SEC);
 	switch (g_rand_int_range(play->rand, 0, 5)) {
 	case 0:
 		if (has_planned_shutdowns(play))
@@ -566,9 +567,9 @@
 {
 	fake_kv_t *store = play->world->kv;
 
-	if (play->store_back != 0)
+	if (play->store_repair_at != 0)
 		return;
-	play->store_back = now_of_play(play) + random_time(play, 500 * MSEC, 6 * SEC);
+	play->store_repair_at = now_of_play(play) + random_time(play, 500 * MSEC, 6 * SEC);
 	switch (g_rand_int_range(play->rand, 0, 5)) {
 	case 0:
 		store->down = true;
@@ -604,8 +605,8 @@
 
 	if (play->store_rand == NULL)
 		return;
-	if (now >= play->next_copy && play->restore_at == 0) {
-		play->next_copy = store_time(play, 300 * MSEC, 4 * SEC);
+	if (now >= play->next_backup && play->restore_at == 0) {
+		play->next_backup = store_time(play, 300 * MSEC, 4 * SEC);
 		fake_kv_copy(store);
 	}
 	if (restores && now >= play->next_restore && play->restore_at == 0) {
@@ -615,7 +616,7 @@
 	}
 	if (play->restore_at != 0 && now >= play->restore_at) {
 		play->restore_at = 0;
-		store->down = play->store_back != 0;
+		store->down = play->store_repair_at != 0;
 		fake_kv_restore(store);
 	}
 }
@@ -626,9 +627,9 @@
 	usec_t now = now_of_play(play);
 
 	for (size_t i = 0; i < 3; i++) {
-		if (play->member_back[i] == 0 || (!all && now < play->member_back[i]))
+		if (play->member_repair_at[i] == 0 || (!all && now < play->member_repair_at[i]))
 			continue;
-		play->member_back[i] = 0;
+		play->member_repair_at[i] = 0;
 		world->db->members[i].deaf = false;
 		world->db->members[i].leaving = false;
 		if (world->db->members[i].stopped)
@@ -637,10 +638,10 @@
 	for (size_t i = 0; i < play->nodes; i++) {
 		if (play->shutting_down[i] && world->nodes[i].drained)
 			end_process(play, i);
-		if (play->node_back[i] == 0 || play->shutting_down[i] ||
-		    (!all && now < play->node_back[i]))
+		if (play->node_repair_at[i] == 0 || play->shutting_down[i] ||
+		    (!all && now < play->node_repair_at[i]))
 			continue;
-		play->node_back[i] = 0;
+		play->node_repair_at[i] = 0;
 		world->nodes[i].kv.cut = false;
 		world->nodes[i].cut_from_peers = false;
 		world_cut_members(world, i, false);
@@ -648,8 +649,8 @@
 		if (world->nodes[i].pooler == NULL)
 			world_start(world, i);
 	}
-	if (play->store_back != 0 && (all || now >= play->store_back)) {
-		play->store_back = 0;
+	if (play->store_repair_at != 0 && (all || now >= play->store_repair_at)) {
+		play->store_repair_at = 0;
 		world->kv->down = false;
 		world->kv->delay = 4 * MSEC;
 		world->kv->lose_answers = 0;
@@ -783,13 +784,13 @@
 	g_free(play);
 }
 
-/* Seeds that have found a fault, each with the cause of that fault. */
+/* Seeds that have found a fault in the pooler, each with that fault. */
 static const uint32_t regressions[] = {
-	8,     /* a replaced primary that was cut off was taken for the current one */
+	8,     /* a superseded primary that was cut off was taken for the current one */
 	43,    /* a leader was notified of its successor and kept its leadership */
 	159,   /* a promoted member crashed unnoticed, and the old primary stayed in use */
-	10698, /* a failover resumed twice was taken for an own one, its promote call forgotten */
-	5063,  /* the last write of a former leader's failover arrived late, within the next one */
+	10698, /* a change taken over twice counted as own, its earlier promote call was ignored */
+	5063,  /* the last write of a former leader's change arrived late, during the next change */
 };
 
 static void test_regressions(void)
--- a/tests/test_pooler_fleet.c
+++ b/tests/test_pooler_fleet.c
@@ -90,10 +90,10 @@
 }
 
 /*
- * Callers were refused in a burst ("come back in 1 s") during an outage of the store. The proxies
- * extended their permission by agreement; one that the store served joined, and the agreement ended
- * with the old roster. Now a statement waits some ms, in which the proxies query each other about
- * the new roster.
+ * Guards against a burst of refusals (with a retry-after of 1 s) in an outage of the store: the
+ * proxies extend their permission by agreement, a proxy that the store still serves joins, and the
+ * agreement ends with the old roster. A statement must wait the few ms in which the proxies query
+ * each other about the new roster.
  */
 static void test_roster_changes_without_store(void)
 {
@@ -115,10 +115,10 @@
 }
 
 /*
- * A proxy that had just started refused the callers of one database. The entry of the database's
- * primary had expired in an outage of the store and was back only some time after it; the other
- * proxies still had it. It is enough that the new proxy does not report itself ready: the load
- * balancer then sends callers to the others.
+ * Guards against a proxy that has just started and refuses the callers of one database: the entry
+ * of the database's primary has expired in an outage of the store and is restored only some time
+ * after the outage, while the other proxies still have it cached. It is enough that the new proxy
+ * does not report itself ready: the load balancer then sends callers to the other proxies.
  */
 static void test_not_ready_without_a_primary(void)
 {
@@ -168,7 +168,7 @@
 	for (size_t i = 0; i < 3; i++)
 		leaders += world->nodes[i].pooler->sync.leading;
 	g_assert_cmpuint(leaders, ==, 1);
-	/* It may be the leader again, with another fencing token. */
+	/* The old leader may be the leader again, with another fencing token. */
 	g_assert_true(!world->nodes[leader].pooler->sync.leading ||
 		      world->nodes[leader].pooler->sync.own_token > fencing_token);
 	world_destroy(world);
@@ -187,7 +187,7 @@
 	world_destroy(world);
 }
 
-/* A service is not confused with another one whose name ends in its name. */
+/* Guards against a service being confused with another one whose name ends in its name. */
 static void test_change_ends_by_complete_names(void)
 {
 	pool_world_t *world = world_create(2, NULL);
@@ -214,7 +214,8 @@
 }
 
 /*
- * The same when the message of a successor arrives, before the store or the lease shows the change.
+ * The leader must end its leadership as soon as the message of a successor arrives, before the
+ * store or the lease shows the change.
  */
 static void test_successor_is_accepted_at_once(void)
 {
@@ -238,10 +239,10 @@
 }
 
 /*
- * Writes waited seconds longer for a new primary. The store lost half of its answers, the leader
- * counted its lease as ended while it still waited for a renewal, and another proxy had to take
- * over in the middle of a change. Three lost answers in a row must not matter, since one more
- * renewal is sent before the lease's end.
+ * Guards against writes that wait seconds longer for a new primary: the store loses half of its
+ * answers, the leader counts its lease as ended while it still waits for a renewal, and another
+ * proxy has to take over in the middle of a change. Three lost answers in a row must not matter,
+ * since one more renewal is sent before the lease ends.
  */
 static void test_renewals_without_an_answer(void)
 {
@@ -262,8 +263,9 @@
 }
 
 /*
- * The store makes writes and loses their answers. The proxy that became the leader by such a write
- * sees its own key in the store, and must lead instead of waiting for the lease to end.
+ * The store carries out writes, but their answers are lost. The proxy that became the leader by
+ * such a write sees its own key in the store, and must lead instead of waiting for the lease to
+ * end.
  */
 static void test_leadership_won_without_an_answer(void)
 {
@@ -308,8 +310,8 @@
 /* --- shutdown --- */
 
 /*
- * A proxy is asked to stop. It closes idle sessions at once, an open transaction may end, and new
- * callers are still served until the load balancer has noticed.
+ * A proxy shuts down. It closes idle sessions at once, an open transaction may end, and new callers
+ * are still served until the load balancer has noticed the shutdown.
  */
 static void test_shutdown(void)
 {
@@ -362,9 +364,9 @@
 }
 
 /*
- * After a power failure some proxies served their callers and others refused all for 2 s. A member
- * keeps the connections of VMs that are gone for 3 s, here 12 of 16, and the first four proxies
- * took the rest. The rest must serve all proxies, which use a connection in turn.
+ * Guards against proxies that refuse all callers for 2 s after a loss of power, while others serve
+ * theirs. A member keeps the connections of vanished VMs for 3 s, here 12 of 16, and the first four
+ * proxies would keep the other four. All proxies must use these four in turn.
  */
 static void test_power_loss(void)
 {
@@ -391,10 +393,11 @@
 }
 
 /*
- * After a partition had healed, a proxy refused its callers again and again for 2 s. The leader had
- * received nothing from it for long and had declared it gone. It joined the roster again through
- * the store, and was declared gone again at once, since messages between the two were delayed
- * longer. Its new entry counts as a sign of life now, since only the proxy itself writes it.
+ * Guards against a proxy that refuses its callers again and again for 2 s after a partition has
+ * healed. The leader has received nothing from the proxy and has marked it as gone. The proxy joins
+ * the roster again through the store, and would be marked again at once, since messages between the
+ * two proxies are delayed longer. The new entry counts as a sign of life, since only the proxy
+ * itself writes it.
  */
 static void test_rejoined_before_its_messages(void)
 {
@@ -408,7 +411,7 @@
 	world_run(world, 5 * SEC);
 	revision = world->nodes[find_holder(world)].pooler->sync.roster->revision;
 	world_run(world, 10 * SEC);
-	/* Declared gone and back once in 4 s, a change of the roster each. */
+	/* Marked as gone and registered again once in 4 s; each of these changes the roster. */
 	g_assert_cmpint(world->nodes[find_holder(world)].pooler->sync.roster->revision, <=,
 			revision + 6);
 	g_assert_true(permit_is_registered(world->nodes[other].pooler));
@@ -416,10 +419,11 @@
 }
 
 /*
- * One proxy refused its callers every 4 s, and each change of primary took 12 s. The time of day of
- * its VM had stepped back, and its process started again with a lower incarnation than the previous
- * one, so the others took its messages for late ones. An incarnation above that of the proxy's
- * entry is enough, since all others compare with that entry.
+ * Guards against a proxy that refuses its callers every 4 s, and changes of primary that take 12 s:
+ * the time of day of the proxy's VM has stepped back, and its process starts again with a lower
+ * incarnation than the previous one, so the other proxies take its messages for late ones. The new
+ * process must choose an incarnation above that of the proxy's roster entry, with which all others
+ * compare.
  */
 static void test_start_after_a_clock_step(void)
 {
@@ -449,9 +453,9 @@
 }
 
 /*
- * Some proxies of a large fleet served and others refused everything, for as long as the fleet was
- * that large: the members accepted fewer connections than there were proxies, and a proxy kept its
- * connection. Using connections in turn is enough, since the members are idle most of the time.
+ * Guards against proxies of a large fleet that refuse all callers while others serve theirs: the
+ * members accept fewer connections than there are proxies, and a proxy would keep its connection.
+ * Using connections in turn is enough, since the members are idle most of the time.
  */
 static void test_more_proxies_than_connections(void)
 {
@@ -486,9 +490,10 @@
 }
 
 /*
- * A large fleet that was killed served only seconds after its restart. Each proxy wrote its own
- * entry to the roster on top of the last write, so all writes but one conflicted each time. Now a
- * proxy asks the one that wrote last, which adds all that ask with one write.
+ * Guards against a large fleet that serves callers only seconds after its restart: if each proxy
+ * writes its own entry to the roster on top of the last write, all writes but one conflict each
+ * time. A proxy must send a request to the one that wrote last, which adds all requesting proxies
+ * with one write.
  */
 static void test_start_together(void)
 {
@@ -510,9 +515,9 @@
 	g_test_message("%zu calls, %zu ms", world->kv->call_count - calls,
 		       (size_t)((clock_now(&world->clock.base) - start) / MSEC));
 	/*
-	 * When each proxy wrote its own entry this took 156 calls and 96 ms, now 91 and 52. A proxy
-	 * that waited for the answer to a query that was never sent, since there was no link, took
-	 * 200 ms more.
+	 * This takes 91 calls and 52 ms; when each proxy wrote its own entry, it took 156 calls and
+	 * 96 ms. A proxy that waited for the answer to a query that was never sent, since there was
+	 * no link, took 200 ms more.
 	 */
 	g_assert_cmpuint(world->kv->call_count - calls, <=, 100);
 	g_assert_cmpuint(clock_now(&world->clock.base) - start, <=, 120 * MSEC);
@@ -520,9 +525,9 @@
 }
 
 /*
- * The roster changed every few seconds, forever: a proxy had asked to be added and died before the
- * roster could be sent to it. It is dropped after a moment now: it is added once, declared gone
- * because of its silence, and writes its own entry if it is alive.
+ * Guards against a roster that changes every few seconds without end: a proxy has requested to be
+ * added and dies before the roster can be sent to it. Its request must be dropped soon: the proxy
+ * is added once, marked as gone because of its silence, and writes its own entry if it is alive.
  */
 static void test_dead_joiner_is_dropped(void)
 {
@@ -540,18 +545,19 @@
 	pooler_on_message(world->nodes[find_holder(world)].pooler, &message);
 	world_run(world, 6 * SEC);
 	for (int i = 0; i < 40; i++) {
-		const roster_node_t *ghost = roster_find_node(pooler->sync.roster, "ghost");
+		const roster_node_t *joiner = roster_find_node(pooler->sync.roster, "ghost");
 
-		g_assert_true(ghost == NULL || ghost->gone);
+		g_assert_true(joiner == NULL || joiner->gone);
 		world_run(world, 200 * MSEC);
 	}
 	world_destroy(world);
 }
 
 /*
- * No proxy replaced a crashed primary for two seconds after all proxies had restarted: the leader
- * key belonged to a process that was gone, and ended with its lease. The successor may end that
- * lease at once, since it has the same name, so the other process is gone.
+ * Guards against two seconds without a leader after all proxies have restarted, in which no crashed
+ * primary is replaced: the leader key belongs to a process that has ended, and expires with its
+ * lease. The next process of the same proxy may end that lease at once, since its own start shows
+ * that the earlier process has ended.
  */
 static void test_leader_restarts(void)
 {
--- a/tests/test_pooler_forward.c
+++ b/tests/test_pooler_forward.c
@@ -17,7 +17,7 @@
 #define FLEET 24
 
 /* One member that accepts two connections, behind six proxies. */
-static const fake_db_config_t scarce = {
+static const fake_db_config_t two_connections = {
 	.service = WORLD_SERVICE,
 	.members = 1,
 	.slots = 2,
@@ -45,9 +45,9 @@
 	g_assert_not_reached();
 }
 
-static pool_world_t *make_scarce(void)
+static pool_world_t *create_world(void)
 {
-	pool_world_t *world = world_create(NODES, &scarce);
+	pool_world_t *world = world_create(NODES, &two_connections);
 
 	world_settle(world);
 	return world;
@@ -83,7 +83,7 @@
  */
 static void test_statements_of_all_are_served(void)
 {
-	pool_world_t *world = make_scarce();
+	pool_world_t *world = create_world();
 	world_caller_t *callers[NODES];
 
 	for (size_t i = 0; i < NODES; i++) {
@@ -126,10 +126,10 @@
  */
 static void test_helper_dies(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
-	world_caller_t *reader = world_open_database(world, away, "strict");
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	world_caller_t *writer = world_open_database(world, origin, "strict");
+	world_caller_t *reader = world_open_database(world, origin, "strict");
 	world_node_t *helper;
 
 	world_send(writer, "WRITE job-1 a");
@@ -152,16 +152,16 @@
  */
 static void test_result_after_a_freeze(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	world_caller_t *writer = world_open_database(world, origin, "strict");
 
 	world_send(writer, "WRITE job-1 a");
 	world_run(world, 2 * MSEC);
 	g_assert_cmpuint(writer->caller->forward_number, !=, 0);
-	world_freeze(world, away);
+	world_freeze(world, origin);
 	world_run(world, 14 * SEC);
-	world_thaw(world, away);
+	world_thaw(world, origin);
 	world_run(world, 100 * MSEC);
 	assert_begins(writer->reply, "ERR INDOUBT");
 	world_destroy(world);
@@ -173,10 +173,10 @@
  */
 static void test_result_after_the_permission(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	pooler_t *pooler = world->nodes[away].pooler;
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	pooler_t *pooler = world->nodes[origin].pooler;
+	world_caller_t *writer = world_open_database(world, origin, "strict");
 	roster_t *roster;
 
 	world_send(writer, "WRITE job-1 a");
@@ -192,25 +192,25 @@
 }
 
 /*
- * Guards against a statement that runs under an older configuration than the caller's last one: the
- * helper has not received the newest configuration yet and must decline.
+ * Guards against a statement that runs under an older configuration than the caller's previous
+ * statement: a helper that has not received the newest configuration yet must decline.
  */
 static void test_helper_has_another_configuration(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	world_caller_t *reader = world_open_database(world, away, "strict");
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	world_caller_t *reader = world_open_database(world, origin, "strict");
 	uint64_t number;
 
-	world->nodes[away].pooler->routes->version++;
+	world->nodes[origin].pooler->routes->version++;
 	world_send(reader, "READ job-1");
 	number = reader->caller->forward_number;
 	g_assert_cmpuint(number, !=, 0);
 	for (size_t step = 0; step < 40; step++) {
 		world_run(world, MSEC / 2);
 		for (size_t i = 0; i < NODES; i++)
-			g_assert_false(
-				runs_for(world->nodes[i].pooler, world->nodes[away].name, number));
+			g_assert_false(runs_for(world->nodes[i].pooler, world->nodes[origin].name,
+						number));
 	}
 	world_destroy(world);
 }
@@ -221,7 +221,7 @@
  */
 static void test_transactions(void)
 {
-	pool_world_t *world = make_scarce();
+	pool_world_t *world = create_world();
 
 	for (size_t i = 0; i < NODES; i++) {
 		world_caller_t *caller = world_open_database(world, i, "strict");
@@ -243,9 +243,9 @@
 }
 
 /* Begins a transaction at a proxy that forwards it, and makes one write. */
-static world_caller_t *begin_forwarded_tx(pool_world_t *world, size_t away)
+static world_caller_t *begin_forwarded_tx(pool_world_t *world, size_t origin)
 {
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	world_caller_t *caller = world_open_database(world, origin, "strict");
 
 	assert_begins(world_ask(caller, "BEGIN"), "DONE -");
 	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
@@ -259,7 +259,7 @@
  */
 static void test_home_dies_in_a_transaction(void)
 {
-	pool_world_t *world = make_scarce();
+	pool_world_t *world = create_world();
 	world_caller_t *caller = begin_forwarded_tx(world, find_forwarding_proxy(world));
 	char id[40];
 
@@ -278,7 +278,7 @@
 /* The same with a COMMIT in flight: its outcome is unknown, so it must end in doubt. */
 static void test_home_dies_with_a_commit(void)
 {
-	pool_world_t *world = make_scarce();
+	pool_world_t *world = create_world();
 	world_caller_t *caller = begin_forwarded_tx(world, find_forwarding_proxy(world));
 
 	world_send(caller, "COMMIT");
@@ -296,7 +296,7 @@
  */
 static void test_home_restarts_in_a_transaction(void)
 {
-	pool_world_t *world = make_scarce();
+	pool_world_t *world = create_world();
 	world_caller_t *caller = begin_forwarded_tx(world, find_forwarding_proxy(world));
 	size_t home = index_of(world, helper_of(world, caller));
 
@@ -311,7 +311,7 @@
 /* A caller that disconnects inside its transaction must free the home's connection at once. */
 static void test_caller_disconnects_in_forwarded_tx(void)
 {
-	pool_world_t *world = make_scarce();
+	pool_world_t *world = create_world();
 	world_caller_t *caller = begin_forwarded_tx(world, find_forwarding_proxy(world));
 
 	g_assert_true(world_in_transaction(world));
@@ -324,11 +324,11 @@
 /* If the caller's proxy dies, the idle time-out of transactions must free that connection. */
 static void test_proxy_dies_in_forwarded_tx(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
 
-	begin_forwarded_tx(world, away);
-	world_kill(world, away);
+	begin_forwarded_tx(world, origin);
+	world_kill(world, origin);
 	world_run(world, 4 * SEC);
 	g_assert_false(world_in_transaction(world));
 	world_destroy(world);
@@ -341,16 +341,16 @@
 static void test_home_is_frozen(void)
 {
 	pool_world_t *world = world_create(FLEET, NULL);
-	size_t away = 0;
+	size_t origin = 0;
 	world_caller_t *caller;
 	size_t home = 0;
 
 	world_settle(world);
-	while (strcmp(home_of(world, away), world->nodes[away].name) == 0)
-		away++;
-	while (strcmp(home_of(world, away), world->nodes[home].name) != 0)
+	while (strcmp(home_of(world, origin), world->nodes[origin].name) == 0)
+		origin++;
+	while (strcmp(home_of(world, origin), world->nodes[home].name) != 0)
 		home++;
-	caller = world_open_database(world, away, "session");
+	caller = world_open_database(world, origin, "session");
 	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
 	world_freeze(world, home);
 	assert_begins(world_ask(caller, "READ job-1"), "ROW a");
@@ -362,7 +362,7 @@
 	world_thaw(world, home);
 	world_run(world, SEC);
 	assert_begins(world_ask(caller, "READ job-1"), "ROW c");
-	g_assert_cmpstr(home_of(world, away), ==, world->nodes[home].name);
+	g_assert_cmpstr(home_of(world, origin), ==, world->nodes[home].name);
 	world_destroy(world);
 }
 
@@ -391,12 +391,12 @@
 /* A proxy that shuts down must decline statements of others at once, not leave them unanswered. */
 static void test_helper_shuts_down(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	world_caller_t *writer = world_open_database(world, origin, "strict");
 
 	for (size_t i = 0; i < NODES; i++) {
-		if (i != away)
+		if (i != origin)
 			pooler_drain(world->nodes[i].pooler);
 	}
 	world_send(writer, "WRITE job-1 a");
@@ -408,14 +408,14 @@
 
 /*
  * Guards against a delay of 250 ms at each proxy's next statement after a planned restart of the
- * home: it declined statements during its shutdown, then exited, and each proxy had to detect that
- * by a time-out. The home must announce its shutdown in every message that it sends.
+ * home: the home declines statements during its shutdown, then exits, and each proxy has to detect
+ * that by a time-out. The home must announce its shutdown in every message that it sends.
  */
 static void test_home_shuts_down(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	world_caller_t *caller = world_open(world, away);
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	world_caller_t *caller = world_open(world, origin);
 	world_node_t *home;
 	size_t at;
 
@@ -441,15 +441,16 @@
 }
 
 /*
- * Guards against refusals for want of a connection during a rolling restart: a home that shuts down
- * kept its connections for 2.4 s although no statements were forwarded to it any more, and the
- * member accepted none from the next home. It must close them when they have been idle briefly.
+ * Guards against refusals for lack of a connection during a rolling restart: a home that shuts down
+ * keeps its connections for 2.4 s although no statements are forwarded to it any more, and the
+ * member accepts none from the next home. The home must close its connections when they have been
+ * idle briefly.
  */
 static void test_leaving_home_closes_connections(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	world_caller_t *caller = world_open_database(world, origin, "strict");
 	world_node_t *home;
 
 	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
@@ -471,16 +472,16 @@
  */
 static void test_shutdown_with_a_write_at_home(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	world_caller_t *caller = world_open_database(world, origin, "strict");
 
 	fake_leader(world->db)->slow = 600 * MSEC;
-	world->nodes[away].pooler->config.grace = 500 * MSEC;
+	world->nodes[origin].pooler->config.grace = 500 * MSEC;
 	world_send(caller, "WRITE job-1 a");
 	world_run(world, 2 * MSEC);
 	g_assert_cmpuint(caller->caller->forward_number, !=, 0);
-	pooler_drain(world->nodes[away].pooler);
+	pooler_drain(world->nodes[origin].pooler);
 	world_run(world, SEC);
 	g_assert_cmpuint(fake_count(fake_leader(world->db), caller->id), ==, 1);
 	assert_begins(caller->reply, "ERR INDOUBT");
@@ -496,16 +497,16 @@
 static void test_home_leaves(void)
 {
 	pool_world_t *world = world_create(FLEET, NULL);
-	size_t away = 0;
+	size_t origin = 0;
 	size_t home = 0;
 	world_caller_t *caller;
 
 	world_settle(world);
-	while (strcmp(home_of(world, away), world->nodes[away].name) == 0)
-		away++;
-	while (strcmp(home_of(world, away), world->nodes[home].name) != 0)
+	while (strcmp(home_of(world, origin), world->nodes[origin].name) == 0)
+		origin++;
+	while (strcmp(home_of(world, origin), world->nodes[home].name) != 0)
 		home++;
-	caller = world_open_database(world, away, "session");
+	caller = world_open_database(world, origin, "session");
 	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
 	pooler_drain(world->nodes[home].pooler);
 	assert_begins(world_ask(caller, "WRITE job-1 b"), "DONE core-0");
@@ -515,23 +516,23 @@
 	world_run(world, 60 * MSEC);
 	g_assert_cmpuint(caller->replies, ==, 3);
 	assert_begins(caller->reply, "DONE core-0");
-	/* The process that replaces it must be a home again. */
+	/* The process that replaces the stopped one must be a home again. */
 	world_start(world, home);
 	world_run(world, 2 * SEC);
-	g_assert_cmpstr(home_of(world, away), ==, world->nodes[home].name);
+	g_assert_cmpstr(home_of(world, origin), ==, world->nodes[home].name);
 	world_destroy(world);
 }
 
 /*
  * Guards against the loss of a home's first result for a proxy: the home has no link to that proxy
- * yet, and the first attempt to send only makes the link. The caller waited for the whole time-out
- * although the member had answered. The home must keep the result until the link is up.
+ * yet, and the first attempt to send only makes the link. The caller would wait for the whole
+ * time-out although the member has answered. The home must keep the result until the link is up.
  */
 static void test_first_result_waits_for_its_link(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	world_caller_t *caller = world_open(world, away);
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	world_caller_t *caller = world_open(world, origin);
 	world_node_t *home;
 
 	assert_begins(world_ask(caller, "WRITE job-1 a"), "DONE core-0");
@@ -541,7 +542,7 @@
 		for (size_t j = 0; j < NODES; j++)
 			world->nodes[i].link_at[j] = 1;
 	}
-	home->link_at[away] = 0;
+	home->link_at[origin] = 0;
 	world_send(caller, "WRITE job-1 b");
 	world_run(world, 60 * MSEC);
 	g_assert_cmpuint(caller->replies, ==, 2);
@@ -551,13 +552,13 @@
 
 /*
  * Guards against a write that ends in doubt, and can't be retried, although it reached no member:
- * the home refused it in time, and the caller's proxy read the refusal late.
+ * the home refuses the write in time, and the caller's proxy reads the refusal late.
  */
 static void test_refusal_is_read_late(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	world_caller_t *writer = world_open_database(world, away, "strict");
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	world_caller_t *writer = world_open_database(world, origin, "strict");
 	const world_node_t *home;
 
 	assert_begins(world_ask(writer, "WRITE job-1 a"), "DONE");
@@ -572,7 +573,7 @@
 	world_run(world, 10 * MSEC);
 	world_send(writer, "WRITE job-1 c");
 	world_run(world, 700 * MSEC);
-	world->nodes[away].peer_delay = 100 * MSEC;
+	world->nodes[origin].peer_delay = 100 * MSEC;
 	world_run(world, 200 * MSEC);
 	assert_begins(writer->reply, "ERR BUSY");
 	g_assert_cmpuint(run_count(world, writer->id), ==, 0);
@@ -585,9 +586,9 @@
  */
 static void test_result_for_an_earlier_process(void)
 {
-	pool_world_t *world = make_scarce();
-	size_t away = find_forwarding_proxy(world);
-	world_caller_t *caller = world_open_database(world, away, "strict");
+	pool_world_t *world = create_world();
+	size_t origin = find_forwarding_proxy(world);
+	world_caller_t *caller = world_open_database(world, origin, "strict");
 	forward_result_t late = {
 		.raw = {.at = "DONE core-0", .len = 11},
 		.is_raw = true,
@@ -602,17 +603,17 @@
 	world_run(world, 10 * MSEC);
 	late.number = caller->caller->forward_number;
 	g_assert_cmpuint(late.number, !=, 0);
-	world_kill(world, away);
-	world_start(world, away);
+	world_kill(world, origin);
+	world_start(world, origin);
 	world_run(world, 2 * SEC);
-	caller = world_open_database(world, away, "strict");
+	caller = world_open_database(world, origin, "strict");
 	world_send(caller, "WRITE job-2 b");
 	world_run(world, 10 * MSEC);
 	home = helper_of(world, caller);
 	message.from = home->name;
 	message.address = home->address;
 	message.incarnation = home->incarnation;
-	pooler_on_message(world->nodes[away].pooler, &message);
+	pooler_on_message(world->nodes[origin].pooler, &message);
 	g_assert_cmpuint(caller->replies, ==, 0);
 	world_destroy(world);
 }
--- a/tests/test_pooler_hangup.c
+++ b/tests/test_pooler_hangup.c
@@ -30,9 +30,9 @@
 }
 
 /*
- * The same inside a transaction: half of the grace time is over, so idle transactions are cut, and
- * the next statement lies unread as the event loop is late. The statement must be answered first;
- * each later tick tries again to close the session.
+ * The same inside a transaction: half of the grace time is over, so idle transactions are closed,
+ * and the next statement lies unread as the event loop is late. The statement must be answered
+ * first; each later tick tries again to close the session.
  */
 static void test_unread_request_in_expired_tx(void)
 {
@@ -133,7 +133,7 @@
  */
 static void test_sessions_close_in_batches(void)
 {
-	enum { SESSIONS = 90, AT_ONCE_MOST = 20 };
+	enum { SESSIONS = 90, BATCH_MAX = 20 };
 	pool_world_t *world = world_create(2, NULL);
 	world_caller_t *callers[SESSIONS];
 	size_t open = 0;
@@ -146,7 +146,7 @@
 	for (size_t i = 0; i < SESSIONS; i++)
 		open += callers[i]->caller != NULL;
 	g_assert_cmpuint(open, <, SESSIONS);
-	g_assert_cmpuint(open, >=, SESSIONS - AT_ONCE_MOST);
+	g_assert_cmpuint(open, >=, SESSIONS - BATCH_MAX);
 	world_run(world, 20 * MSEC);
 	for (size_t i = 0; i < SESSIONS; i++)
 		g_assert_null(callers[i]->caller);
--- a/tests/test_pooler_load.c
+++ b/tests/test_pooler_load.c
@@ -222,17 +222,17 @@
 static void test_idle_tx_is_kept_without_waiters(void)
 {
 	pool_world_t *world = world_create(1, &two_connections);
-	world_caller_t *resting;
+	world_caller_t *idle;
 	world_caller_t *other;
 
 	world_settle(world);
-	resting = begin_and_idle(world, "WRITE job-1 a");
+	idle = begin_and_idle(world, "WRITE job-1 a");
 	other = world_open_database(world, 0, "strict");
 	for (int i = 0; i < 100; i++) {
 		assert_begins(world_ask(other, "READ job-1"), "ROW none");
 		world_run(world, 20 * MSEC);
 	}
-	assert_begins(world_ask(resting, "COMMIT"), "DONE");
+	assert_begins(world_ask(idle, "COMMIT"), "DONE");
 	assert_begins(world_ask(other, "READ job-1"), "ROW a");
 	world_destroy(world);
 }
--- a/tests/test_pooler_outlier.c
+++ b/tests/test_pooler_outlier.c
@@ -71,9 +71,9 @@
 }
 
 /*
- * Guards against the needless replacement of a primary. A fifth of a primary's replies were lost
- * for 4 s, two of three homes counted it as failing, and the leader was frozen in the middle of the
- * change, so nobody was served for 7 s. A quarter of failures does not justify a change either;
+ * Guards against the needless replacement of a primary: a fifth of its replies are lost for 4 s,
+ * two of three homes count it as failing, and the leader is frozen in the middle of the change, so
+ * nobody is served for 7 s. A quarter of failures does not justify a change either;
  * half does, refused or failed.
  */
 static void test_failing_primary_threshold(void)
@@ -463,7 +463,7 @@
 	world_destroy(world);
 }
 
-/* Lets the proxy count the primary as failing. */
+/* Makes the proxy count the primary as failing. */
 static void mark_primary_failing(pooler_t *pooler, usec_t now)
 {
 	member_t *primary = member_find(pooler, "core-0");
--- a/tests/test_pooler_parts.c
+++ b/tests/test_pooler_parts.c
@@ -109,36 +109,36 @@
 	talloc_free(parent);
 }
 
-/* --- following --- */
+/* --- followers of the store --- */
 
-typedef struct followed {
+typedef struct follower {
 	follow_t follow;
 	manual_clock_t clock;
 	timer_set_t timers;
 	fake_kv_t *store;
 	fake_kv_client_t client;
 	GHashTable *seen;
-	size_t gone;
-} followed_t;
+	size_t removed_count;
+} follower_t;
 
 static void on_changed(follow_t *follow, const kv_item_t *item)
 {
-	followed_t *self = (followed_t *)follow;
+	follower_t *self = (follower_t *)follow;
 
 	g_hash_table_insert(self->seen, g_strdup(item->key), g_strndup(item->value, item->len));
 }
 
-static void on_gone(follow_t *follow, const char *key)
+static void on_removed(follow_t *follow, const char *key)
 {
-	followed_t *self = (followed_t *)follow;
+	follower_t *self = (follower_t *)follow;
 
-	self->gone++;
+	self->removed_count++;
 	g_hash_table_remove(self->seen, key);
 }
 
-static const follow_ops_t follow_ops = {.on_changed = on_changed, .on_removed = on_gone};
+static const follow_ops_t follow_ops = {.on_changed = on_changed, .on_removed = on_removed};
 
-static void run_for(followed_t *self, usec_t by)
+static void run_for(follower_t *self, usec_t by)
 {
 	usec_t end = clock_now(&self->clock.base) + by;
 
@@ -152,9 +152,9 @@
 	manual_clock_advance(&self->clock, end - clock_now(&self->clock.base));
 }
 
-static followed_t *followed_create(void)
+static follower_t *follower_create(void)
 {
-	followed_t *self = g_new0(followed_t, 1);
+	follower_t *self = g_new0(follower_t, 1);
 
 	manual_clock_init(&self->clock, 100 * SEC);
 	timers_init(&self->timers);
@@ -173,7 +173,7 @@
 	return self;
 }
 
-static void followed_destroy(followed_t *self)
+static void follower_destroy(follower_t *self)
 {
 	follow_stop(&self->follow);
 	talloc_free(self->store);
@@ -182,14 +182,14 @@
 	g_free(self);
 }
 
-static const char *seen(followed_t *self, const char *key)
+static const char *seen(follower_t *self, const char *key)
 {
 	return g_hash_table_lookup(self->seen, key);
 }
 
 static void test_follow_changes(void)
 {
-	followed_t *self = followed_create();
+	follower_t *self = follower_create();
 
 	g_assert_cmpstr(seen(self, "servers/a"), ==, "1");
 	g_assert_null(seen(self, "other"));
@@ -203,8 +203,8 @@
 	g_assert_nonnull(seen(self, "servers/a"));
 	run_for(self, 2 * SEC);
 	g_assert_null(seen(self, "servers/a"));
-	g_assert_cmpuint(self->gone, ==, 1);
-	followed_destroy(self);
+	g_assert_cmpuint(self->removed_count, ==, 1);
+	follower_destroy(self);
 }
 
 /*
@@ -214,7 +214,7 @@
  */
 static void test_follow_batches_changes(void)
 {
-	followed_t *self = followed_create();
+	follower_t *self = follower_create();
 	size_t before;
 
 	self->follow.coalesce_time = FOLLOW_COALESCE_TIME;
@@ -234,13 +234,16 @@
 		g_free(key);
 	}
 	g_assert_cmpuint(self->store->call_count - before, <=, 4);
-	followed_destroy(self);
+	follower_destroy(self);
 }
 
-/* The store compacts its history while a watch is open: all is read again, no change is lost. */
+/*
+ * If the store compacts its history while a watch is open, all items are read again and no change
+ * is lost.
+ */
 static void test_follow_compaction(void)
 {
-	followed_t *self = followed_create();
+	follower_t *self = follower_create();
 
 	self->store->deaf_watches = true;
 	fake_kv_put(self->store, "servers/b", "1");
@@ -250,13 +253,15 @@
 	run_for(self, 4 * SEC);
 	g_assert_cmpstr(seen(self, "servers/b"), ==, "1");
 	g_assert_null(seen(self, "servers/a"));
-	followed_destroy(self);
+	follower_destroy(self);
 }
 
-/* An entry that expires in an outage of the store and is back 2 s later was never removed. */
+/*
+ * An entry that expires in an outage of the store and returns 2 s later must not count as removed.
+ */
 static void test_follow_expired_entry(void)
 {
-	followed_t *self = followed_create();
+	follower_t *self = follower_create();
 
 	self->store->down = true;
 	run_for(self, 3 * SEC);
@@ -266,14 +271,14 @@
 	fake_kv_put(self->store, "servers/a", "3");
 	run_for(self, 3 * SEC);
 	g_assert_cmpstr(seen(self, "servers/a"), ==, "3");
-	g_assert_cmpuint(self->gone, ==, 0);
-	followed_destroy(self);
+	g_assert_cmpuint(self->removed_count, ==, 0);
+	follower_destroy(self);
 }
 
 /* A watch may miss changes without an error; a refresh reads what the watch has missed. */
 static void test_follow_refresh(void)
 {
-	followed_t *self = followed_create();
+	follower_t *self = follower_create();
 
 	self->store->deaf_watches = true;
 	fake_kv_put(self->store, "servers/a", "2");
@@ -282,12 +287,13 @@
 	follow_refresh(&self->follow);
 	run_for(self, 50 * MSEC);
 	g_assert_cmpstr(seen(self, "servers/a"), ==, "2");
-	followed_destroy(self);
+	follower_destroy(self);
 }
 
-static followed_t *followed_create_fed(bool held)
+/* Creates a follower that receives updates from a peer, while the store is down. */
+static follower_t *follower_create_fed(bool read_deferred)
 {
-	followed_t *self = followed_create();
+	follower_t *self = follower_create();
 
 	follow_stop(&self->follow);
 	g_hash_table_remove_all(self->seen);
@@ -297,7 +303,7 @@
 				  .timers = &self->timers,
 				  .prefix = "servers/",
 				  .from_peer = true,
-				  .read_deferred = held};
+				  .read_deferred = read_deferred};
 	self->store->down = true;
 	follow_start(&self->follow, NULL);
 	return self;
@@ -309,15 +315,15 @@
  */
 static void test_follow_passes_on_before_reading(void)
 {
-	followed_t *self = followed_create();
+	follower_t *self = follower_create();
 	const kv_item_t item = {.key = "servers/b", .value = "2", .len = 1, .revision = 50};
-	follow_changes_t told = {.as_of = 50, .items = &item, .count = 1};
+	follow_changes_t update = {.as_of = 50, .items = &item, .count = 1};
 	void *parent = talloc_new(NULL);
 	follow_changes_t changes;
-	int64_t known;
+	int64_t as_of;
 
 	run_for(self, 100 * USEC_PER_MSEC);
-	known = self->follow.as_of;
+	as_of = self->follow.as_of;
 	fake_kv_put(self->store, "servers/a", "2");
 	fake_kv_compact(self->store);
 	/* The watch has ended, and the read that follows is in flight. */
@@ -326,13 +332,13 @@
 	self->client.refused = true;
 	follow_set_from_peer(&self->follow, true);
 	run_for(self, 1 * SEC);
-	follow_apply_changes(&self->follow, &told);
-	g_assert_cmpint(follow_collect_changes(&self->follow, known, parent, &changes), ==,
+	follow_apply_changes(&self->follow, &update);
+	g_assert_cmpint(follow_collect_changes(&self->follow, as_of, parent, &changes), ==,
 			FOLLOW_HAS_CHANGES);
 	g_assert_cmpint(changes.as_of, ==, 50);
-	g_assert_nonnull(follow_pack_changes(&self->follow, known));
+	g_assert_nonnull(follow_pack_changes(&self->follow, as_of));
 	talloc_free(parent);
-	followed_destroy(self);
+	follower_destroy(self);
 }
 
 /*
@@ -341,17 +347,17 @@
  */
 static void test_follow_partial_before_whole(void)
 {
-	followed_t *self = followed_create_fed(true);
+	follower_t *self = follower_create_fed(true);
 	const kv_item_t item = {.key = "servers/b", .value = "2", .len = 1, .revision = 50};
-	follow_changes_t told = {.as_of = 50, .items = &item, .count = 1};
+	follow_changes_t update = {.as_of = 50, .items = &item, .count = 1};
 
-	follow_apply_changes(&self->follow, &told);
+	follow_apply_changes(&self->follow, &update);
 	g_assert_cmpstr(seen(self, "servers/b"), ==, "2");
 	g_assert_cmpint(self->follow.as_of, ==, 0);
-	told.complete = true;
-	follow_apply_changes(&self->follow, &told);
+	update.complete = true;
+	follow_apply_changes(&self->follow, &update);
 	g_assert_cmpint(self->follow.as_of, ==, 50);
-	followed_destroy(self);
+	follower_destroy(self);
 }
 
 /*
@@ -360,9 +366,9 @@
  */
 static void test_follow_unanswered(void)
 {
-	followed_t *self = followed_create();
+	follower_t *self = follower_create();
 	const kv_item_t item = {.key = "servers/b", .value = "2", .len = 1, .revision = 50};
-	follow_changes_t told = {.complete = true, .as_of = 50, .items = &item, .count = 1};
+	follow_changes_t update = {.complete = true, .as_of = 50, .items = &item, .count = 1};
 
 	run_for(self, 100 * USEC_PER_MSEC);
 	g_assert_cmpuint(follow_unanswered_time(&self->follow), ==, 0);
@@ -370,15 +376,15 @@
 	follow_refresh(&self->follow);
 	run_for(self, 1 * SEC);
 	g_assert_cmpuint(follow_unanswered_time(&self->follow), >=, 900 * USEC_PER_MSEC);
-	follow_apply_changes(&self->follow, &told);
+	follow_apply_changes(&self->follow, &update);
 	g_assert_cmpuint(follow_unanswered_time(&self->follow), ==, 0);
-	followed_destroy(self);
+	follower_destroy(self);
 }
 
-/* A follower must receive changes although the store refuses watches and no peer sends updates. */
+/* A follower must receive changes even if the store refuses watches and no peer sends updates. */
 static void test_follow_watches_refused(void)
 {
-	followed_t *self = followed_create();
+	follower_t *self = follower_create();
 
 	run_for(self, 100 * USEC_PER_MSEC);
 	self->client.unwatched = true;
@@ -394,13 +400,13 @@
 		run_for(self, 3300 * USEC_PER_MSEC);
 		g_assert_cmpstr(seen(self, "servers/a"), ==, value);
 	}
-	followed_destroy(self);
+	follower_destroy(self);
 }
 
 /* Reads more items than one answer of the store holds. */
 static void test_follow_pages(void)
 {
-	followed_t *self = followed_create();
+	follower_t *self = follower_create();
 
 	for (int i = 0; i < 1200; i++) {
 		char key[32];
@@ -411,23 +417,23 @@
 	fake_kv_compact(self->store);
 	run_for(self, SEC);
 	g_assert_cmpuint(g_hash_table_size(self->seen), ==, 1201);
-	followed_destroy(self);
+	follower_destroy(self);
 }
 
 /* --- updates from a peer, for a follower that does not read the store itself --- */
 
 /* Sends the peer's newer changes to the other follower; returns false if there are none. */
-static bool send_changes(const followed_t *peer, followed_t *to)
+static bool send_changes(const follower_t *peer, follower_t *to)
 {
 	void *parent = talloc_new(NULL);
 	follow_changes_t changes;
-	bool told = follow_collect_changes(&peer->follow, to->follow.as_of, parent, &changes) ==
-		    FOLLOW_HAS_CHANGES;
+	bool has_changes = follow_collect_changes(&peer->follow, to->follow.as_of, parent,
+						  &changes) == FOLLOW_HAS_CHANGES;
 
-	if (told)
+	if (has_changes)
 		follow_apply_changes(&to->follow, &changes);
 	talloc_free(parent);
-	return told;
+	return has_changes;
 }
 
 /* Number of members in a large deployment; put_members() writes entries as members do. */
@@ -454,8 +460,8 @@
  */
 static void test_follow_packed(void)
 {
-	followed_t *peer = followed_create();
-	followed_t *fed = followed_create_fed(true);
+	follower_t *peer = follower_create();
+	follower_t *fed = follower_create_fed(true);
 	const char *packed;
 	size_t calls;
 
@@ -487,8 +493,8 @@
 	run_for(fed, 3 * SEC);
 	g_assert_null(seen(fed, "servers/a"));
 	g_assert_cmpint(fed->follow.as_of, ==, peer->follow.as_of);
-	followed_destroy(fed);
-	followed_destroy(peer);
+	follower_destroy(fed);
+	follower_destroy(peer);
 }
 
 static void test_pack_round_trip(void)
@@ -521,8 +527,8 @@
  */
 static void test_follow_by_a_peer(void)
 {
-	followed_t *peer = followed_create();
-	followed_t *fed = followed_create_fed(false);
+	follower_t *peer = follower_create();
+	follower_t *fed = follower_create_fed(false);
 	size_t calls;
 
 	g_assert_true(send_changes(peer, fed));
@@ -539,10 +545,11 @@
 	g_assert_true(send_changes(peer, fed));
 	run_for(fed, 3 * SEC);
 	g_assert_null(seen(fed, "servers/a"));
-	/* Only its first read, which has never succeeded, is still retried. */
+	/* The only call left is the retry of the follower's first read, which has never succeeded.
+	 */
 	g_assert_cmpuint(fed->store->call_count, <=, calls + 1);
-	followed_destroy(fed);
-	followed_destroy(peer);
+	follower_destroy(fed);
+	follower_destroy(peer);
 }
 
 /*
@@ -553,8 +560,8 @@
  */
 static void test_follow_late_discovery(void)
 {
-	followed_t *peer = followed_create();
-	followed_t *fed = followed_create_fed(false);
+	follower_t *peer = follower_create();
+	follower_t *fed = follower_create_fed(false);
 
 	send_changes(peer, fed);
 	peer->store->deaf_watches = true;
@@ -573,16 +580,16 @@
 	g_assert_null(seen(fed, "servers/a"));
 	g_assert_nonnull(seen(fed, "servers/b"));
 	g_assert_false(send_changes(peer, fed));
-	followed_destroy(fed);
-	followed_destroy(peer);
+	follower_destroy(fed);
+	follower_destroy(peer);
 }
 
 /* A peer that has just read all items sends all of them; missing items count as removed. */
 static void test_follow_whole(void)
 {
-	followed_t *first = followed_create();
-	followed_t *second = followed_create();
-	followed_t *fed = followed_create_fed(false);
+	follower_t *first = follower_create();
+	follower_t *second = follower_create();
+	follower_t *fed = follower_create_fed(false);
 
 	fake_kv_put(first->store, "servers/old", "1");
 	run_for(first, 50 * MSEC);
@@ -602,9 +609,9 @@
 	run_for(fed, 3 * SEC);
 	g_assert_nonnull(seen(fed, "servers/new"));
 	g_assert_null(seen(fed, "servers/old"));
-	followed_destroy(fed);
-	followed_destroy(second);
-	followed_destroy(first);
+	follower_destroy(fed);
+	follower_destroy(second);
+	follower_destroy(first);
 }
 
 int main(int argc, char **argv)
--- a/tests/test_pooler_primary.c
+++ b/tests/test_pooler_primary.c
@@ -214,8 +214,8 @@
 	world->nodes[2].cut_from_peers = true;
 	world->db->members[0].leaving = true;
 	/*
-	 * The other proxies see the primary as leaving and replace it; this one does not receive
-	 * that.
+	 * The other proxies see the primary as leaving and replace it; this proxy does not receive
+	 * the change.
 	 */
 	world_publish(world);
 	for (int i = 0; i < 150; i++) {
@@ -473,11 +473,11 @@
 }
 
 /*
- * Guards against writes to a superseded primary, which are lost when that is noticed: a leader has
- * a member promoted and is frozen. The next leader takes the change over, loses its lease and
- * acquires it again, so that the mark in the roster is its own. It finds the old primary healthy,
- * and nothing shows the call. It must remember that the change was not its own, since the call may
- * have taken effect.
+ * Guards against writes to a superseded primary, which are lost once the new primary is noticed: a
+ * leader has a member promoted and is frozen. The next leader takes the change over, loses its
+ * lease and acquires it again, so that the mark in the roster is its own. It finds the old primary
+ * healthy, and nothing shows the promote call. It must remember that the change was not its own,
+ * since the call may have taken effect.
  */
 static void test_change_taken_over_twice(void)
 {
@@ -519,9 +519,9 @@
 
 /*
  * Guards against writes that wait 2 s longer than necessary: the leader has a member promoted and
- * dies. The next leader did not recognize that member as the new primary, since the term of the
- * first primary was not in the roster, and promoted it again without effect. Now the first
- * primary's term is queried before it is written to the roster.
+ * dies. If the roster lacks the term of the first primary, the next leader does not recognize
+ * that member as the new primary, and promotes it again without effect. So the first primary's term
+ * must be queried before that primary is written to the roster.
  */
 static void test_leader_dies_after_the_first_promote(void)
 {
@@ -559,8 +559,9 @@
 
 /*
  * Guards against refusals for 12 s at a change of primary: a proxy that has just started is the
- * leader, and another proxy is dead. The newcomer does not have the former size of the fleet, so it
- * waited as if the dead proxy were two thirds of it. Now it uses the size that the others report.
+ * leader, and another proxy is dead. The newcomer has not seen the former size of the fleet. It
+ * must use the size that the others report, instead of waiting as if the dead proxy were two thirds
+ * of the fleet.
  */
 static void test_newcomer_leads_beside_a_dead_proxy(void)
 {
@@ -583,8 +584,8 @@
 /*
  * Guards against the replacement of a healthy primary: members' entries expire while the store is
  * unavailable. Proxies that have cached the members keep using them, but one that starts at that
- * time has never received the primary's entry; when it became the leader it took the primary for
- * unlisted. The entries are back a moment later.
+ * time has never received the primary's entry. When it becomes the leader, it must not take the
+ * primary for unlisted, since the entries are back a moment later.
  */
 static void test_newcomer_leads_with_an_expired_list(void)
 {
@@ -605,8 +606,8 @@
 
 /*
  * Guards against the loss of commits: a proxy that has just started is not on the older roster that
- * others may still use by quorum. It must not count itself as part of that fleet: with it, three of
- * four proxies would seem too few to keep their permission.
+ * others may still use by agreement. The new proxy must not count itself as part of that fleet:
+ * with it, three of four proxies would seem too few to keep their permission.
  */
 static void test_newcomer_does_not_count(void)
 {
@@ -626,9 +627,9 @@
 
 /*
  * Guards against planned changes of primary that take 2.6 s long after a proxy was lost: its VM is
- * replaced under another name, so it never answers, and each change waited for the permission that
- * it might still have. Once the rest of the fleet has the roster that marks it as gone, nobody
- * extends that permission.
+ * replaced under another name, so the lost proxy never answers, and each change waits for the
+ * permission that it might still have. Once the rest of the fleet has the roster that marks it as
+ * gone, nobody extends that permission.
  */
 static void test_gone_proxy_is_not_waited_for(void)
 {
--- a/tests/test_pooler_verdict.c
+++ b/tests/test_pooler_verdict.c
@@ -6,10 +6,10 @@
 #include "state.h"
 
 /*
- * Guards against an outage at the first start: the leader could not reach any member, since its own
- * link was full, and no other proxy had used the primaries yet, so the leader alone had all of them
- * replaced, and nobody was served for eight seconds. A second report is required now: a failing
- * link affects one proxy, and proxies with connections probe a primary that the leader suspects.
+ * Guards against an outage of eight seconds at the first start: the leader can't reach any member,
+ * since its own link is full, no other proxy has used the primaries yet, and the leader alone has
+ * all of them replaced. A second report must be required: a failing link affects one proxy, and
+ * proxies with connections probe a primary that the leader suspects.
  */
 static void test_unreachable_for_leader_only(void)
 {
@@ -39,9 +39,9 @@
 }
 
 /*
- * Guards against writes being refused for as long as the primary was down: of two proxies only the
- * leader had connections to the members, as the home of the service, so the other one reported
- * nothing. Now the next home candidate probes a suspected primary too.
+ * Guards against writes being refused for as long as the primary is down: of two proxies only the
+ * leader has connections to the members, as the home of the service, so the other one reports
+ * nothing. The next home candidate must probe a suspected primary too.
  */
 static void test_leader_is_the_only_home(void)
 {
@@ -114,9 +114,10 @@
 }
 
 /*
- * Guards against a fleet with 100 databases that served nobody for many seconds or ever: each first
- * primary was written to the roster by a write of its own, and each write made all others conflict.
- * One write with all of them is enough; a few more follow for members that report their term late.
+ * Guards against a fleet with 100 databases that serves nobody for many seconds or ever: if each
+ * first primary is written to the roster by a write of its own, each write makes all others
+ * conflict. One write with all of them is enough; a few more follow for members that report their
+ * term late.
  */
 static void test_many_first_primaries(void)
 {
