--- a/pooler/active.c
+++ b/pooler/active.c
@@ -7,7 +7,7 @@
 
 /*
  * Time for which a service stays active after its last use. It must exceed the time for which a
- * reply proves a member alive, and that for which a report of failing statements counts.
+ * reply shows that a member is alive, and that for which a report of failing statements counts.
  */
 #define ACTIVE_TIME (4 * USEC_PER_SEC)
 /* Usual maximum age of the roster at a proxy that receives its updates through a hub. */
--- a/pooler/caller.c
+++ b/pooler/caller.c
@@ -464,9 +464,10 @@
 static void on_deadline(run_timer_t *timer, usec_t now);
 
 /*
- * At its deadline, gives a forwarded write some more time for the home's refusal and returns true.
- * The home refuses before the deadline what has not run, but a busy VM may read the refusal late.
- * Without the refusal, a write that reached no member would end in doubt and not be retried.
+ * Extends the wait for a forwarded write at its deadline and returns true, so that the home's
+ * refusal may still arrive. The home refuses before the deadline what has not run, but a busy VM
+ * may read the refusal late. Without the refusal, a write that reached no member would end in doubt
+ * and not be retried.
  */
 static bool await_late_refusal(caller_t *caller, usec_t now)
 {
--- a/pooler/caller.h
+++ b/pooler/caller.h
@@ -14,12 +14,12 @@
  */
 caller_t *caller_create(pooler_t *pooler, const char *database, void *link);
 
-/* The customer's limit allows the waiting operation: it starts. */
+/* Starts the caller's operation, which is within the customer's limit. */
 void caller_on_admitted(caller_t *caller);
 
 /*
- * The caller's connection to a member is lost. sent: the statement in progress had been sent and
- * was not answered.
+ * Handles the loss of the caller's connection to a member. sent: the statement in progress had been
+ * sent and was not answered.
  */
 void caller_on_conn_lost(caller_t *caller, bool sent, const char *detail);
 
@@ -29,7 +29,7 @@
  */
 bool caller_retry_read(caller_t *caller);
 
-/* The member refused a set-up request, so the statement itself did not run. */
+/* Handles a set-up request that the member refused, so that the statement itself did not run. */
 void caller_on_setup_refused(caller_t *caller, code_t code);
 
 void caller_on_reply(caller_t *caller, conn_t *conn, const reply_t *reply);
@@ -37,7 +37,7 @@
 /* Begins a transaction; its first statement takes a connection. */
 void caller_begin_tx(caller_t *caller, bool read_only);
 
-/* The proxy that the statement was forwarded to has sent its result. */
+/* Handles the result from the proxy that the statement was forwarded to. */
 void caller_on_forward_result(caller_t *caller, const forward_result_t *result);
 
 /* Refuses the waiting statement, which can't get a connection before its deadline. */
--- a/pooler/conn.c
+++ b/pooler/conn.c
@@ -542,7 +542,7 @@
 		if (conn->caller == NULL) {
 			/* The caller has left; the remaining set-up replies still arrive. */
 			if (++conn->setup_done == conn->setup_len)
-				conn_close(conn, "caller gone during set-up");
+				conn_close(conn, "caller left during set-up");
 			return;
 		}
 		on_setup_reply(conn, reply);
--- a/pooler/dispatch.c
+++ b/pooler/dispatch.c
@@ -170,10 +170,10 @@
 }
 
 /*
- * Returns the member that serves the caller's read now, or NULL if none can. *open is set if some
- * member can serve it once it has a free connection.
+ * Returns the member that serves the caller's read now, or NULL if none can. *servable is set if
+ * some member can serve it once it has a free connection.
  */
-static member_t *choose_read_member(caller_t *caller, usec_t now, bool *open)
+static member_t *choose_read_member(caller_t *caller, usec_t now, bool *servable)
 {
 	member_t *primary = permit_primary(caller->service, now);
 	sample_t required;
@@ -181,7 +181,7 @@
 	member_t *best = NULL;
 	usec_t best_cost = USEC_NEVER;
 
-	*open = false;
+	*servable = false;
 	list_for_each (it, &caller->service->members) {
 		member_t *member = list_entry(it, member_t, in_service);
 		usec_t cost;
@@ -189,7 +189,7 @@
 		if (member != primary &&
 		    (!fresh || !replica_probably_current(member, &required, now)))
 			continue;
-		*open = *open || member_is_usable(member);
+		*servable = *servable || member_is_usable(member);
 		if (!can_read_at(member, caller, now) || !can_serve(member, caller, now))
 			continue;
 		cost = cost_of(member, caller, member == primary);
@@ -204,14 +204,14 @@
 	return best;
 }
 
-static member_t *choose_primary(caller_t *caller, usec_t now, bool *open)
+static member_t *choose_primary(caller_t *caller, usec_t now, bool *servable)
 {
 	member_t *primary = permit_primary(caller->service, now);
 	usec_t leaving_use = caller->pooler->config.leaving_bound * LEAVING_USABLE_PERCENT / 100;
 
 	caller->has_after = false;
-	*open = primary != NULL && !primary->down && now < primary->leaving_since + leaving_use;
-	if (!*open || !member_has_room(primary) ||
+	*servable = primary != NULL && !primary->down && now < primary->leaving_since + leaving_use;
+	if (!*servable || !member_has_room(primary) ||
 	    (conn_find_idle(primary, caller) == NULL && !can_open(primary, caller, now)))
 		return NULL;
 	return primary;
@@ -230,11 +230,11 @@
 	return count;
 }
 
-static member_t *choose_member(caller_t *caller, usec_t now, bool *open)
+static member_t *choose_member(caller_t *caller, usec_t now, bool *servable)
 {
 	if (caller->target == TARGET_PRIMARY)
-		return choose_primary(caller, now, open);
-	return choose_read_member(caller, now, open);
+		return choose_primary(caller, now, servable);
+	return choose_read_member(caller, now, servable);
 }
 
 /*
@@ -256,7 +256,7 @@
 /* Sends the caller's statement to a member or to its home; returns false if it still waits. */
 static bool try_to_place(caller_t *caller, usec_t now)
 {
-	bool open;
+	bool servable;
 	member_t *member;
 	conn_t *conn;
 
@@ -270,7 +270,7 @@
 	case FORWARD_LOCAL:
 		break;
 	}
-	member = choose_member(caller, now, &open);
+	member = choose_member(caller, now, &servable);
 	if (member == NULL)
 		return false;
 	conn = conn_find_idle(member, caller);
@@ -451,15 +451,15 @@
 static void refuse_if_unservable(caller_t *caller, usec_t now)
 {
 	usec_t end = expected_recovery(caller->service, now);
-	bool open;
+	bool servable;
 	usec_t retry_after;
 
 	if (lacks_time_to_run(caller, now)) {
 		caller_refuse(caller, CODE_BUSY, REASON_NO_CONNECTION, QUEUE_RETRY_AFTER);
 		return;
 	}
-	choose_member(caller, now, &open);
-	if (open || (end != USEC_NEVER && end < caller->deadline))
+	choose_member(caller, now, &servable);
+	if (servable || (end != USEC_NEVER && end < caller->deadline))
 		return;
 	retry_after = end != USEC_NEVER && end > now ? end - now : DEFAULT_RETRY_AFTER;
 	if (retry_after > RETRY_AFTER_MAX)
--- a/pooler/job.c
+++ b/pooler/job.c
@@ -106,7 +106,7 @@
 	return caller;
 }
 
-/* Notes that other proxies use the service here: a home in use keeps its connections open. */
+/* Records that other proxies use the service here, since a home in use keeps its connections. */
 static void mark_service_used(const caller_t *caller)
 {
 	const route_t *route = routes_find(caller->pooler->routes, caller->database);
--- a/pooler/outlier.h
+++ b/pooler/outlier.h
@@ -59,8 +59,8 @@
 void outlier_mark_failing(outlier_t *outlier, usec_t now);
 
 /*
- * The member was found down. The second time within REPEATED_DOWN_TIME makes it count as failing,
- * since it hangs in between, or keeps going down and up.
+ * Records that the member was found down. The second time within REPEATED_DOWN_TIME makes it count
+ * as failing, since it hangs in between, or keeps going down and up.
  */
 void outlier_on_down(outlier_t *outlier, usec_t now);
 
--- a/pooler/permit.c
+++ b/pooler/permit.c
@@ -56,17 +56,17 @@
 {
 	const sync_t *sync = &pooler->sync;
 	usec_t lease_end;
-	usec_t quorum_end;
+	usec_t agreement_end;
 
 	if (sync->confirmed_at == USEC_NEVER)
 		return 0;
 	lease_end = sync->confirmed_at + PERMIT_LEASE_TIME;
 	if (now_of(pooler) < lease_end)
 		return lease_end;
-	quorum_end = permit_quorum_confirmed_at(pooler) + PERMIT_LEASE_TIME;
-	if (quorum_end > sync->confirmed_at + PERMIT_LEASE_MAX)
-		quorum_end = sync->confirmed_at + PERMIT_LEASE_MAX;
-	return quorum_end > lease_end ? quorum_end : lease_end;
+	agreement_end = permit_quorum_confirmed_at(pooler) + PERMIT_LEASE_TIME;
+	if (agreement_end > sync->confirmed_at + PERMIT_LEASE_MAX)
+		agreement_end = sync->confirmed_at + PERMIT_LEASE_MAX;
+	return agreement_end > lease_end ? agreement_end : lease_end;
 }
 
 member_t *permit_primary(const service_t *service, usec_t now)
--- a/pooler/report.h
+++ b/pooler/report.h
@@ -6,8 +6,8 @@
 
 #include "state.h"
 
-/* The statement was answered with success. */
+/* Reports a statement that was answered with success. */
 void report_success(const caller_t *caller);
 
-/* The statement was answered with an error, of a member or of this proxy. */
+/* Reports a statement that was answered with an error, of a member or of this proxy. */
 void report_failure(const caller_t *caller, code_t code, reason_t reason, const char *detail);
--- a/pooler/survey.h
+++ b/pooler/survey.h
@@ -17,7 +17,7 @@
 /* True once all members that may answer have done so, or the time limit has passed. */
 bool survey_is_complete(const service_t *service, usec_t now);
 
-/* True if position a is ahead of position b. */
+/* True if log position a is ahead of b: in a newer term, or further in the same term. */
 bool survey_is_ahead(position_t a, position_t b);
 
 /* The eligible member, other than old, that has received the most; NULL if none answered. */
