--- a/pooler/member.h
+++ b/pooler/member.h
@@ -7,10 +7,10 @@
 #include "state.h"
 
 /*
- * Half of a member's connections are divided evenly among the proxies. The other half
- * is for uneven demand, and for the restart of the fleet after a loss of power: a member keeps the
- * connections of vanished VMs for 3 s. If those were all that it accepts, no caller could be served
- * during that time.
+ * Half of a member's connections are divided evenly among the proxies. The other half is for uneven
+ * demand, and for the restart of the fleet after a loss of power: a member keeps the connections of
+ * vanished VMs for 3 s. If those were all that it accepts, no caller could be served during that
+ * time.
  */
 #define MEMBER_SHARED_DIVISOR 2
 
