--- a/core/core.h
+++ b/core/core.h
@@ -21,17 +21,17 @@
 	usec_t detect_floor; /* lower bound of the time-out by which a primary counts as failed */
 	usec_t stagger;	     /* between the takeover attempts of successive ranks */
 	usec_t seal_timeout; /* for one step of a takeover */
-	usec_t confirm_poll_interval; /* between requests for reports, with unconfirmed answers */
+	usec_t confirm_poll_interval; /* between polls while answers wait for a majority */
 	usec_t stall_after;	/* lower bound of the wait for a majority that counts as a stall */
 	usec_t pause_threshold; /* a gap between events that shows a pause of the process */
 	usec_t table_max_age;	/* validity of a confirmation that the table is current */
 	usec_t tx_idle;		/* roll back a transaction without statements */
-	usec_t conn_idle;	/* close an idle connection; the server does a second later */
+	usec_t conn_idle;	/* close an idle connection; the server closes it a second later */
 	usec_t store_retry_interval; /* between attempts to commit an edit to the store */
 	usec_t store_check_interval; /* between loads of the table by a store watcher */
 	usec_t vm_poll_interval;     /* between queries of the platform's list of VMs */
 	usec_t forget_after;	     /* remove a proxy that is unlisted and silent */
-	usec_t edit_timeout;	     /* an edit without a result is refused or "unknown" */
+	usec_t edit_timeout;	     /* for an edit's result; then it is refused or "unknown" */
 } core_timings_t;
 
 typedef struct core_config {
--- a/core/edit.c
+++ b/core/edit.c
@@ -109,8 +109,9 @@
 {
 	(void)now;
 	/*
-	 * The retry must expect the same head: the first attempt may have succeeded and
-	 * a watch may have brought its result, on which the edit would be applied twice.
+	 * The retry must expect the same head as the first attempt. That attempt may have
+	 * succeeded, and the watch may have delivered its result already: with the new head,
+	 * the edit would be applied twice.
 	 */
 	send_commit(list_entry(timer, edit_t, retry_timer));
 }
@@ -175,7 +176,7 @@
 		    (unsigned long long)event->table_version);
 }
 
-/* Another edit was committed first: apply it and try this one on top of it. */
+/* Another edit was committed first: apply it, then try to commit this one after it. */
 static void on_conflict(edit_t *edit, const store_event_t *event)
 {
 	core_t *core = edit->core;
--- a/core/event.h
+++ b/core/event.h
@@ -19,7 +19,7 @@
 typedef enum {
 	ORDER_OK,
 	ORDER_REFUSED,	   /* the member declined and sent its report */
-	ORDER_UNREACHABLE, /* the connection was refused: the process is gone */
+	ORDER_UNREACHABLE, /* the connection was refused: the process has ended */
 	ORDER_TIMED_OUT,   /* no answer in time */
 } order_status_t;
 
@@ -85,7 +85,7 @@
 	EVENT_COUNT,
 } event_kind_t;
 
-/* EVENT_QUERY; the id is the caller. */
+/* EVENT_QUERY; the id is that of the caller. */
 typedef struct query_event {
 	const query_t *query;
 	const char *token;
@@ -99,7 +99,7 @@
 
 /* EVENT_CONN_UP; the id is the connection. */
 typedef struct conn_up_event {
-	int64_t slot; /* of the row's limit, claimed at the member by the new connection */
+	int64_t slot; /* of the row's limit, which the connection has claimed at the member */
 } conn_up_event_t;
 
 /* EVENT_CONN_DOWN; the id is the connection. */
--- a/core/exec.c
+++ b/core/exec.c
@@ -471,9 +471,10 @@
 /* --- deadline --- */
 
 /*
- * A read has no effect to settle, and closing its connection would cost a new
- * one, most of all while the group is overloaded. So the request is refused and
- * the connection stays busy until the server has answered.
+ * A read changes nothing, so its outcome need not be determined by closing the
+ * connection. A new connection would be costly, most of all while the group is
+ * overloaded. So the request is refused and the connection stays busy until the
+ * server has answered.
  */
 static void abandon_read(request_t *request)
 {
@@ -504,7 +505,7 @@
 			break;
 		}
 		/*
-		 * Closing settles the outcome: the EVENT_RUN_DONE that follows at once tells
+		 * Closing determines the outcome: the EVENT_RUN_DONE that follows at once reports
 		 * whether the commit was sent; if not, the server rolls back.
 		 */
 		pool_close_conn(request->conn);
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -5,8 +5,8 @@
 #include <talloc.h>
 #include <xxhash.h>
 
-/* The suspicion of a peer without heartbeats expires after this many times the allowed silence. */
-#define RETRY_SUSPECT_FACTOR 5
+/* Suspicion of a peer without heartbeats expires after this many times the allowed silence. */
+#define SUSPICION_EXPIRY_FACTOR 5
 
 static void record_change(fleet_t *fleet, fleet_change_kind_t kind, const proxy_t *proxy)
 {
@@ -163,7 +163,7 @@
 	HASH_ITER (hh, fleet->proxies, proxy, next) {
 		if (!proxy->sends_heartbeats) {
 			if (proxy->suspect &&
-			    now - proxy->suspected_at > RETRY_SUSPECT_FACTOR * allowed)
+			    now - proxy->suspected_at > SUSPICION_EXPIRY_FACTOR * allowed)
 				proxy->suspect = false;
 			continue;
 		}
@@ -385,18 +385,18 @@
 bool fleet_majority_is_alive(const fleet_t *fleet, usec_t since)
 {
 	size_t all = 0;
-	size_t heard = 0;
+	size_t alive = 0;
 	proxy_t *proxy;
 	proxy_t *next;
 
 	HASH_ITER (hh, fleet->proxies, proxy, next) {
 		all++;
 		/*
-		 * proxy->last_received is no proof: a message received now may have waited in a
-		 * buffer while this process was paused.
+		 * proxy->last_received does not show that the peer is alive: a message received now
+		 * may have waited in a buffer while this process was paused.
 		 */
 		if (proxy->self || (proxy->last_echo != 0 && proxy->last_echo >= since))
-			heard++;
+			alive++;
 	}
-	return 2 * heard > all;
+	return 2 * alive > all;
 }
--- a/core/group.c
+++ b/core/group.c
@@ -17,7 +17,7 @@
 #define RESPONSIVE_POLLS 3
 /* Lower bound for the time that a slot works on a run, in member_run_limit(). */
 #define MIN_BUSY_TIME USEC_PER_MSEC
-/* After a refused connection: two in a row prove that the process is gone. */
+/* Interval after a refused connection; a second refusal shows that the process has ended. */
 #define UNREACHABLE_RECHECK (10 * USEC_PER_MSEC)
 #define FOLLOW_RETRY	    (300 * USEC_PER_MSEC)
 
@@ -320,7 +320,7 @@
 
 	if (member == NULL)
 		return;
-	/* Request a report at once: if the process is gone, the new connection is refused. */
+	/* Request a report at once: if the process has ended, the new connection is refused. */
 	request_report(member);
 	group_arm_timer(group);
 }
--- a/core/pool.c
+++ b/core/pool.c
@@ -94,7 +94,7 @@
 	action->connect.address = talloc_strdup(action, member->spec.address);
 	action->connect.row = talloc_strdup(action, row->name);
 	action->connect.limit = row->connections;
-	/* The slots of a dead home stay claimed until the server ends its sessions. */
+	/* The slots of a failed home stay claimed until the server ends its sessions. */
 	action->connect.evict = fleet_replaces_suspect(&member->group->ranks);
 }
 
--- a/core/router.c
+++ b/core/router.c
@@ -21,14 +21,14 @@
 #define RETRY_AFTER_HOME     (500 * USEC_PER_MSEC)
 #define RETRY_AFTER_TABLE    USEC_PER_SEC
 #define RETRY_AFTER_SHUTDOWN (10 * USEC_PER_MSEC)
-/* A proxy counts as able to serve a group for this long after it began to watch it. */
+/* A proxy that starts to watch a group counts as able to serve the group for this time. */
 #define WATCH_START_GRACE USEC_PER_SEC
 /* Between attempts to route a request that waits after a pause of this process. */
 #define RESUME_RETRY_INTERVAL (50 * USEC_PER_MSEC)
 /*
  * How long a statement of a transaction waits for a broken connection to its home
  * to be restored: the next attempt to connect starts within 250 ms and may take
- * 300 ms. If the home is gone, its callers are notified later by this time.
+ * 300 ms. If the home has failed, the caller's refusal is delayed by this time.
  */
 #define LINK_WAIT (600 * USEC_PER_MSEC)
 /* Between attempts to send such a statement. */
@@ -52,8 +52,8 @@
 
 /*
  * After a pause this process can't rely on its table being current, nor on its
- * peers and backend servers being reachable. A request read right then would be
- * refused, although the messages of peers and new connections settle all that
+ * peers and backend servers being reachable. A request that is read right then would be
+ * refused, although messages from peers and new connections resolve all that
  * within milliseconds. So the request is retried for suspect_after, by when a
  * healthy peer has sent a message. Returns false once that time is over.
  */
@@ -301,7 +301,7 @@
 
 /* --- results of a forwarded request --- */
 
-/* The home is gone or silent; whether it has run the request is unknown. */
+/* The home has failed or is silent; whether it has run the request is unknown. */
 static void handle_home_lost(request_t *request, const char *why)
 {
 	proxy_t *home = fleet_find(request->core->fleet, request->home);
@@ -311,7 +311,7 @@
 	timers_cancel(&request->core->timers, &request->ack_timer);
 	if (request->query->tx != NULL) {
 		/*
-		 * If the home is gone, its connections are closed and the server rolls back,
+		 * If the home has failed, its connections are closed and the server rolls back,
 		 * unless this request was the commit.
 		 */
 		request->maybe_ran = request->query->verb == VERB_COMMIT;
@@ -423,7 +423,7 @@
 		timers_cancel(&core->timers, &request->ack_timer);
 }
 
-/* Retry after a refusal that allows it, at the same home or the next one; false if none does. */
+/* Retry at the same home or the next one; returns false if the refusal does not allow a retry. */
 static bool retry_after_refusal(request_t *request, const answer_t *answer)
 {
 	if (answer->outcome != OUTCOME_NOT_RUN && !request->maybe_ran)
--- a/core/session.c
+++ b/core/session.c
@@ -62,7 +62,8 @@
 {
 	unsigned char raw[TOKEN_MAX_BYTES];
 	json_t *list = json_array();
-	json_t *whole = json_pack("{s:o, s:b}", "groups", list, "overflowed", session->overflowed);
+	json_t *payload =
+		json_pack("{s:o, s:b}", "groups", list, "overflowed", session->overflowed);
 	size_t len;
 	char *token;
 
@@ -73,9 +74,9 @@
 						      (json_int_t)entry->position.term,
 						      (json_int_t)entry->position.lsn));
 	}
-	len = json_dumpb(whole, (char *)raw + crypto_auth_BYTES, sizeof(raw) - crypto_auth_BYTES,
+	len = json_dumpb(payload, (char *)raw + crypto_auth_BYTES, sizeof(raw) - crypto_auth_BYTES,
 			 JSON_COMPACT);
-	json_decref(whole);
+	json_decref(payload);
 	if (len > sizeof(raw) - crypto_auth_BYTES)
 		return NULL;
 	crypto_auth(raw, raw + crypto_auth_BYTES, len, key);
--- a/core/state.h
+++ b/core/state.h
@@ -42,7 +42,7 @@
 	conn_state_t state;
 	int64_t slot;
 	usec_t idle_since;
-	request_t *request; /* that it runs; NULL if idle or if the request has been abandoned */
+	request_t *request; /* the running request; NULL if idle or if the request was abandoned */
 	struct tx *tx;
 } conn_t;
 
@@ -63,11 +63,11 @@
 	bool leaving;
 	bool has_report;
 	report_t report;
-	usec_t reported_as_of; /* when the report that was answered last was requested */
+	usec_t reported_as_of; /* when the latest report received was requested */
 	uint64_t report_order;
 	usec_t report_sent;
 	usec_t next_report;
-	int misses;	 /* reports in a row without an answer */
+	int misses;	 /* consecutive requests for a report without an answer */
 	int unreachable; /* how many of the misses were refused connections */
 	usec_t srtt;
 	usec_t rttvar;
@@ -127,7 +127,7 @@
 	uint64_t term;	       /* the highest sealed term that a member has reported */
 	member_t *primary; /* the member that reports to be primary of that term, NULL if none */
 	usec_t watched_since;
-	usec_t primary_lost_at; /* since when there is no primary, 0 if there is one */
+	usec_t primary_lost_at; /* time at which the primary was lost, 0 if there is one */
 	sample_t *samples;	/* a ring of GROUP_SAMPLES; NULL unless watched */
 	size_t sample_next;
 	list_t queue;		/* request_t, by weight and deadline */
--- a/core/table.c
+++ b/core/table.c
@@ -142,11 +142,11 @@
 	json_t *value;
 
 	json_object_foreach ((json_t *)object, name, value) {
-		bool known = also != NULL && strcmp(name, also) == 0;
+		bool is_defined = also != NULL && strcmp(name, also) == 0;
 
-		for (size_t i = 0; i < count && !known; i++)
-			known = strcmp(fields[i].key, name) == 0;
-		if (!known)
+		for (size_t i = 0; i < count && !is_defined; i++)
+			is_defined = strcmp(fields[i].key, name) == 0;
+		if (!is_defined)
 			return reject_value(err, key, name, value, "no such field");
 	}
 	return 0;
--- a/core/tablesync.c
+++ b/core/tablesync.c
@@ -10,7 +10,7 @@
 
 /* The key for which rendezvous hashing selects the store watchers. */
 #define STORE_WATCHERS_KEY "table"
-/* The least time between two pulls as long as no push has answered the first. */
+/* The least time between two pulls while the first has not been answered by a push. */
 #define PULL_INTERVAL (100 * USEC_PER_MSEC)
 /* A load without an answer for this time is abandoned. */
 #define LOAD_TIMEOUT (3 * USEC_PER_SEC)
@@ -71,7 +71,7 @@
 	return base + core_random(core, base / 2 + 1);
 }
 
-/* Store watchers load regularly, others only if no heartbeat confirms their table for long. */
+/* Store watchers load regularly, others only if their table was not confirmed recently. */
 static void on_store_timer(run_timer_t *timer, usec_t now)
 {
 	core_t *core = list_entry(timer, core_t, store_timer);
--- a/core/takeover.c
+++ b/core/takeover.c
@@ -7,8 +7,8 @@
 #include "group.h"
 #include "pool.h"
 
-/* Refused connections in a row that prove that the process is gone. */
-#define UNREACHABLE_PROOF 2
+/* Consecutive refused connections that show that the member's process has ended. */
+#define UNREACHABLE_THRESHOLD 2
 /* Backoff after a failed takeover: a random time from this to twice this. */
 #define RETRY_BACKOFF (50 * USEC_PER_MSEC)
 /* A confirmation this many times slower than the recent peak is a stall. */
@@ -71,7 +71,7 @@
 	return confirm_oldest_wait(group) > limit;
 }
 
-/* Why the primary counts as failed as observed by this proxy; NULL if it does not. */
+/* The reason for which this proxy regards the primary as failed; NULL if it does not. */
 static const char *find_failure(const group_t *group)
 {
 	const member_t *primary = group->primary;
@@ -82,7 +82,7 @@
 
 		return lost_for > timings->detect_floor ? "no member is primary" : NULL;
 	}
-	if (primary->unreachable >= UNREACHABLE_PROOF)
+	if (primary->unreachable >= UNREACHABLE_THRESHOLD)
 		return "its process is gone";
 	if (is_silent(primary))
 		return "it does not answer";
--- a/core/tx.c
+++ b/core/tx.c
@@ -100,7 +100,7 @@
 	tx_t *tx = find_tx(core, request->query->tx);
 
 	if (tx == NULL) {
-		/* An unknown handle may be that of a commit that succeeded and is sent again. */
+		/* The handle may be that of a transaction whose successful commit is sent again. */
 		if (request->query->verb == VERB_COMMIT && request->query->request_id == NULL)
 			request->maybe_ran = request->query->resend;
 		request_refuse(request, REFUSAL_TX_LOST, 0,
--- a/core/types.h
+++ b/core/types.h
@@ -33,7 +33,7 @@
 	REFUSAL_STALE_MESSAGE, /* a forwarded request that may have passed its deadline */
 	REFUSAL_SHUTDOWN,      /* this proxy is shutting down */
 	REFUSAL_SQL,	       /* the backend server rejected the statement */
-	REFUSAL_TX_LOST,       /* the transaction is gone; it was rolled back */
+	REFUSAL_TX_LOST,       /* the transaction no longer exists; it was rolled back */
 	REFUSAL_TX_BUSY,       /* a statement of the transaction is still running */
 	REFUSAL_CONN_LOST,     /* the backend connection broke */
 	REFUSAL_RETRY_BUDGET,  /* the group's retry budget is used up */
@@ -79,7 +79,7 @@
 	position_t position;
 	char *detail; /* for refusals: the step, the peer and its error text */
 	char *rows;   /* JSON object with columns, rows and affected */
-	char *member; /* that ran the query */
+	char *member; /* the member that ran the query */
 	char *group;
 	char *tx;
 } answer_t;
