--- a/kernel/counter.h
+++ b/kernel/counter.h
@@ -28,7 +28,7 @@
 	{                                                                                          \
 		counter_register(&var);                                                            \
 	}                                                                                          \
-	_Static_assert(1, "swallow the semicolon")
+	_Static_assert(1, "requires a semicolon after the macro")
 
 void counter_register(counter_t *counter);
 
@@ -73,7 +73,7 @@
 	{                                                                                          \
 		counter_grid_register(&var);                                                       \
 	}                                                                                          \
-	_Static_assert(1, "swallow the semicolon")
+	_Static_assert(1, "requires a semicolon after the macro")
 
 #define COUNTER_LEN(array) (sizeof(array) / sizeof((array)[0]))
 
--- a/kernel/histogram.h
+++ b/kernel/histogram.h
@@ -34,7 +34,7 @@
 	{                                                                                          \
 		histogram_register(&var);                                                          \
 	}                                                                                          \
-	_Static_assert(1, "swallow the semicolon")
+	_Static_assert(1, "requires a semicolon after the macro")
 
 /* Histograms of one name must be registered in succession: their HELP and TYPE are written once. */
 void histogram_register(histogram_t *histogram);
--- a/kernel/log.c
+++ b/kernel/log.c
@@ -14,9 +14,9 @@
 
 /* Longer lines are truncated. */
 #define LINE_MAX_BYTES 2048
-/* Buffer for lines that the reader of the output has not taken yet. */
+/* Buffer for lines that the reader of the output has not read yet. */
 #define BACKLOG_BYTES (64 * 1024)
-/* A pipe that polls as writable takes this much without blocking (PIPE_BUF). */
+/* Bytes that a pipe accepts without blocking when it polls as writable (PIPE_BUF). */
 #define CHUNK_BYTES 4096
 
 COUNTER_DEFINE(lines_total, "log_lines_total", COUNTER_SUM, "Log lines written.");
--- a/kernel/plugin.h
+++ b/kernel/plugin.h
@@ -46,7 +46,7 @@
 	{                                                                                          \
 		plugin_register(plugin);                                                           \
 	}                                                                                          \
-	_Static_assert(1, "swallow the semicolon")
+	_Static_assert(1, "requires a semicolon after the macro")
 
 void plugin_register(plugin_t *plugin);
 
--- a/kernel/stream.h
+++ b/kernel/stream.h
@@ -33,7 +33,7 @@
 typedef enum {
 	STREAM_CLOSED,		 /* the stream is closed */
 	STREAM_UNREAD_INPUT,	 /* the socket holds input that has not been read */
-	STREAM_UNCONSUMED_INPUT, /* on_data has received all input but left some */
+	STREAM_UNCONSUMED_INPUT, /* on_data has not consumed all input */
 	STREAM_UNSENT_OUTPUT,	 /* there is output that has not been sent */
 } stream_close_result_t;
 
