--- a/links/httpd.c
+++ b/links/httpd.c
@@ -158,7 +158,7 @@
 	list_for_each (it, &httpd->conns) {
 		conn_t *conn = list_entry(it, conn_t, node);
 
-		/* Right after the check, so that no request arrives in between unread. */
+		/* Shut down right after the check, so that no request arrives unread in between. */
 		if (close_all || (!has_unread_data(conn) && !h2o_socket_is_writing(conn->sock)))
 			shutdown(h2o_socket_get_fd(conn->sock), SHUT_RDWR);
 		else
--- a/links/platform.c
+++ b/links/platform.c
@@ -41,9 +41,9 @@
 	uint64_t id;
 	event_kind_t event_kind;
 	store_status_t status;
-	uint64_t known_version; /* table version that core has */
-	/* revision of the store at which the table had that version, or an older one */
-	int64_t known_revision;
+	uint64_t core_version; /* version of the table in core */
+	/* store revision at which the table had that version, or an earlier one */
+	int64_t since_revision;
 	etcd_head_t head;
 	char *edit_id;
 	table_entry_t *entries; /* of a commit */
@@ -165,8 +165,8 @@
 			  "range_end", etcd_encode_key(key_prefix(self), "item0"), "revision",
 			  (json_int_t)op->head.revision);
 
-	if (op->known_revision > 0)
-		json_object_set_new(body, "min_mod_revision", json_integer(op->known_revision + 1));
+	if (op->since_revision > 0)
+		json_object_set_new(body, "min_mod_revision", json_integer(op->since_revision + 1));
 	post_call(self, "/v3/kv/range", body, on_entries_read, NULL, op);
 }
 
@@ -184,7 +184,7 @@
 	if (kv != NULL)
 		etcd_read_head(kv, &op->head);
 	json_decref(response);
-	if (op->head.version <= op->known_version)
+	if (op->head.version <= op->core_version)
 		report_result(op, NULL, 0);
 	else
 		read_changed_entries(op);
@@ -212,8 +212,8 @@
 {
 	store_op_t *op = store_op_create(data, action->id, EVENT_STORE_LOADED);
 
-	op->known_version = action->load.table_version;
-	op->known_revision = action->load.head_revision;
+	op->core_version = action->load.table_version;
+	op->since_revision = action->load.head_revision;
 	read_head(op);
 }
 
@@ -298,8 +298,8 @@
 	json_t *body = json_pack("{s:o}", "key", etcd_encode_key(key_prefix(self), "head"));
 
 	copy_entries(op, requested);
-	op->known_version = requested->table_version - 1;
-	op->known_revision = requested->head_revision;
+	op->core_version = requested->table_version - 1;
+	op->since_revision = requested->head_revision;
 	op->edit_id = talloc_strdup(op, requested->edit_id);
 	commit->op = op;
 	commit->action = (commit_action_t){
@@ -444,12 +444,12 @@
 
 	self->watch_buffer = talloc_strndup_append_buffer(self->watch_buffer, data, len);
 	while ((end = strchr(self->watch_buffer, '\n')) != NULL) {
-		char *rest = talloc_strdup(NULL, end + 1);
+		char *remainder = talloc_strdup(NULL, end + 1);
 
 		*end = '\0';
 		apply_watch_line(self, self->watch_buffer);
 		talloc_free(self->watch_buffer);
-		self->watch_buffer = rest;
+		self->watch_buffer = remainder;
 	}
 }
 
--- a/links/run.c
+++ b/links/run.c
@@ -206,7 +206,7 @@
 {
 	run->failed = true;
 	if (PQresultStatus(result) == PGRES_PIPELINE_ABORTED)
-		return; /* the error of an earlier step has the reason */
+		return; /* the error of an earlier step contains the reason */
 	if (step == STEP_INSERT_ID && sql_has_sqlstate(result, SQLSTATE_UNIQUE_VIOLATION)) {
 		run->is_duplicate = true;
 		return;
--- a/links/runner.c
+++ b/links/runner.c
@@ -1,7 +1,7 @@
 /*
  * Pooled connections to backend servers. A connection claims a slot of its table row's limit once
  * it is open, then executes one run at a time. The COMMIT of a write is sent only after its
- * statement has succeeded; if the connection is lost before, the write was certainly not done.
+ * statement has succeeded; if the connection is lost before that, the write was certainly not done.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -22,8 +22,9 @@
 /*
  * If a proxy's VM fails or the process is suspended, its connections stay open at the server and
  * keep their slots of the row's limit. The next home would find no slot free until TCP detects the
- * loss, or ever. So the server closes sessions that are idle for longer than a running proxy leaves
- * them: core closes idle connections after conn_idle and rolls back transactions after tx_idle.
+ * loss, which may be never. So the server closes sessions that are idle for longer than a running
+ * proxy leaves them: core closes idle connections after conn_idle and rolls back transactions after
+ * tx_idle.
  */
 #define SESSION_OPTIONS "-c idle_session_timeout=3000 -c idle_in_transaction_session_timeout=12000"
 
@@ -134,8 +135,8 @@
 }
 
 /*
- * A step of the part failed: roll back, or close the connection, so that no other run finds a
- * half-done transaction. A failed statement leaves its caller's transaction open.
+ * A step of the part failed: roll back, or close the connection, so that no other run finds an
+ * unfinished transaction. A failed statement leaves its caller's transaction open.
  */
 static void handle_part_failure(runner_conn_t *conn)
 {
--- a/links/zmqlink.c
+++ b/links/zmqlink.c
@@ -165,7 +165,7 @@
 	/* An edge can be missed between two checks of the socket; the timer limits the delay. */
 	usec_t interval = RECHECK_INTERVAL;
 
-	/* Not 0, or the timer would expire in the same iteration of the loop. */
+	/* With 0, the timer would expire in the same iteration of the loop. */
 	if (receive_batch(self))
 		interval = 1;
 	timers_arm(&self->loop->timers, &self->recheck_timer,
