--- a/tests/faults.c
+++ b/tests/faults.c
@@ -16,7 +16,7 @@
 typedef struct client {
 	char *last; /* name of the request in flight, NULL if none */
 	char *token;
-	char *seen[KEYS]; /* last value that it has written or read, by key */
+	char *seen[KEYS]; /* last value that the client has written or read, by key */
 } client_t;
 
 typedef struct run {
@@ -44,7 +44,7 @@
 	return 0;
 }
 
-/* Update the client by the answer to its last request. */
+/* Update the client's state from the answer to its last request. */
 static void apply_result(faults_run_t *run, client_t *client)
 {
 	const result_t *answer =
@@ -105,11 +105,11 @@
 static void stop_one_proxy(faults_run_t *run)
 {
 	int proxy = random_live_proxy(run);
-	int left = 0;
+	int alive_count = 0;
 
 	for (int i = 0; i < PROXIES; i++)
-		left += run->alive[i];
-	if (left < PROXIES)
+		alive_count += run->alive[i];
+	if (alive_count < PROXIES)
 		return; /* at most one, so that callers still have proxies to send requests to */
 	run->alive[proxy] = false;
 	if (random_below(run, 2) == 0)
--- a/tests/session.c
+++ b/tests/session.c
@@ -44,8 +44,8 @@
 }
 
 /*
- * For a transaction whose BEGIN failed, a well-formed handle that no proxy has
- * issued: its statements are refused as lost, not as malformed.
+ * The handle used for a transaction whose BEGIN failed. It is well-formed but was
+ * issued by no proxy: its statements are refused as lost, not as malformed.
  */
 static const char *tx_handle(const result_t *tx)
 {
--- a/tests/test_ages.c
+++ b/tests/test_ages.c
@@ -1,5 +1,5 @@
 /*
- * The age of replica reads, tested with reports that the test makes up for one core.
+ * The age of replica reads, tested with artificial reports to a single core.
  * The group has five members: enough that a superseded primary can keep a replica,
  * whose data then always looks as fresh as that primary's.
  */
--- a/tests/test_loop.c
+++ b/tests/test_loop.c
@@ -85,7 +85,7 @@
 }
 
 /*
- * Guards against a process that stops answering and uses a whole core. A timer sends on a
+ * Guards against a process that stops answering and keeps a CPU busy. A timer sends on a
  * connection and closes it in the same iteration of the loop. The socket is then in h2o's list of
  * pending callbacks. h2o frees the socket at the start of the next iteration and reuses its memory
  * for a connection that it accepts, so that the list has a cycle. The loop therefore runs the
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,7 +1,7 @@
 /*
  * A simulated environment for cores, in simulated time: the members of one group
  * with a replicated log, the store, and the messages between a few cores. It runs
- * whole sessions with faults and checks the invariants, which must hold whatever
+ * complete sessions with faults and checks the invariants, which must hold whatever
  * happens.
  */
 #pragma once
--- a/tests/world_conns.c
+++ b/tests/world_conns.c
@@ -39,8 +39,8 @@
 }
 
 /*
- * The proxy's end is lost: report the result of the run and the loss, as the
- * product's adapter does.
+ * The proxy's end is lost: report the result of the run and the loss, as
+ * links/runner.c does.
  */
 static void close_conn_as_lost(world_t *world, fake_conn_t *conn, const char *why)
 {
@@ -223,7 +223,7 @@
 	if (conn->open && conn->running && !conn->session_ended &&
 	    !world_is_down(world, world_member_node(conn->member))) {
 		/*
-		 * The first transaction to insert the id holds it; the others wait, as on a
+		 * The first transaction to insert the id locks it; the others wait, as on a
 		 * unique index.
 		 */
 		if (id_is_locked(world, conn, conn->query->request_id)) {
--- a/tests/world_cores.c
+++ b/tests/world_cores.c
@@ -69,11 +69,11 @@
 
 static char *first_value(const char *rows)
 {
-	json_t *whole = rows != NULL ? json_loads(rows, 0, NULL) : NULL;
-	const json_t *row = json_array_get(json_object_get(whole, "rows"), 0);
+	json_t *result = rows != NULL ? json_loads(rows, 0, NULL) : NULL;
+	const json_t *row = json_array_get(json_object_get(result, "rows"), 0);
 	char *value = g_strdup(json_string_value(json_array_get(row, 0)));
 
-	json_decref(whole);
+	json_decref(result);
 	return value;
 }
 
--- a/tests/world_parts.h
+++ b/tests/world_parts.h
@@ -64,8 +64,8 @@
 	GSequence *events;
 	fake_proxy_t proxies[WORLD_MAX_PROXIES];
 	fake_member_t members[WORLD_MAX_MEMBERS];
-	bool dead[WORLD_NODES];	    /* process gone */
-	bool vanished[WORLD_NODES]; /* VM gone */
+	bool dead[WORLD_NODES];	    /* the process has ended */
+	bool vanished[WORLD_NODES]; /* the VM has stopped */
 	bool leaving[WORLD_NODES];
 	usec_t frozen_until[WORLD_NODES];
 	bool cut[WORLD_NODES][WORLD_NODES];
--- a/tests/world_time.c
+++ b/tests/world_time.c
@@ -40,7 +40,7 @@
 			break;
 		g_sequence_remove(first);
 		world->now = entry->at;
-		/* Input of a frozen process waits in its buffers until it continues. */
+		/* Input of a frozen process waits in its buffers until the process continues. */
 		if (entry->node >= 0 && world->frozen_until[entry->node] > world->now) {
 			entry->at = world->frozen_until[entry->node];
 			g_sequence_insert_sorted(world->events, entry, compare_scheduled, NULL);
