--- a/core/core.h
+++ b/core/core.h
@@ -18,7 +18,7 @@
 	usec_t poll_interval;	      /* between requests for reports by a group's home */
 	usec_t standby_poll_interval; /* and by the other watchers of the group */
 	usec_t order_timeout;	      /* for the answer to one order to a group member */
-	usec_t detect_floor; /* lower bound of the time-out by which a primary counts as failed */
+	usec_t detect_floor; /* lower bound of the time-out for detecting a failed primary */
 	usec_t stagger;	     /* between the takeover attempts of successive ranks */
 	usec_t seal_timeout; /* for one step of a takeover */
 	usec_t confirm_poll_interval; /* between polls while answers wait for a majority */
--- a/core/edit.c
+++ b/core/edit.c
@@ -164,7 +164,7 @@
 	return NULL;
 }
 
-/* The store has committed the edit: apply it here, from where it spreads to the fleet. */
+/* The store has committed the edit: apply it here; tablesync distributes it to the fleet. */
 static void on_committed(edit_t *edit, const store_event_t *event)
 {
 	core_t *core = edit->core;
--- a/core/exec.c
+++ b/core/exec.c
@@ -60,7 +60,7 @@
 	return is_in_own_zone(core, a) && !is_in_own_zone(core, b);
 }
 
-/* The best eligible replica with a free slot; *any: whether one is eligible, free or not. */
+/* The best eligible replica with a free slot. *any: whether any replica is eligible. */
 static member_t *choose_replica(const request_t *request, bool *any)
 {
 	group_t *group = request->group;
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -26,7 +26,7 @@
 	bool leaving; /* shutting down; never reset for this incarnation */
 	bool suspect; /* does not respond; cleared by its next message */
 	usec_t suspected_at;
-	bool sends_heartbeats; /* regularly, to this proxy: its silence is evidence */
+	bool sends_heartbeats; /* regularly, to this proxy: silence means a failure */
 	uint64_t incarnation;
 	usec_t added_at;
 	usec_t last_received; /* time of its last message, 0 none */
--- a/core/group.c
+++ b/core/group.c
@@ -130,7 +130,7 @@
 	group_t *group = member->group;
 	usec_t soon = group->core->now + group->core->config.timings.confirm_poll_interval;
 
-	/* A report of the primary is not needed: it holds all that it ran. */
+	/* A report of the primary is not needed: the primary holds all that it ran. */
 	if (member == group->primary)
 		return;
 	if (!list_empty(&group->confirming) && member->next_report > soon)
@@ -202,8 +202,8 @@
 }
 
 /*
- * A member that has obeyed the order in this term is not sent it again, even if it
- * lags: it would restart the transfer of the log and might never catch up.
+ * The order is not repeated to a member that has obeyed it in this term, even if the
+ * member lags: it would restart the transfer of the log and might never catch up.
  */
 void group_order_follow(member_t *member)
 {
--- a/core/peers.c
+++ b/core/peers.c
@@ -65,7 +65,7 @@
 		add_neighbour(out, len, max, ranks->proxies[i]);
 }
 
-/* Only these proxies send heartbeats to this one regularly. */
+/* Record that only these proxies send heartbeats to this one regularly. */
 static void set_heartbeat_senders(core_t *core, proxy_t *const *proxies, size_t len)
 {
 	proxy_t *proxy;
--- a/core/pool.c
+++ b/core/pool.c
@@ -8,7 +8,7 @@
 #include "placement.h"
 #include "tx.h"
 
-/* Until the next connect after one that failed or found no free slot. */
+/* Time until the next attempt to connect after one that failed or found no free slot. */
 #define CONNECT_BACKOFF (20 * USEC_PER_MSEC)
 /* Idle time-out once another proxy is the group's home and needs the slots. */
 #define CONN_IDLE_AFTER_MOVE (200 * USEC_PER_MSEC)
--- a/core/router.c
+++ b/core/router.c
@@ -23,7 +23,7 @@
 #define RETRY_AFTER_SHUTDOWN (10 * USEC_PER_MSEC)
 /* A proxy that starts to watch a group counts as able to serve the group for this time. */
 #define WATCH_START_GRACE USEC_PER_SEC
-/* Between attempts to route a request that waits after a pause of this process. */
+/* Interval between attempts to route a request after a pause of this process. */
 #define RESUME_RETRY_INTERVAL (50 * USEC_PER_MSEC)
 /*
  * How long a statement of a transaction waits for a broken connection to its home
@@ -31,7 +31,7 @@
  * 300 ms. If the home has failed, the caller's refusal is delayed by this time.
  */
 #define LINK_WAIT (600 * USEC_PER_MSEC)
-/* Between attempts to send such a statement. */
+/* Interval between attempts to send such a statement. */
 #define LINK_RETRY_INTERVAL (50 * USEC_PER_MSEC)
 
 static void route(request_t *request);
--- a/core/takeover.c
+++ b/core/takeover.c
@@ -22,7 +22,10 @@
 
 static void on_step_timeout(run_timer_t *timer, usec_t now);
 
-/* Longer than the member's answers usually take, as for TCP retransmission (RFC 6298). */
+/*
+ * Time-out for an answer of the member: longer than its answers usually take, computed
+ * as for TCP retransmission (RFC 6298).
+ */
 static usec_t answer_timeout(const member_t *member)
 {
 	usec_t floor = member->group->core->config.timings.detect_floor;
