--- a/links/framing.c
+++ b/links/framing.c
@@ -12,8 +12,8 @@
 } slice_t;
 
 /*
- * Read a line without its line end, and move rest behind it. Returns false if rest has no complete
- * line.
+ * Read a line without its line end, and advance rest past the line. Returns false if rest has no
+ * complete line.
  */
 static bool next_line(slice_t *rest, slice_t *line)
 {
--- a/links/httpc.c
+++ b/links/httpc.c
@@ -167,9 +167,9 @@
 static void finish_completed_calls(httpc_t *httpc)
 {
 	CURLMsg *msg;
-	int left;
+	int remaining;
 
-	while ((msg = curl_multi_info_read(httpc->multi, &left)) != NULL) {
+	while ((msg = curl_multi_info_read(httpc->multi, &remaining)) != NULL) {
 		httpc_call_t *call;
 
 		if (msg->msg != CURLMSG_DONE)
