--- a/tests/test_failures.c
+++ b/tests/test_failures.c
@@ -292,7 +292,7 @@
 
 /*
  * A proxy is suspended for four seconds while the table is edited. After it has resumed, it must
- * not serve by the old row: when it answers the first request, it has the new version of the table.
+ * not use the old settings of the row: by its first answer it has the new version of the table.
  */
 static void test_proxy_stopped(void)
 {
--- a/tests/world.c
+++ b/tests/world.c
@@ -148,7 +148,7 @@
 	return world;
 }
 
-/* All proxies are dead now, so the scheduled events only free their memory. */
+/* Run the scheduled events with all nodes vanished, so that they only free their memory. */
 static void drain_events(world_t *world)
 {
 	world->ending = true;
--- a/tests/world_members.c
+++ b/tests/world_members.c
@@ -110,7 +110,7 @@
 	guint len;
 } replicate_t;
 
-/* Make the replica's log equal to the primary's as sent, if it still follows it in that term. */
+/* Update the replica's log to the primary's as sent, if the replica still follows that primary. */
 static void on_replicate_arrive(world_t *world, void *data)
 {
 	replicate_t *r = data;
@@ -230,7 +230,7 @@
 typedef struct order {
 	int proxy;
 	int member;
-	action_t *action; /* copied fields */
+	action_t *action; /* owned */
 	bool done;
 	int refs;
 	report_t report;
--- a/tests/world_parts.h
+++ b/tests/world_parts.h
@@ -39,7 +39,7 @@
 	int member;
 	char *claim;
 	bool counted;	    /* included in the member's conns */
-	bool session_ended; /* at the member: what still arrives there is ignored */
+	bool session_ended; /* by the member, which ignores what still arrives */
 	bool open;
 	bool running;
 	bool commit_sent;
@@ -96,7 +96,7 @@
 typedef struct scheduled {
 	usec_t at;
 	uint64_t seq;
-	int node; /* that it concerns: a frozen node delays it; -1: none */
+	int node; /* the node concerned, which delays the event while frozen; -1: none */
 	callback_t callback;
 	void *data;
 } scheduled_t;
