--- a/core/group.c
+++ b/core/group.c
@@ -17,7 +17,7 @@
 #define RESPONSIVE_POLLS 3
 /* Lower bound for the time that a slot works on a run, in member_run_limit(). */
 #define MIN_BUSY_TIME USEC_PER_MSEC
-/* After a refused connection: two in a row prove that the process is gone. */
+/* Interval after a refused connection; a second refusal shows that the process has ended. */
 #define UNREACHABLE_RECHECK (10 * USEC_PER_MSEC)
 #define FOLLOW_RETRY	    (300 * USEC_PER_MSEC)
 
@@ -130,7 +130,7 @@
 	group_t *group = member->group;
 	usec_t soon = group->core->now + group->core->config.timings.confirm_poll_interval;
 
-	/* A report of the primary is not needed: it holds all that it ran. */
+	/* A report of the primary is not needed: the primary holds all that it ran. */
 	if (member == group->primary)
 		return;
 	if (!list_empty(&group->confirming) && member->next_report > soon)
@@ -202,8 +202,8 @@
 }
 
 /*
- * A member that has obeyed the order in this term is not sent it again, even if it
- * lags: it would restart the transfer of the log and might never catch up.
+ * The order is not repeated to a member that has obeyed it in this term, even if the
+ * member lags: it would restart the transfer of the log and might never catch up.
  */
 void group_order_follow(member_t *member)
 {
@@ -320,7 +320,7 @@
 
 	if (member == NULL)
 		return;
-	/* Request a report at once: if the process is gone, the new connection is refused. */
+	/* Request a report at once: if the process has ended, the new connection is refused. */
 	request_report(member);
 	group_arm_timer(group);
 }
--- a/core/pool.c
+++ b/core/pool.c
@@ -8,7 +8,7 @@
 #include "placement.h"
 #include "tx.h"
 
-/* Until the next connect after one that failed or found no free slot. */
+/* Time until the next attempt to connect after one that failed or found no free slot. */
 #define CONNECT_BACKOFF (20 * USEC_PER_MSEC)
 /* Idle time-out once another proxy is the group's home and needs the slots. */
 #define CONN_IDLE_AFTER_MOVE (200 * USEC_PER_MSEC)
@@ -94,7 +94,7 @@
 	action->connect.address = talloc_strdup(action, member->spec.address);
 	action->connect.row = talloc_strdup(action, row->name);
 	action->connect.limit = row->connections;
-	/* The slots of a dead home stay claimed until the server ends its sessions. */
+	/* The slots of a failed home stay claimed until the server ends its sessions. */
 	action->connect.evict = fleet_replaces_suspect(&member->group->ranks);
 }
 
--- a/core/takeover.c
+++ b/core/takeover.c
@@ -7,8 +7,8 @@
 #include "group.h"
 #include "pool.h"
 
-/* Refused connections in a row that prove that the process is gone. */
-#define UNREACHABLE_PROOF 2
+/* Consecutive refused connections that show that the member's process has ended. */
+#define UNREACHABLE_THRESHOLD 2
 /* Backoff after a failed takeover: a random time from this to twice this. */
 #define RETRY_BACKOFF (50 * USEC_PER_MSEC)
 /* A confirmation this many times slower than the recent peak is a stall. */
@@ -22,7 +22,10 @@
 
 static void on_step_timeout(run_timer_t *timer, usec_t now);
 
-/* Longer than the member's answers usually take, as for TCP retransmission (RFC 6298). */
+/*
+ * Time-out for an answer of the member: longer than its answers usually take, computed
+ * as for TCP retransmission (RFC 6298).
+ */
 static usec_t answer_timeout(const member_t *member)
 {
 	usec_t floor = member->group->core->config.timings.detect_floor;
@@ -71,7 +74,7 @@
 	return confirm_oldest_wait(group) > limit;
 }
 
-/* Why the primary counts as failed as observed by this proxy; NULL if it does not. */
+/* The reason for which this proxy regards the primary as failed; NULL if it does not. */
 static const char *find_failure(const group_t *group)
 {
 	const member_t *primary = group->primary;
@@ -82,7 +85,7 @@
 
 		return lost_for > timings->detect_floor ? "no member is primary" : NULL;
 	}
-	if (primary->unreachable >= UNREACHABLE_PROOF)
+	if (primary->unreachable >= UNREACHABLE_THRESHOLD)
 		return "its process is gone";
 	if (is_silent(primary))
 		return "it does not answer";
--- a/tests/test_pooler_load.c
+++ b/tests/test_pooler_load.c
@@ -222,17 +222,17 @@
 static void test_idle_tx_is_kept_without_waiters(void)
 {
 	pool_world_t *world = world_create(1, &two_connections);
-	world_caller_t *resting;
+	world_caller_t *idle;
 	world_caller_t *other;
 
 	world_wait_until_ready(world);
-	resting = begin_and_idle(world, "WRITE job-1 a");
+	idle = begin_and_idle(world, "WRITE job-1 a");
 	other = world_open_session_on(world, 0, "strict");
 	for (int i = 0; i < 100; i++) {
 		assert_has_prefix(world_send_and_wait(other, "READ job-1"), "ROW none");
 		world_run(world, 20 * MSEC);
 	}
-	assert_has_prefix(world_send_and_wait(resting, "COMMIT"), "DONE");
+	assert_has_prefix(world_send_and_wait(idle, "COMMIT"), "DONE");
 	assert_has_prefix(world_send_and_wait(other, "READ job-1"), "ROW a");
 	world_destroy(world);
 }
--- a/tests/world_parts.h
+++ b/tests/world_parts.h
@@ -39,7 +39,7 @@
 	int member;
 	char *claim;
 	bool counted;	    /* included in the member's conns */
-	bool session_ended; /* at the member: what still arrives there is ignored */
+	bool session_ended; /* by the member, which ignores what still arrives */
 	bool open;
 	bool running;
 	bool commit_sent;
@@ -64,8 +64,8 @@
 	GSequence *events;
 	fake_proxy_t proxies[WORLD_MAX_PROXIES];
 	fake_member_t members[WORLD_MAX_MEMBERS];
-	bool dead[WORLD_NODES];	    /* process gone */
-	bool vanished[WORLD_NODES]; /* VM gone */
+	bool dead[WORLD_NODES];	    /* the process has ended */
+	bool vanished[WORLD_NODES]; /* the VM has stopped */
 	bool leaving[WORLD_NODES];
 	usec_t frozen_until[WORLD_NODES];
 	bool cut[WORLD_NODES][WORLD_NODES];
@@ -96,7 +96,7 @@
 typedef struct scheduled {
 	usec_t at;
 	uint64_t seq;
-	int node; /* that it concerns: a frozen node delays it; -1: none */
+	int node; /* the node concerned, which delays the event while frozen; -1: none */
 	callback_t callback;
 	void *data;
 } scheduled_t;
